--- a/terndrift/fleet/members.py
+++ b/terndrift/fleet/members.py
@@ -379,10 +379,10 @@
             if standing is not m.standing:
                 self._turn(now, m, standing)
             m.told = 0
-        elif standing is Standing.SUSPECT is m.standing and one.incarnation == m.incarnation:
-            if sender not in m.accusers and len(m.accusers) <= CONFIRMATIONS:
-                m.accusers.add(sender)
-                m.told = 0
+        elif (standing is Standing.SUSPECT is m.standing and one.incarnation == m.incarnation
+              and sender not in m.accusers and len(m.accusers) <= CONFIRMATIONS):
+            m.accusers.add(sender)
+            m.told = 0
 
     def _turn(self, now, m, standing):
         """Every change of a member's standing within a run."""
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -123,7 +123,7 @@
         self.controller.copies.begin(self.clock.now())
         host, _, port = self.value["datagrams"].rpartition(":")
         self.transport, _ = await loop.create_datagram_endpoint(lambda: Datagrams(self), (host, int(port)))
-        self.addresses = ["%s:%d" % self.transport.get_extra_info("sockname")[:2],
+        self.addresses = ["{}:{}".format(*self.transport.get_extra_info("sockname")[:2]),
                           self.server.listen_on(self.value["http"])]
         self._after()
 
--- a/terndrift/http/playlists.py
+++ b/terndrift/http/playlists.py
@@ -24,7 +24,7 @@
         raise Unusable(f"{len(variants)} variants where the title has {len(rungs)} rungs")
     kept = [(rung, variant) for rung, variant in zip(rungs, variants, strict=True) if floor <= rung <= top]
     for rung, variant in kept:
-        variant.uri = "{base}/r%d/index.m3u8" % rung
+        variant.uri = f"{{base}}/r{rung}/index.m3u8"
     playlist.playlists[:] = [variant for _, variant in kept]
     return playlist.dumps()
 
--- a/terndrift/http/server.py
+++ b/terndrift/http/server.py
@@ -161,7 +161,7 @@
         host, _, port = address.rpartition(":")
         sockets = bind_sockets(int(port), host, family=socket.AF_INET, backlog=1024)
         self.add_sockets(sockets)
-        return "%s:%d" % sockets[0].getsockname()[:2]
+        return "{}:{}".format(*sockets[0].getsockname()[:2])
 
     def handle_stream(self, stream, address):
         if len(self.peers) >= self.most:
--- a/terndrift/standin/network.py
+++ b/terndrift/standin/network.py
@@ -21,8 +21,8 @@
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(lambda: Taken(self), ("127.0.0.1", 0))
         self.server = await asyncio.start_server(self.connected, "127.0.0.1", 0)
-        self.address = "%s:%d" % self.transport.get_extra_info("sockname")[:2]
-        self.http = "%s:%d" % self.server.sockets[0].getsockname()[:2]
+        self.address = "{}:{}".format(*self.transport.get_extra_info("sockname")[:2])
+        self.http = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
 
     def taken(self, data):
         n, loop = self.network, asyncio.get_running_loop()
--- a/terndrift/terms.py
+++ b/terndrift/terms.py
@@ -77,18 +77,18 @@
 
 
 # Names that the pages have (WIRE, "The settings") and that nothing here needs, or not always; * is any place.
-UNNEEDED = frozenset("""
-    areas counted_by kind_of_service over_share_worth profiles registry_mode tenants tick_ns tier tiers
-    weights zone
-    ceilings.cancel ceilings.connect_timeout_ns ceilings.cpu_us_per_request ceilings.cpu_us_per_s
-    ceilings.keepalive_ns ceilings.max_open ceilings.max_retry_after_ns ceilings.max_streams
-    ceilings.second_copies clients.marks_retry family_info.fleet_kb family_info.reports_every_ns
-    goal.whole goal.worst_class goal.worst_tenant goal.worst_window
-    prices.connection prices.cross_zone prices.handshake prices.late_fail prices.moves prices.origin
-    prices.peer prices.probe prices.registry_mode prices.waste
-    profiles.*.aim_stretch profiles.*.key_scope profiles.*.late_worth profiles.*.stream profiles.*.window_ns
-    rules.ask_within_ns rules.drain_grace_ns
-    tenants.count tenants.*.name tenants.*.quota_rps tenants.*.share""".split())
+UNNEEDED = frozenset([
+    "areas", "counted_by", "kind_of_service", "over_share_worth", "profiles", "registry_mode", "tenants",
+    "tick_ns", "tier", "tiers", "weights", "zone", "ceilings.cancel", "ceilings.connect_timeout_ns",
+    "ceilings.cpu_us_per_request", "ceilings.cpu_us_per_s", "ceilings.keepalive_ns", "ceilings.max_open",
+    "ceilings.max_retry_after_ns", "ceilings.max_streams", "ceilings.second_copies", "clients.marks_retry",
+    "family_info.fleet_kb", "family_info.reports_every_ns", "goal.whole", "goal.worst_class",
+    "goal.worst_tenant", "goal.worst_window", "prices.connection", "prices.cross_zone", "prices.handshake",
+    "prices.late_fail", "prices.moves", "prices.origin", "prices.peer", "prices.probe",
+    "prices.registry_mode", "prices.waste", "profiles.*.aim_stretch", "profiles.*.key_scope",
+    "profiles.*.late_worth", "profiles.*.stream", "profiles.*.window_ns", "rules.ask_within_ns",
+    "rules.drain_grace_ns", "tenants.count", "tenants.*.name", "tenants.*.quota_rps", "tenants.*.share"
+])
 
 
 class Read(dict):
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -105,7 +105,7 @@
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.address = "127.0.0.1:%d" % self.server.sockets[0].getsockname()[1]
+        self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def tell(self, *rows, whole=False):
         self.events.append({"n": len(self.events) + 1, "members": {
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -120,7 +120,7 @@
 
     async def __aenter__(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.address = "127.0.0.1:%d" % self.server.sockets[0].getsockname()[1]
+        self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
 
     async def __aexit__(self, *_):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -116,7 +116,7 @@
 async def test_a_listener_that_accepts_and_never_reads_costs_a_time_out_and_no_answer(world):
     mute = socket.create_server(("127.0.0.1", 0))
     lines = world.fleet.lines()
-    lines["s0"]["address"] = "127.0.0.1:%d" % mute.getsockname()[1]
+    lines["s0"]["address"] = f"127.0.0.1:{mute.getsockname()[1]}"
     write_list(world.path("list.rec"), lines)
     await world.listed()
     for n in range(3):
