--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 	.venv/bin/terndrift demo --try
 
 lint: .venv/done
-	.venv/bin/ruff check .
+	.venv/bin/ruff check . && .venv/bin/ruff format --check .
 
 test: lint
 	$(PY) -m pytest -q
--- a/benchmarks/catalogue.py
+++ b/benchmarks/catalogue.py
@@ -1,6 +1,6 @@
 """What the catalogue and its store cost: load, look-up, durable changes, recovery, stalls of the loop.
 
-    python -m benchmarks.catalogue [--titles 200000]
+python -m benchmarks.catalogue [--titles 200000]
 """
 
 import asyncio
@@ -121,8 +121,12 @@
     out["longest_slice_ms"] = round(runner.longest / 1e6, 2)
     bare = syncs(folder, 2.0)
     one, some = await changes(catalogue, 1, 2.0), await changes(catalogue, 64, 2.0)
-    out["a_second"] = {"bare_fsyncs": round(bare), "changes_by_1": round(one), "changes_by_64": round(some),
-                       "ratio_64": round(some / bare, 2)}
+    out["a_second"] = {
+        "bare_fsyncs": round(bare),
+        "changes_by_1": round(one),
+        "changes_by_64": round(some),
+        "ratio_64": round(some / bare, 2),
+    }
     committer.close()
     return out
 
@@ -136,10 +140,29 @@
     versions, committer = opened(folder)
     store = committer.store
     for start in range(0, records, 200):
-        store.append([(STREAM, {"id": f"r{n}", "by": "", "at": 0.0, "version": n + 1, "drop": [], "mark": "",
-                                "put": {f"t{n % 5000}": {"plan": "free", "seconds": 1 + n % 99,
-                                                         "holders": [n % 9, 10 + n % 7]}}})
-                      for n in range(start, start + 200)])
+        store.append(
+            [
+                (
+                    STREAM,
+                    {
+                        "id": f"r{n}",
+                        "by": "",
+                        "at": 0.0,
+                        "version": n + 1,
+                        "drop": [],
+                        "mark": "",
+                        "put": {
+                            f"t{n % 5000}": {
+                                "plan": "free",
+                                "seconds": 1 + n % 99,
+                                "holders": [n % 9, 10 + n % 7],
+                            }
+                        },
+                    },
+                )
+                for n in range(start, start + 200)
+            ]
+        )
     committer.close()
     size = sum(os.path.getsize(os.path.join(folder, n)) for n in os.listdir(folder) if n.startswith("log-"))
     began = time.perf_counter()
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,6 +1,6 @@
 """What a decision costs, in process: floods and a steady stream, at several sizes. No sockets.
 
-    python -m benchmarks.decisions [--streamers 120] [--live 1000] [--wanted 2000]
+python -m benchmarks.decisions [--streamers 120] [--live 1000] [--wanted 2000]
 """
 
 import random
@@ -15,12 +15,15 @@
 
 
 def deployment(controllers=8):
-    plans = {"free": Plan("free", 1.0, 1.0, 0, 3, 0, S, True),
-             "paid": Plan("paid", 2.0, 1.2, 1, 3, 0, S, False)}
+    plans = {
+        "free": Plan("free", 1.0, 1.0, 0, 3, 0, S, True),
+        "paid": Plan("paid", 2.0, 1.2, 1, 3, 0, S, False),
+    }
     rules = Rules(40 * MS, 10 * S, 0.4, 3.0, 2 * S, 4, 5, 0.1, 10 * S, S, False, False)
     ladder = Ladder((100.0, 200.0, 400.0, 800.0), (0.25, 0.5, 0.75, 1.0), 6.0, S // 2)
-    return Deployment(7, 0, controllers, "here", plans, ladder,
-                      Links(5000.0, 35000.0, {"box": 60}, S, 0.0), rules)
+    return Deployment(
+        7, 0, controllers, "here", plans, ladder, Links(5000.0, 35000.0, {"box": 60}, S, 0.0), rules
+    )
 
 
 class Bench:
@@ -28,8 +31,9 @@
         self.now, self.n, self.costs, self.chance = 1000 * S, 0, [], random.Random(3)
         self.c = Controller(deployment(controllers), self.now)
         self.c.began_empty = False
-        entries = [Listed(1000 + i, "box", "here", i, i % racks, Standing.READY, 1.0, 0)
-                   for i in range(streamers)]
+        entries = [
+            Listed(1000 + i, "box", "here", i, i % racks, Standing.READY, 1.0, 0) for i in range(streamers)
+        ]
         self.all = frozenset(range(streamers))
         self.c.list_changed(self.now, entries, True, False)
 
@@ -42,8 +46,17 @@
     def want(self, cells=None):
         self.n += 1
         id = f"p{self.n}"
-        self.call(self.c.wanted, id, "paid" if self.n % 4 == 0 else "free", f"t{self.n % 50}",
-                  self.all if cells is None else cells, 3, 3 * S, 20 * S, False)
+        self.call(
+            self.c.wanted,
+            id,
+            "paid" if self.n % 4 == 0 else "free",
+            f"t{self.n % 50}",
+            self.all if cells is None else cells,
+            3,
+            3 * S,
+            20 * S,
+            False,
+        )
         return id
 
     def settle(self):
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -39,16 +39,25 @@
     found = [(c[0] - at) / 1e9 for c in arena.changes[from_when:] if c[2] == "m1" and c[4] is Standing.DEAD]
     arena.start("m1")
     arena.until(arena.settled, 60)
-    one = set(names[:2 * size // 5])
+    one = set(names[: 2 * size // 5])
     arena.cut = lambda a, b: (a in one) != (b in one)
     arena.run(60)
     arena.cut = lambda a, b: False
     converged = arena.until(arena.settled, 120)
     p50, p99 = percentiles(found)
-    return {"members": size, "loss": loss, "together_s": together, "found_p50_s": p50, "found_p99_s": p99,
-            "found_by": len(found), "false_deaths_an_hour": round(false * 3600 / quiet, 1),
-            "datagrams_a_second": round(sent[0], 2), "bytes_a_second": round(sent[1]),
-            "converged_s": converged, "took_s": round(time.time() - began, 1)}
+    return {
+        "members": size,
+        "loss": loss,
+        "together_s": together,
+        "found_p50_s": p50,
+        "found_p99_s": p99,
+        "found_by": len(found),
+        "false_deaths_an_hour": round(false * 3600 / quiet, 1),
+        "datagrams_a_second": round(sent[0], 2),
+        "bytes_a_second": round(sent[1]),
+        "converged_s": converged,
+        "took_s": round(time.time() - began, 1),
+    }
 
 
 def plot(rows, folder):
@@ -58,13 +67,17 @@
     from matplotlib import pyplot
 
     figure, all_axes = pyplot.subplots(1, 3, figsize=(12, 4))
-    for axes, key, label in zip(all_axes, ("found_p99_s", "bytes_a_second", "converged_s"),
-                                ("s to find a death, p99", "bytes a member a second",
-                                 "s to converge after a cut"), strict=True):
+    for axes, key, label in zip(
+        all_axes,
+        ("found_p99_s", "bytes_a_second", "converged_s"),
+        ("s to find a death, p99", "bytes a member a second", "s to converge after a cut"),
+        strict=True,
+    ):
         for loss in LOSSES:
             mine = [r for r in rows if r["loss"] == loss]
-            axes.plot([r["members"] for r in mine], [r[key] for r in mine], marker="o",
-                      label=f"{loss:.0%} lost")
+            axes.plot(
+                [r["members"] for r in mine], [r[key] for r in mine], marker="o", label=f"{loss:.0%} lost"
+            )
         axes.set(xscale="log", xlabel="members", ylabel=label, ylim=(0, None))
         axes.legend(fontsize="small")
     figure.tight_layout()
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -45,16 +45,25 @@
         agreed = [x for x in await asyncio.gather(*sent) if x]
         cpu = {n: (after[n][0] - before[n]) / took * 1000 for n in names}
         late = [json.loads(line)["ms"] for n in names for line in several.said[n] if '"loop held"' in line]
-        print(json.dumps({
-            "what": what, "controllers": count, "cpu_ms_a_second": round(fmean(cpu.values()), 1),
-            "cpu_most": round(max(cpu.values()), 1),
-            "memory_mb": round(fmean(a[1] for a in after.values()), 1),
-            "agreed": len(agreed), "asked": len(sent),
-            "loop_held_over_100ms": max(late, default=0)}), flush=True)
+        print(
+            json.dumps(
+                {
+                    "what": what,
+                    "controllers": count,
+                    "cpu_ms_a_second": round(fmean(cpu.values()), 1),
+                    "cpu_most": round(max(cpu.values()), 1),
+                    "memory_mb": round(fmean(a[1] for a in after.values()), 1),
+                    "agreed": len(agreed),
+                    "asked": len(sent),
+                    "loop_held_over_100ms": max(late, default=0),
+                }
+            ),
+            flush=True,
+        )
         await several.close()
 
 
 if __name__ == "__main__":
-    count, seconds = (int(x) for x in (sys.argv[1:] + ["15", "20"][len(sys.argv) - 1:])[:2])
+    count, seconds = (int(x) for x in (sys.argv[1:] + ["15", "20"][len(sys.argv) - 1 :])[:2])
     for what, rate in (("alone", None), ("members", 0), ("50 entries a second", 50)):
         asyncio.run(measured(what, count, seconds, rate))
--- a/benchmarks/herd.py
+++ b/benchmarks/herd.py
@@ -23,11 +23,18 @@
     world.run()
     report = world.report()
     found = report["recovery"]["outages"][0]
-    return {"size": size, "seed": seed, "way": way, "loss": loss, "full_service_s": found["full_service_s"],
-            "dip_share": found["dip"][0], "dip_rung": found["dip"][1],
-            "set_ups_a_streamer_s": found["peak_set_ups_a_streamer_s"],
-            "datagrams_a_member_s": report["datagrams_peak_a_member_s"],
-            "breaks": sum(report["rules"].values())}
+    return {
+        "size": size,
+        "seed": seed,
+        "way": way,
+        "loss": loss,
+        "full_service_s": found["full_service_s"],
+        "dip_share": found["dip"][0],
+        "dip_rung": found["dip"][1],
+        "set_ups_a_streamer_s": found["peak_set_ups_a_streamer_s"],
+        "datagrams_a_member_s": report["datagrams_peak_a_member_s"],
+        "breaks": sum(report["rules"].values()),
+    }
 
 
 def drawn(rows, folder):
@@ -38,8 +45,11 @@
 
     figure, axes = plt.subplots(1, 3, figsize=(12, 3.6))
     keys = ("dip_rung", "set_ups_a_streamer_s", "datagrams_a_member_s")
-    titles = ("lowest rung after, over before", "set-ups to one streamer a second",
-              "datagrams a member, busiest second")
+    titles = (
+        "lowest rung after, over before",
+        "set-ups to one streamer a second",
+        "datagrams a member, busiest second",
+    )
     for axis, key, title in zip(axes, keys, titles, strict=True):
         for way in WAYS:
             sizes = sorted({r["size"] for r in rows if r["way"] == way})
@@ -57,8 +67,12 @@
     words = list(words)
     asked = {name: words.pop(words.index(name) + 1) for name in ("--seeds", "--loss") if name in words}
     sizes = [int(w) for w in words if not w.startswith("--")] or [50, 200, 300]
-    jobs = [(size, seed, way, float(asked.get("--loss", 0))) for size in sizes
-            for seed in range(1, int(asked.get("--seeds", 1)) + 1) for way in WAYS]
+    jobs = [
+        (size, seed, way, float(asked.get("--loss", 0)))
+        for size in sizes
+        for seed in range(1, int(asked.get("--seeds", 1)) + 1)
+        for way in WAYS
+    ]
     with ProcessPoolExecutor(3) as pool:
         rows = list(pool.map(one, *zip(*jobs, strict=True)))
     os.makedirs(folder, exist_ok=True)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,8 +26,12 @@
         self.start(*self.names)
         assert self.arena.until(self.arena.settled, 120) is not None
         self.arena.call(self.names[0], "restart", None)
-        assert self.arena.until(lambda: all(len(c.follower.state["voters"]) == VOTERS
-                                            for c in self.arena.up.values()), 120) is not None
+        assert (
+            self.arena.until(
+                lambda: all(len(c.follower.state["voters"]) == VOTERS for c in self.arena.up.values()), 120
+            )
+            is not None
+        )
 
     def start(self, *names):
         self.arena.start(*names)
@@ -80,11 +84,17 @@
             settled = step / 50 - 15
     sent = [sum(s[k] for s in town.arena.sent.values()) - before[k] for k in (0, 1)]
     members = [c.loads.total(town.arena.now)[2] for c in town.arena.up.values()]
-    return {"members": size, "lost": loss, "most_over_limit": round(most / town.limit, 4),
-            "in_force_mean": round(fmean(used), 3), "surge_has_its_part_s": settled,
-            "summed_of": [min(members), max(members)],
-            "datagrams_a_member_s": round(sent[0] / size / SECONDS, 2),
-            "bytes_a_member_s": round(sent[1] / size / SECONDS), "in_force": [round(u, 3) for u in used]}
+    return {
+        "members": size,
+        "lost": loss,
+        "most_over_limit": round(most / town.limit, 4),
+        "in_force_mean": round(fmean(used), 3),
+        "surge_has_its_part_s": settled,
+        "summed_of": [min(members), max(members)],
+        "datagrams_a_member_s": round(sent[0] / size / SECONDS, 2),
+        "bytes_a_member_s": round(sent[1] / size / SECONDS),
+        "in_force": [round(u, 3) for u in used],
+    }
 
 
 def drawn(rows, folder):
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -83,8 +83,9 @@
             due = at + 2.0 * (n + 1)
             await asyncio.sleep(max(0.0, due - time.time()))
             headers = cmcd.headers({**said, "ot": "av"}, custom)
-            await self.get(address, f"{base}/{n}.ts", headers,
-                           self.segments if time.time() > self.begin else None, due)
+            await self.get(
+                address, f"{base}/{n}.ts", headers, self.segments if time.time() > self.begin else None, due
+            )
             n += 1
 
     async def short(self, due):
@@ -108,8 +109,11 @@
             self.spawn(self.short(due))
         while self.tasks:
             await asyncio.wait(set(self.tasks))
-        return {"set_ups": self.set_ups.encode().decode(), "segments": self.segments.encode().decode(),
-                "codes": self.codes}
+        return {
+            "set_ups": self.set_ups.encode().decode(),
+            "segments": self.segments.encode().decode(),
+            "codes": self.codes,
+        }
 
 
 @click.group()
@@ -135,9 +139,19 @@
     profile.dump_stats(out)
 
 
-PARTS = (("module", "terndrift/decide.py"), ("core", "terndrift/core/"), ("hints", "terndrift/hints/"),
-         ("hints", "http_sfv"), ("log", "structlog"), ("log", "terndrift/logs.py"), ("log", "logging"),
-         ("HTTP", "tornado"), ("HTTP", "terndrift/http/"), ("HTTP", "asyncio"), ("HTTP", "socket"))
+PARTS = (
+    ("module", "terndrift/decide.py"),
+    ("core", "terndrift/core/"),
+    ("hints", "terndrift/hints/"),
+    ("hints", "http_sfv"),
+    ("log", "structlog"),
+    ("log", "terndrift/logs.py"),
+    ("log", "logging"),
+    ("HTTP", "tornado"),
+    ("HTTP", "terndrift/http/"),
+    ("HTTP", "asyncio"),
+    ("HTTP", "socket"),
+)
 
 
 def by_part(path):
@@ -173,10 +187,18 @@
 
 def drive(addresses, straight, rate, live, seconds, loaders):
     begin = time.time() + 13.0
-    spread = {"addresses": addresses, "straight": straight, "rate": rate / loaders, "live": live // loaders,
-              "seconds": seconds, "begin": begin}
-    running = [spawn("benchmarks.path", "load", json.dumps({**spread, "number": n}), stdout=subprocess.PIPE)
-               for n in range(loaders)]
+    spread = {
+        "addresses": addresses,
+        "straight": straight,
+        "rate": rate / loaders,
+        "live": live // loaders,
+        "seconds": seconds,
+        "begin": begin,
+    }
+    running = [
+        spawn("benchmarks.path", "load", json.dumps({**spread, "number": n}), stdout=subprocess.PIPE)
+        for n in range(loaders)
+    ]
     set_ups, segments, codes = HdrHistogram(1, 10**8, 3), HdrHistogram(1, 10**8, 3), {}
     for process in running:
         out = json.loads(process.communicate(timeout=seconds + 90)[0])
@@ -189,7 +211,8 @@
 
 def told(histogram):
     return {f"p{p}": histogram.get_value_at_percentile(p) for p in (50, 90, 99)} | {
-        "count": histogram.get_total_count()}
+        "count": histogram.get_total_count()
+    }
 
 
 @cli.command()
@@ -204,8 +227,10 @@
     with tempfile.TemporaryDirectory() as folder:
         fleets, lines = [], {}
         for rack in range(3):
-            rows = "".join(f'streamers: "s{rack}{n}": {{id: {rack * 10 + n}, rack: {rack}, kind: "box", '
-                           f'link: 4MB/s}}\n' for n in range(STREAMERS // 3))
+            rows = "".join(
+                f'streamers: "s{rack}{n}": {{id: {rack * 10 + n}, rack: {rack}, kind: "box", link: 4MB/s}}\n'
+                for n in range(STREAMERS // 3)
+            )
             path = os.path.join(folder, f"fleet{rack}.rec")
             with open(path, "w", encoding="utf-8") as file:
                 file.write(DEPLOYMENT + rows + f'uplinks: {{"{rack}": 40MB/s}}\nready: "{path}.list"\n')
@@ -213,11 +238,14 @@
             appears(path + ".list")
             lines.update(records.load(path + ".list", "list")["streamers"])
         from terndrift.standin.fleet import write_list
+
         write_list(os.path.join(folder, "list.rec"), lines)
         front = os.path.join(folder, "front.rec")
         with open(front, "w", encoding="utf-8") as file:
-            file.write(DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nready: "ready"\n'
-                       f'http: drain: 0s\nlog: level: "{level}"\n')
+            file.write(
+                DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nready: "ready"\n'
+                f'http: drain: 0s\nlog: level: "{level}"\n'
+            )
         prof = os.path.join(folder, "prof")
         args = ("benchmarks.path", "profiled", front, prof) if profile else ("terndrift", "serve", front)
         controller = spawn(*args)
@@ -228,9 +256,16 @@
         before = cpu(controller.pid)
         through = drive([address], False, rate, live, seconds, loaders)
         used = cpu(controller.pid) - before
-        out = {"rate": rate, "live": live, "straight": told(straight[0]), "through": told(through[0]),
-               "segments_straight": told(straight[1]), "segments_through": told(through[1]),
-               "codes": through[2], "controller_cpu_share": round(used / (seconds + 13), 3)}
+        out = {
+            "rate": rate,
+            "live": live,
+            "straight": told(straight[0]),
+            "through": told(through[0]),
+            "segments_straight": told(straight[1]),
+            "segments_through": told(through[1]),
+            "codes": through[2],
+            "controller_cpu_share": round(used / (seconds + 13), 3),
+        }
         out["added_us"] = {p: out["through"][p] - out["straight"][p] for p in ("p50", "p90", "p99")}
         out["ratio"] = {p: round(out["through"][p] / max(1, out["straight"][p]), 2) for p in ("p50", "p99")}
         controller.send_signal(signal.SIGTERM)
--- a/benchmarks/sip.py
+++ b/benchmarks/sip.py
@@ -1,6 +1,6 @@
 """What SIP costs: a message read and written, calls a second on one process, memory a call.
 
-    python -m benchmarks.sip [--calls 2000]
+python -m benchmarks.sip [--calls 2000]
 """
 
 import gc
@@ -61,8 +61,11 @@
     data, costs = caller.out[0][1], {"read": [], "write": [], "description": []}
     message, body = read(data), offer("10.0.0.1", 900_000)
     for _ in range(30):
-        for name, work in (("read", lambda: read(data)), ("write", message.encode),
-                           ("description", lambda: sdp.read(body).encode())):
+        for name, work in (
+            ("read", lambda: read(data)),
+            ("write", message.encode),
+            ("description", lambda: sdp.read(body).encode()),
+        ):
             began = time.perf_counter()
             for _ in range(100):
                 work()
@@ -75,8 +78,14 @@
     counter = itertools.count()
     room = Room("10.0.0.9:5060", Nobody(), 1, places=10 * count)
     user = User(room.address)
-    user.bridge = Bridge(user, Times(T1, 8 * T1, 10 * T1), ("10.0.0.2", 5060), "<sip:10.0.0.2:5060>",
-                         lambda n: hashlib.sha256(str(next(counter)).encode()).digest()[:n], 1800 * SECOND)
+    user.bridge = Bridge(
+        user,
+        Times(T1, 8 * T1, 10 * T1),
+        ("10.0.0.2", 5060),
+        "<sip:10.0.0.2:5060>",
+        lambda n: hashlib.sha256(str(next(counter)).encode()).digest()[:n],
+        1800 * SECOND,
+    )
     return room, user.bridge
 
 
@@ -85,8 +94,9 @@
     room, ours = made(count)
     callers = {f"10.1.{n // 250}.{n % 250}:5060": None for n in range(count)}
     for n, address in enumerate(callers):
-        callers[address] = Caller(address, Nobody(), "10.0.0.2:5060", "room", f"v{n}", 900_000, 8 * SECOND,
-                                  60 * SECOND)
+        callers[address] = Caller(
+            address, Nobody(), "10.0.0.2:5060", "room", f"v{n}", 900_000, 8 * SECOND, 60 * SECOND
+        )
     spent, now = 0, 1000 * SECOND
 
     def moved(agents):
@@ -132,8 +142,16 @@
     base = tracemalloc.get_traced_memory()[0]
     used = 0
     for n in range(count):
-        caller = Caller(f"10.1.{n // 250}.{n % 250}:5060", Nobody(), "10.0.0.2:5060", "room", f"v{n}",
-                        900_000, 8 * SECOND, 60 * SECOND)
+        caller = Caller(
+            f"10.1.{n // 250}.{n % 250}:5060",
+            Nobody(),
+            "10.0.0.2:5060",
+            "room",
+            f"v{n}",
+            900_000,
+            8 * SECOND,
+            60 * SECOND,
+        )
         caller.call(now)
         for _ in range(6):
             for agent in (caller, room):
@@ -162,11 +180,22 @@
     tracemalloc.start()
     stands, used, _ = held(500)
     tracemalloc.stop()
-    click.echo(json.dumps({
-        "message": parse_cost(), "calls": up,
-        "cpu_us_a_call": {"set_up": round(setting_up / up / 1000), "hang_up": round(ending / up / 1000)},
-        "calls_a_second_on_one_core": round(1e9 / ((setting_up + ending) / up)),
-        "calls_standing": stands, "bytes_a_call": round(used / stands) if stands else None}, indent=1))
+    click.echo(
+        json.dumps(
+            {
+                "message": parse_cost(),
+                "calls": up,
+                "cpu_us_a_call": {
+                    "set_up": round(setting_up / up / 1000),
+                    "hang_up": round(ending / up / 1000),
+                },
+                "calls_a_second_on_one_core": round(1e9 / ((setting_up + ending) / up)),
+                "calls_standing": stands,
+                "bytes_a_call": round(used / stands) if stands else None,
+            },
+            indent=1,
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -1,6 +1,6 @@
 """The same days under the design and the baselines, several seeds, a few at once: a table in Markdown.
 
-    python -m benchmarks.table [--day bad-day] [--seeds 10] [--at-once 4] [--out FILE]
+python -m benchmarks.table [--day bad-day] [--seeds 10] [--at-once 4] [--out FILE]
 """
 
 import asyncio
@@ -19,9 +19,25 @@
     out = os.path.join(folder, f"{policy}-{seed}.json")
     async with gate:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "terndrift", "rehearse", day, "--seed", str(seed), "--policy", policy,
-            "--controllers", str(size[0]), "--streamers", str(size[1]), "--seconds", str(size[2]),
-            "--report", out, stdout=asyncio.subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "terndrift",
+            "rehearse",
+            day,
+            "--seed",
+            str(seed),
+            "--policy",
+            policy,
+            "--controllers",
+            str(size[0]),
+            "--streamers",
+            str(size[1]),
+            "--seconds",
+            str(size[2]),
+            "--report",
+            out,
+            stdout=asyncio.subprocess.DEVNULL,
+        )
         await process.wait()
     with open(out, encoding="utf-8") as file:
         done[policy, seed] = json.load(file)
@@ -31,8 +47,13 @@
 async def every(day, seeds, size, at_once, folder):
     gate, done = asyncio.Semaphore(at_once), {}
     # seed by seed, so that what else the machine does meets all policies alike
-    await asyncio.gather(*(one(day, seed, policy, size, gate, folder, done)
-                           for seed in range(1, seeds + 1) for policy in POLICIES))
+    await asyncio.gather(
+        *(
+            one(day, seed, policy, size, gate, folder, done)
+            for seed in range(1, seeds + 1)
+            for policy in POLICIES
+        )
+    )
     return done
 
 
@@ -42,8 +63,10 @@
         row = [f"{done[p, seed]['revenue_answered_in_target']:.3f}" for p in POLICIES]
         lines.append(f"| {seed} | " + " | ".join(row) + " |")
     for name, pick in (("median", statistics.median), ("lowest", min)):
-        row = [f"{pick(done[p, s]['revenue_answered_in_target'] for s in range(1, seeds + 1)):.3f}"
-               for p in POLICIES]
+        row = [
+            f"{pick(done[p, s]['revenue_answered_in_target'] for s in range(1, seeds + 1)):.3f}"
+            for p in POLICIES
+        ]
         lines.append(f"| {name} | " + " | ".join(row) + " |")
     rules = list(done[POLICIES[0], 1]["rules"])
     lines += ["", "| breaks of | " + " | ".join(POLICIES) + " |", "| --- |" + " --- |" * len(POLICIES)]
--- a/benchmarks/work.py
+++ b/benchmarks/work.py
@@ -32,16 +32,26 @@
     least = 4 + 2 + WARM
     bound = math.ceil(streamers / min(most, racks * value["most_rack"])) * least
     entries = work.rev(arena.up[names[-1]].follower.state)
-    return {"controllers": controllers, "streamers": streamers, "most": most, "racks": racks, "loss": loss,
-            "done": done, "wrong": len(site.wrong), "most_out": site.most_out, "took_s": round(took, 1),
-            "bound_s": bound, "over_bound": round(took / bound, 3),
-            "entries_a_machine": round(entries / streamers, 2),
-            "datagrams_a_machine": round(sent[0] / streamers),
-            "kb_a_machine": round(sent[1] / streamers / 1000),
-            "real_s": round(time.time() - began, 1)}
+    return {
+        "controllers": controllers,
+        "streamers": streamers,
+        "most": most,
+        "racks": racks,
+        "loss": loss,
+        "done": done,
+        "wrong": len(site.wrong),
+        "most_out": site.most_out,
+        "took_s": round(took, 1),
+        "bound_s": bound,
+        "over_bound": round(took / bound, 3),
+        "entries_a_machine": round(entries / streamers, 2),
+        "datagrams_a_machine": round(sent[0] / streamers),
+        "kb_a_machine": round(sent[1] / streamers / 1000),
+        "real_s": round(time.time() - began, 1),
+    }
 
 
 if __name__ == "__main__":
-    controllers, streamers = (int(x) for x in (sys.argv[1:] + ["200", "200"][len(sys.argv) - 1:])[:2])
+    controllers, streamers = (int(x) for x in (sys.argv[1:] + ["200", "200"][len(sys.argv) - 1 :])[:2])
     for loss in (0.0, 0.05):
         print(json.dumps(measured(controllers, streamers, 20, 40, loss=loss)), flush=True)
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -1,6 +1,6 @@
 """What a list over xDS costs: one change by the size of the list, from source to decision, memory, a flood.
 
-    python -m benchmarks.xds [--seconds 30]
+python -m benchmarks.xds [--seconds 30]
 """
 
 import asyncio
@@ -38,17 +38,32 @@
 
 def deployment():
     plans = {"free": Plan("free", 1.0, 1.0, 0, 3, 0, SECOND, True)}
-    rules = Rules(answer_slack=0, cold_for=10 * SECOND, cold_share=0.4, fall_multiple=3.0,
-                  fall_window=2 * SECOND, try_limit=4, extra_tries=5, extra_share=0.1,
-                  extra_window=10 * SECOND, longest_advice=SECOND, probes=False, peers=False)
+    rules = Rules(
+        answer_slack=0,
+        cold_for=10 * SECOND,
+        cold_share=0.4,
+        fall_multiple=3.0,
+        fall_window=2 * SECOND,
+        try_limit=4,
+        extra_tries=5,
+        extra_share=0.1,
+        extra_window=10 * SECOND,
+        longest_advice=SECOND,
+        probes=False,
+        peers=False,
+    )
     ladder = Ladder((100.0, 200.0, 400.0, 800.0), (0.25, 0.5, 0.75, 1.0), 6.0, SECOND // 2)
     return Deployment(1, 0, 1, "", plans, ladder, Links(2000.0, 9000.0, {"box": 20}, SECOND, 0.0), rules)
 
 
 def clusters(count):
-    return {f"c{c}": {f"s{n}": streamer(f"s{n}", n + 1, f"10.{n // 65000}.{n // 250 % 250}.{n % 250}:80",
-                                        n // EACH)
-                      for n in range(c * EACH, (c + 1) * EACH)} for c in range(count // EACH)}
+    return {
+        f"c{c}": {
+            f"s{n}": streamer(f"s{n}", n + 1, f"10.{n // 65000}.{n // 250 % 250}.{n % 250}:80", n // EACH)
+            for n in range(c * EACH, (c + 1) * EACH)
+        }
+        for c in range(count // EACH)
+    }
 
 
 class Following:
@@ -66,9 +81,19 @@
         self.seen.append((time.monotonic_ns(), entries))
 
     def follow(self, address, form):
-        value = {"source": address, "form": form, "clusters": "", "endpoints": "", "refresh": SECOND,
-                 "first": 15 * SECOND, "largest": 16 << 20, "ca": "", "certificate": "", "key": "",
-                 "loads": False}
+        value = {
+            "source": address,
+            "form": form,
+            "clusters": "",
+            "endpoints": "",
+            "refresh": SECOND,
+            "first": 15 * SECOND,
+            "largest": 16 << 20,
+            "ca": "",
+            "certificate": "",
+            "key": "",
+            "loads": False,
+        }
         who = {"name": "bench", "region": "", "zone": ""}
         return made_source("main", value, who, self.listing, self.clock, 1, Quiet())
 
@@ -76,8 +101,11 @@
 def response(form, type_url, names, lines, number):
     made = []
     for name in names:
-        data = codec.cluster_bytes(name) if type_url == CLUSTER else codec.assignment_bytes(
-            name, lines[name].values(), float)
+        data = (
+            codec.cluster_bytes(name)
+            if type_url == CLUSTER
+            else codec.assignment_bytes(name, lines[name].values(), float)
+        )
         made.append((name, codec.mark(data), data))
     return codec.response(codec.answer(form, type_url, str(number), str(number), made), form)
 
@@ -94,8 +122,9 @@
     for n in range(rounds):
         name = f"c{n % len(lines)}"
         first = next(iter(lines[name]))
-        lines[name][first] = streamer(first, lines[name][first].id, lines[name][first].address, 0,
-                                      weight=2 + n / 100)
+        lines[name][first] = streamer(
+            first, lines[name][first].id, lines[name][first].address, 0, weight=2 + n / 100
+        )
         found = response(form, ENDPOINT, [name], lines, n + 3)
         await asyncio.sleep(0.012)  # past the time that changes are gathered: each is handed on by itself
         seen, began = len(following.seen), time.thread_time_ns()
@@ -163,8 +192,9 @@
             lines = source.clusters[name]
             first = list(lines)[sent // len(source.clusters) % EACH]
             sent += 1
-            lines[first] = streamer(first, lines[first].id, lines[first].address, lines[first].rack,
-                                    weight=1 + sent / 10_000)
+            lines[first] = streamer(
+                first, lines[first].id, lines[first].address, lines[first].rack, weight=1 + sent / 10_000
+            )
             told.append((lines[first].id, lines[first].weight, time.monotonic_ns()))
             source.changed(name)
             due += float(period)
@@ -178,8 +208,15 @@
 @contextlib.asynccontextmanager
 async def sourced(size):
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.xds", "--source", str(size), stdin=asyncio.subprocess.PIPE,
-        stdout=asyncio.subprocess.PIPE, limit=1 << 26)
+        sys.executable,
+        "-m",
+        "benchmarks.xds",
+        "--source",
+        str(size),
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+        limit=1 << 26,
+    )
     try:
         yield process, (await process.stdout.readline()).decode().strip()
     finally:
@@ -238,18 +275,25 @@
         costs = {size: asyncio.run(one_change(size, form)) for size in SIZES}
         out[f"cpu_us_of_one_change_{form}"] = {s: round(c / 1000) for s, c in costs.items()}
         out[f"ratio_{form}"] = round(costs[SIZES[-1]] / costs[SIZES[0]], 2)
-    out["bytes_an_endpoint"] = {name: round(asyncio.run(memory(10_000, decisions))) for name, decisions in (
-        ("view_and_listing", False), ("with_the_decisions", True))}
+    out["bytes_an_endpoint"] = {
+        name: round(asyncio.run(memory(10_000, decisions)))
+        for name, decisions in (("view_and_listing", False), ("with_the_decisions", True))
+    }
     for name, size, period, count in (("alone", 1_000, 0.02, 500), ("flood", 10_000, 0.001, seconds * 1000)):
         latency, first, loop, calls = asyncio.run(flood(size, "delta", period, count))
         out[name] = {
-            "endpoints": size, "changes": count, "calls_of_the_decisions": calls,
-            "change_to_decision_ms": {p: round(latency.get_value_at_percentile(p) / 1000, 1)
-                                      for p in (50, 99, 100)},
+            "endpoints": size,
+            "changes": count,
+            "calls_of_the_decisions": calls,
+            "change_to_decision_ms": {
+                p: round(latency.get_value_at_percentile(p) / 1000, 1) for p in (50, 99, 100)
+            },
             "first_list_longest_hold_ms": round(first.longest / MS, 1),
             "first_list_longest_own_cpu_ms": round(first.own / MS, 1),
-            "longest_hold_ms": round(loop.longest / MS, 1), "longest_own_cpu_ms": round(loop.own / MS, 1),
-            "hold_p99.9_ms": round(loop.gaps.get_value_at_percentile(99.9) / MS, 2)}
+            "longest_hold_ms": round(loop.longest / MS, 1),
+            "longest_own_cpu_ms": round(loop.own / MS, 1),
+            "hold_p99.9_ms": round(loop.gaps.get_value_at_percentile(99.9) / MS, 2),
+        }
     click.echo(json.dumps(out, indent=1))
 
 
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -118,9 +118,13 @@
         top = min(int(number(f, "top", 1e9)), row.top, len(inst.deployment.ladder.rates) - 1)
         first = int(number(f, "start_cell", 0))
         return dict(
-            id=text(f, "corr"), plan=plan, title=f.get("title", ""),
-            cells=inst.layout.holders(first, int(number(f, "spread", 0))), top=top,
-            time_left=whole(f, "expires_in_ns"), hint=whole(f, "work_ns", 0) if marks & 1 else 0,
+            id=text(f, "corr"),
+            plan=plan,
+            title=f.get("title", ""),
+            cells=inst.layout.holders(first, int(number(f, "spread", 0))),
+            top=top,
+            time_left=whole(f, "expires_in_ns"),
+            hint=whole(f, "work_ns", 0) if marks & 1 else 0,
             moved=bool(marks & 8),
         )
 
@@ -142,7 +146,12 @@
         if finished:
             inst.told.pop(id, None)
         return inst.controller.try_ended(
-            now, id, ending, whole(f, "took_ns", 0), finished, whole(f, "streamer"),
+            now,
+            id,
+            ending,
+            whole(f, "took_ns", 0),
+            finished,
+            whole(f, "streamer"),
             codec.report(f, inst.report_names),
         )
 
@@ -176,7 +185,10 @@
 
     def echo(self, inst, now, f):
         return inst.controller.probe_answer(
-            now, whole(f, "streamer"), codec.one_of(f, "rc", codec.ENDINGS), whole(f, "took_ns", 0),
+            now,
+            whole(f, "streamer"),
+            codec.one_of(f, "rc", codec.ENDINGS),
+            whole(f, "took_ns", 0),
             codec.report(f, inst.report_names),
         )
 
@@ -184,7 +196,15 @@
 CALLS = {
     name: getattr(Host, name)
     for name in (
-        "endpoints", "new_request", "existing", "accepted", "done", "gone",
-        "ring", "status_note", "memo", "echo",
+        "endpoints",
+        "new_request",
+        "existing",
+        "accepted",
+        "done",
+        "gone",
+        "ring",
+        "status_note",
+        "memo",
+        "echo",
     )
 }
--- a/terndrift/audit/calls.py
+++ b/terndrift/audit/calls.py
@@ -14,8 +14,11 @@
         target = facts.plan_of(ask.title)["startup_target"]
         well += bool(ask.answers) and ask.answers[0][1] == 200 and ask.answers[0][0] - ask.at <= target
     notes = facts.streamers
-    return {"calls": len(asks), "call_answers": dict(codes),
-            "calls_answered_in_target": round(well / len(asks), 4) if asks else None,
-            "calls_reshaped": sum(n["what"] == "reshaped" for n in notes),
-            "legs_left": sum(n["count"] for n in notes if n["what"] == "legs left"),
-            "legs_expired": sum(n["what"] == "expired" for n in notes)}
+    return {
+        "calls": len(asks),
+        "call_answers": dict(codes),
+        "calls_answered_in_target": round(well / len(asks), 4) if asks else None,
+        "calls_reshaped": sum(n["what"] == "reshaped" for n in notes),
+        "legs_left": sum(n["count"] for n in notes if n["what"] == "legs left"),
+        "legs_expired": sum(n["what"] == "expired" for n in notes),
+    }
--- a/terndrift/audit/facts.py
+++ b/terndrift/audit/facts.py
@@ -75,7 +75,8 @@
         for n in self.viewers:
             if n["what"] == "ask":
                 self.asks[n["ask"]] = Ask(
-                    n["ask"], n["visit"], n["title"], n["controller"], n["t"], n["until"])
+                    n["ask"], n["visit"], n["title"], n["controller"], n["t"], n["until"]
+                )
             elif n["what"] == "answer":
                 self.asks[n["ask"]].answers.append((n["t"], n["code"]))
             elif n["what"] == "sent on":  # the first one did not take it
--- a/terndrift/audit/figures.py
+++ b/terndrift/audit/figures.py
@@ -12,11 +12,17 @@
     for ask in facts.asks.values():
         answers[KINDS.get(ask.answers[0][1], str(ask.answers[0][1])) if ask.answers else "none"] += 1
     earned, asked, by_plan = revenue(facts, arrivals)
-    return {"visits": len(arrivals), "playbacks": len(facts.asks), "answers": dict(answers),
-            "tries": len(facts.tries), "segments": sum(n["what"] == "segment" for n in facts.viewers),
-            "revenue_answered_in_target": round(earned / asked, 4) if asked else None,
-            "revenue_by_plan": by_plan, "added_latency_us": added(facts),
-            "dry_seconds": round(sum(n["dry"] for n in facts.viewers if n["what"] == "segment"), 1)}
+    return {
+        "visits": len(arrivals),
+        "playbacks": len(facts.asks),
+        "answers": dict(answers),
+        "tries": len(facts.tries),
+        "segments": sum(n["what"] == "segment" for n in facts.viewers),
+        "revenue_answered_in_target": round(earned / asked, 4) if asked else None,
+        "revenue_by_plan": by_plan,
+        "added_latency_us": added(facts),
+        "dry_seconds": round(sum(n["dry"] for n in facts.viewers if n["what"] == "segment"), 1),
+    }
 
 
 def revenue(facts, arrivals):
@@ -65,5 +71,8 @@
             histogram.record_value(max(1, (at - ask.at - (mine[0].over - mine[0].at)) // 1000))
     if not histogram.get_total_count():
         return {"p50": None, "p99": None, "count": 0}
-    return {"p50": histogram.get_value_at_percentile(50), "p99": histogram.get_value_at_percentile(99),
-            "count": histogram.get_total_count()}
+    return {
+        "p50": histogram.get_value_at_percentile(50),
+        "p99": histogram.get_value_at_percentile(99),
+        "count": histogram.get_total_count(),
+    }
--- a/terndrift/audit/fleet.py
+++ b/terndrift/audit/fleet.py
@@ -30,13 +30,20 @@
     changed = [id for id, index in agreed.items() if places[id] - {index}]
     doubled = [id for id, at in places.items() if len(at) > 1]
     false = [d for d in deaths if not excused(facts, *d)]
-    return {"fleet": {
-        "agreed": len(agreed), "not_known": unknown, "lost": len(lost), "changed": len(changed),
-        "doubled": len(doubled), "false_deaths": len(false),
-        "false": [f"{by} of {of}" for _, by, of in false[:10]],
-        "converged_s": next((n["s"] for n in facts.runner if n["what"] == "converged"), None),
-        "same_at_end": bool(final) and all(n["same"] for n in final),
-        "without_leader_s": without_leader(facts)}}
+    return {
+        "fleet": {
+            "agreed": len(agreed),
+            "not_known": unknown,
+            "lost": len(lost),
+            "changed": len(changed),
+            "doubled": len(doubled),
+            "false_deaths": len(false),
+            "false": [f"{by} of {of}" for _, by, of in false[:10]],
+            "converged_s": next((n["s"] for n in facts.runner if n["what"] == "converged"), None),
+            "same_at_end": bool(final) and all(n["same"] for n in final),
+            "without_leader_s": without_leader(facts),
+        }
+    }
 
 
 def worked(facts):
@@ -59,14 +66,20 @@
     states, later = ends["states"], ("done", "given back")
     held, broken = _held(facts, out)
     plays = [n["ask"] for n in facts.viewers if n["what"] == "answer" and n["code"] == 200]
-    return {"work": {
-        "by": planned["by"], "planned": len(planned["machines"]) + len(planned["controllers"]),
-        "done": sum(state == "done" for state in states.values()),
-        "touched_while_held": held, "broken_off": broken,
-        "over_budget_s": round(_over(out, planned["most"]) / SECOND, 2),
-        "steps_doubled": sum(not _follows(log) for log in logs.values()),
-        "stuck": {m: s for m, s in states.items() if s not in later},
-        "ended_early": len(plays) - len({facts.asks[ask].visit for ask in plays}), "took_s": ends["took"]}}
+    return {
+        "work": {
+            "by": planned["by"],
+            "planned": len(planned["machines"]) + len(planned["controllers"]),
+            "done": sum(state == "done" for state in states.values()),
+            "touched_while_held": held,
+            "broken_off": broken,
+            "over_budget_s": round(_over(out, planned["most"]) / SECOND, 2),
+            "steps_doubled": sum(not _follows(log) for log in logs.values()),
+            "stuck": {m: s for m, s in states.items() if s not in later},
+            "ended_early": len(plays) - len({facts.asks[ask].visit for ask in plays}),
+            "took_s": ends["took"],
+        }
+    }
 
 
 def _held(facts, out):
@@ -103,8 +116,11 @@
 
 def disturbances(facts):
     """[(from, until, names or None for all)]: cuts, loss, stops and controllers that were down."""
-    out = [(n["t"], n["t"] + n["lasts"], set(n["names"]) or None)
-           for n in facts.runner if n["what"] == "disturbed"]
+    out = [
+        (n["t"], n["t"] + n["lasts"], set(n["names"]) or None)
+        for n in facts.runner
+        if n["what"] == "disturbed"
+    ]
     names = {address: name for name, address in facts.names.items()}
     for address, downs in facts.controller_downs.items():
         out += [(down, up or down + 10**15, {names.get(address)}) for down, up in downs]
@@ -112,8 +128,10 @@
 
 
 def excused(facts, at, by, of):
-    return any(since <= at <= until + AFTER and (who is None or who & {by, of})
-               for since, until, who in disturbances(facts))
+    return any(
+        since <= at <= until + AFTER and (who is None or who & {by, of})
+        for since, until, who in disturbances(facts)
+    )
 
 
 def without_leader(facts):
@@ -121,7 +139,10 @@
     looks = [n for n in facts.runner if n["what"] == "looked"]
     if told is None or not looks:
         return None
-    led = {(n["at"] - told["begin"]) // SECOND for n in looks
-           if n["role"] == "leader" and n["age_s"] is not None and n["age_s"] < LATELY}
+    led = {
+        (n["at"] - told["begin"]) // SECOND
+        for n in looks
+        if n["role"] == "leader" and n["age_s"] is not None and n["age_s"] < LATELY
+    }
     day = {(n["at"] - told["begin"]) // SECOND for n in looks if n["at"] >= told["begin"]}
     return len(day - led)
--- a/terndrift/audit/judge.py
+++ b/terndrift/audit/judge.py
@@ -100,7 +100,7 @@
             began = facts.started_before(streamer, at)
             if not began or at - began >= rules["cold_for"]:
                 continue
-            window = [x for x in times[:n + 1] if x > max(began, at - rules["fall_window"])]
+            window = [x for x in times[: n + 1] if x > max(began, at - rules["fall_window"])]
             warm = rules["cold_share"] + (1 - rules["cold_share"]) * (at - began) / rules["cold_for"]
             allowed = rules["fall_multiple"] * room / rules["cold_for"] * warm * rules["fall_window"] + 2
             if len(window) > allowed:
@@ -179,12 +179,21 @@
                 yield f"{name}: {made} tries beyond the first where {allowed:.1f} are allowed"
 
 
-RULES = {"answers": answers, "set_ups": set_ups, "drains": drains, "cold": cold, "terms": terms,
-         "budget": budget}
+RULES = {
+    "answers": answers,
+    "set_ups": set_ups,
+    "drains": drains,
+    "cold": cold,
+    "terms": terms,
+    "budget": budget,
+}
 
 
 def report(facts):
     breaks = {name: list(rule(facts)) for name, rule in RULES.items()}
     bugs = [n["fault"] for n in facts.streamers if n["what"] == "bug"]
-    return {"bugs": bugs[:20], "rules": {name: len(found) for name, found in breaks.items()},
-            "breaks": {name: found[:20] for name, found in breaks.items() if found}}
+    return {
+        "bugs": bugs[:20],
+        "rules": {name: len(found) for name, found in breaks.items()},
+        "breaks": {name: found[:20] for name, found in breaks.items() if found},
+    }
--- a/terndrift/audit/overload.py
+++ b/terndrift/audit/overload.py
@@ -47,15 +47,19 @@
     for n in facts.streamers:
         if n["what"] == "connected":
             connected[n["streamer"]].append(n["t"])
-    return {"overload": {
-        "turned_away": refused, "out_of_order": round(wrong / refused, 4) if refused else 0.0,
-        "late_work_share": round(late / plays, 4) if plays else None,
-        "low_s": sum(2 * row.in_target < row.wanted() for row in day[first:] if row.wanted() >= 4),
-        "in_surge": round(sum(r.in_target for r in day[first:last]) / max(1, last - first), 1),
-        "extra_tries_peak_s": peak(extra) if extra else 0,
-        "tries_peak_s": max(row.tries for row in day),
-        "connections_peak_a_streamer_s": max(map(peak, connected.values()), default=0),
-        "full_service_s": None if full is None else max(0, full - last)}}
+    return {
+        "overload": {
+            "turned_away": refused,
+            "out_of_order": round(wrong / refused, 4) if refused else 0.0,
+            "late_work_share": round(late / plays, 4) if plays else None,
+            "low_s": sum(2 * row.in_target < row.wanted() for row in day[first:] if row.wanted() >= 4),
+            "in_surge": round(sum(r.in_target for r in day[first:last]) / max(1, last - first), 1),
+            "extra_tries_peak_s": peak(extra) if extra else 0,
+            "tries_peak_s": max(row.tries for row in day),
+            "connections_peak_a_streamer_s": max(map(peak, connected.values()), default=0),
+            "full_service_s": None if full is None else max(0, full - last),
+        }
+    }
 
 
 def _pairs(order, taken, away):
--- a/terndrift/audit/placements.py
+++ b/terndrift/audit/placements.py
@@ -33,8 +33,9 @@
     since the last change that half of the controllers had acknowledged by then allows them."""
     acked, made = defaultdict(set), defaultdict(dict)  # number -> who; title -> number -> (at, holders)
     names = {address: name for name, address in facts.names.items()}
-    ups = {names.get(address): [up for _, up in downs if up] for address, downs in
-           facts.controller_downs.items()}
+    ups = {
+        names.get(address): [up for _, up in downs if up] for address, downs in facts.controller_downs.items()
+    }
     notes = sorted((n for n in facts.runner if n["what"] in ("swap", "swapped")), key=lambda n: n["t"])
     at_half = {}  # number -> when half had it
     for n in notes:
@@ -61,5 +62,10 @@
     found = list(wrong(facts))
     swaps = sum(n["what"] == "swapped" and n["code"] == 200 for n in facts.runner)
     lost = sum(n["what"] == "swapped" and n["code"] not in (200, 422) for n in facts.runner)
-    return {"swaps": swaps, "swaps_not_made": lost, "wrong_placements": len(found), "misplaced": found[:20],
-            "stale": list(stale(facts))[:20]}
+    return {
+        "swaps": swaps,
+        "swaps_not_made": lost,
+        "wrong_placements": len(found),
+        "misplaced": found[:20],
+        "stale": list(stale(facts))[:20],
+    }
--- a/terndrift/audit/recovery.py
+++ b/terndrift/audit/recovery.py
@@ -21,8 +21,10 @@
 
 def outages(facts):
     """[(from, until, went down)], in ns; one that has not ended is left out."""
-    steps = sorted([(down, 1) for downs in facts.controller_downs.values() for down, up in downs if up]
-                   + [(up, -1) for downs in facts.controller_downs.values() for _, up in downs if up])
+    steps = sorted(
+        [(down, 1) for downs in facts.controller_downs.values() for down, up in downs if up]
+        + [(up, -1) for downs in facts.controller_downs.values() for _, up in downs if up]
+    )
     out, down, began, most = [], 0, 0, 0
     for at, change in steps:
         down += change
@@ -36,7 +38,7 @@
 
 def service(day, since, until):
     """(share answered in target, mean rung) of some seconds; None where nothing was asked for, or plays."""
-    some = day[max(0, since):until]
+    some = day[max(0, since) : until]
     wanted, rungs = sum(row.wanted() for row in some), [r for row in some for r in row.rungs]
     share = sum(row.in_target for row in some) / wanted if wanted else None
     return share, fmean(rungs) if rungs else None
@@ -69,17 +71,26 @@
     """What it was made of: the slowest start of a process, viewers that met a dead controller, and how long
     after the end fewer than four fifths of the viewers of before asked."""
     starts = {n["name"]: n["t"] for n in facts.runner if n["what"] == "controller starts" and n["t"] <= ended}
-    took = [up - starts[name] for name, address in facts.names.items() if name in starts
-            for down, up in facts.controller_downs[address] if began <= down <= ended and up > starts[name]]
+    took = [
+        up - starts[name]
+        for name, address in facts.names.items()
+        if name in starts
+        for down, up in facts.controller_downs[address]
+        if began <= down <= ended and up > starts[name]
+    ]
     met = sum(not a.answers and began <= a.at <= ended for a in facts.asks.values())
     first, after = (began - begin) // SECOND, -(-(ended - begin) // SECOND)
-    usual = fmean([row.asked for row in day[max(0, first - BEFORE):first]] or [0])
+    usual = fmean([row.asked for row in day[max(0, first - BEFORE) : first]] or [0])
     fewer = 0
     while after + fewer < len(day) and day[after + fewer].asked < 0.8 * usual:
         fewer += 1
-    refused = sum(row.refused for row in day[after:after + AFTER])
-    return {"slowest_start_s": round(max(took, default=0) / SECOND, 2), "met_a_dead_one": met,
-            "fewer_viewers_s": fewer, "refused_after": refused}
+    refused = sum(row.refused for row in day[after : after + AFTER])
+    return {
+        "slowest_start_s": round(max(took, default=0) / SECOND, 2),
+        "met_a_dead_one": met,
+        "fewer_viewers_s": fewer,
+        "refused_after": refused,
+    }
 
 
 def dip(day, began, ended):
@@ -101,8 +112,10 @@
     for n in facts.streamers:
         if n["what"] == "connected" and ended <= n["t"] <= ended + AFTER * SECOND:
             connections[n["streamer"]].append(n["t"])
-    return {"peak_set_ups_a_streamer_s": max(map(peak, tries.values()), default=0),
-            "peak_connections_s": max(map(peak, connections.values()), default=0)}
+    return {
+        "peak_set_ups_a_streamer_s": max(map(peak, tries.values()), default=0),
+        "peak_connections_s": max(map(peak, connections.values()), default=0),
+    }
 
 
 def report(facts, seconds):
@@ -118,10 +131,24 @@
             continue
         full = full_at(day, first, last)
         before = service(day, first - BEFORE, first)
-        out.append({"down": most, "outage_s": round((ended - began) / SECOND, 2),
-                    "full_service_s": full and round(max(0, full - (ended - begin) / SECOND), 2),
-                    "before": [x and round(x, 3) for x in before],
-                    "dip": dip(day, first, last), **peaks(facts, ended),
-                    **parts(facts, day, begin, began, ended)})
-    return {"recovery": {"outages": out, "stale_set_ups": sum(1 for _ in drains(facts))
-                         + sum(1 for _ in placements.stale(facts))}} if out else {}
+        out.append(
+            {
+                "down": most,
+                "outage_s": round((ended - began) / SECOND, 2),
+                "full_service_s": full and round(max(0, full - (ended - begin) / SECOND), 2),
+                "before": [x and round(x, 3) for x in before],
+                "dip": dip(day, first, last),
+                **peaks(facts, ended),
+                **parts(facts, day, begin, began, ended),
+            }
+        )
+    return (
+        {
+            "recovery": {
+                "outages": out,
+                "stale_set_ups": sum(1 for _ in drains(facts)) + sum(1 for _ in placements.stale(facts)),
+            }
+        }
+        if out
+        else {}
+    )
--- a/terndrift/audit/seconds.py
+++ b/terndrift/audit/seconds.py
@@ -169,14 +169,18 @@
     names = list(facts.names)
     spreads = [pstdev(kb) / fmean(kb) for row in day if any(kb := [row.kb.get(n, 0.0) for n in names])]
     wanted = sum(row.wanted() for row in day)
-    return {"swing": {
-        "low_share": round(sum(row.low() for row in day) / len(day), 4), "longest_low_s": longest,
-        "up_a_minute": round(ups / minutes, 2) if minutes else 0.0,
-        "down_a_minute": round(downs / minutes, 2) if minutes else 0.0,
-        "spread": round(fmean(spreads), 3) if spreads else 0.0,
-        "no_seat": sum(row.seatless for row in day),
-        "refused_share": round(sum(row.refused for row in day) / wanted, 4) if wanted else 0.0,
-        "in_target_share": round(sum(row.in_target for row in day) / wanted, 4) if wanted else 0.0}}
+    return {
+        "swing": {
+            "low_share": round(sum(row.low() for row in day) / len(day), 4),
+            "longest_low_s": longest,
+            "up_a_minute": round(ups / minutes, 2) if minutes else 0.0,
+            "down_a_minute": round(downs / minutes, 2) if minutes else 0.0,
+            "spread": round(fmean(spreads), 3) if spreads else 0.0,
+            "no_seat": sum(row.seatless for row in day),
+            "refused_share": round(sum(row.refused for row in day) / wanted, 4) if wanted else 0.0,
+            "in_target_share": round(sum(row.in_target for row in day) / wanted, 4) if wanted else 0.0,
+        }
+    }
 
 
 def changes(facts):
--- a/terndrift/audit/told_off.py
+++ b/terndrift/audit/told_off.py
@@ -15,9 +15,11 @@
             late += t.at - off > SECOND
             latest = max(latest, t.at - off)
     notes = facts.runner
-    return {"list_changes": sum(n["what"] == "list change" for n in notes),
-            "stream_faults": sum(n["what"] == "stream fault" for n in notes),
-            "told_off": sum(s != "ready" for n in notes if n["what"] == "told"
-                            for s in n["standings"].values()),
-            "updates_refused": sum(n["what"] == "refusals" and n["count"] for n in notes),
-            "sent_after_removal_1s": late, "latest_after_removal_ms": round(latest / 1e6, 1)}
+    return {
+        "list_changes": sum(n["what"] == "list change" for n in notes),
+        "stream_faults": sum(n["what"] == "stream fault" for n in notes),
+        "told_off": sum(s != "ready" for n in notes if n["what"] == "told" for s in n["standings"].values()),
+        "updates_refused": sum(n["what"] == "refusals" and n["count"] for n in notes),
+        "sent_after_removal_1s": late,
+        "latest_after_removal_ms": round(latest / 1e6, 1),
+    }
--- a/terndrift/catalogue/admin.py
+++ b/terndrift/catalogue/admin.py
@@ -1,19 +1,19 @@
 """The catalogue over HTTP, on a listener of its own; JSON, conditional by ETag and If-Match (RFC 9110, 13).
 
-    GET  /catalogue                     version, counts, holders that no list names
-    GET  /catalogue/titles/<name>       one title                       (ETag: its version)
-    PUT  /catalogue/titles/<name>       put it                          (If-Match: the catalogue's version)
-    DELETE /catalogue/titles/<name>     drop it
-    POST /catalogue/changes             {id, base, put, drop, whole}
-    POST /catalogue/rollback            {id, version}
-    GET  /catalogue/history             the last changes
-    GET  /catalogue/diff?from=3&to=5
-    GET  /listing                       the list in force, its sources, alarms and limits; loads heard
-    POST /listing/confirm               {source, addresses}: what it dropped in panic is gone; null: all
-    GET  /fleet/members, /fleet/record, /fleet/work   who is there, as seen here; what is agreed; planned work
-    GET  /fleet/recovery, /fleet/load   how far its return is; what all were asked for and gave, what is shed
-    POST /fleet/propose                 {id, value, wait}: an entry of the record
-    POST /fleet/restart                 {state}: the record begins anew, with that state or (null) empty
+GET  /catalogue                     version, counts, holders that no list names
+GET  /catalogue/titles/<name>       one title                       (ETag: its version)
+PUT  /catalogue/titles/<name>       put it                          (If-Match: the catalogue's version)
+DELETE /catalogue/titles/<name>     drop it
+POST /catalogue/changes             {id, base, put, drop, whole}
+POST /catalogue/rollback            {id, version}
+GET  /catalogue/history             the last changes
+GET  /catalogue/diff?from=3&to=5
+GET  /listing                       the list in force, its sources, alarms and limits; loads heard
+POST /listing/confirm               {source, addresses}: what it dropped in panic is gone; null: all
+GET  /fleet/members, /fleet/record, /fleet/work   who is there, as seen here; what is agreed; planned work
+GET  /fleet/recovery, /fleet/load   how far its return is; what all were asked for and gave, what is shed
+POST /fleet/propose                 {id, value, wait}: an entry of the record
+POST /fleet/restart                 {state}: the record begins anew, with that state or (null) empty
 """
 
 import json
@@ -54,8 +54,9 @@
             found = [{"path": path, "what": what} for path, what in wrong.found]
             await exchange.reply(422, data={"error": "not sound", "faults": found})
         except Conflict as lost:
-            await exchange.reply(409, {"ETag": f'"{lost.version}"'},
-                                 data={"error": str(lost), "version": lost.version})
+            await exchange.reply(
+                409, {"ETag": f'"{lost.version}"'}, data={"error": str(lost), "version": lost.version}
+            )
         except (OSError, Broken) as wrong:
             await exchange.reply(503, data={"error": f"not kept: {wrong}"})
 
@@ -127,8 +128,9 @@
         addresses = value.get("addresses") if isinstance(value, dict) else None
         if named not in self.listing.names:
             raise Bad(422, f"source: found {named!r}, wanted one of {', '.join(self.listing.names)}")
-        if addresses is not None and not (isinstance(addresses, list)
-                                          and all(isinstance(a, str) for a in addresses)):
+        if addresses is not None and not (
+            isinstance(addresses, list) and all(isinstance(a, str) for a in addresses)
+        ):
             raise Bad(422, "addresses: a list of HOST:PORT is wanted")
         return await exchange.reply(200, data={"gone": self.listing.confirm(named, addresses)})
 
@@ -148,8 +150,11 @@
     async def _about(self, exchange):
         v = self.catalogue.versions
         unlisted = self.catalogue.unlisted(self.listed())
-        await exchange.reply(200, {"ETag": f'"{v.visible}"'}, data={
-            "version": v.visible, "titles": len(v.names()), "unlisted_holders": unlisted})
+        await exchange.reply(
+            200,
+            {"ETag": f'"{v.visible}"'},
+            data={"version": v.visible, "titles": len(v.names()), "unlisted_holders": unlisted},
+        )
 
     async def _title(self, exchange, method, name):
         v = self.catalogue.versions
@@ -159,8 +164,11 @@
                 raise Bad(404, f"no title '{name}'")
             missing = [i for i in title.holders if i not in self.listed()]
             made = next(made for made, value in reversed(v.titles[name]) if made <= v.visible)
-            return await exchange.reply(200, {"ETag": f'"{made}"'}, data={
-                **builtins(title), "version": made, "unlisted_holders": missing})
+            return await exchange.reply(
+                200,
+                {"ETag": f'"{made}"'},
+                data={**builtins(title), "version": made, "unlisted_holders": missing},
+            )
         id = exchange.headers.get("Idempotency-Key") or f"admin-{secrets.token_hex(8)}"
         change = {"id": id, "base": self._base(exchange)}
         if method == "PUT":
@@ -183,9 +191,18 @@
         await exchange.reply(200, {"ETag": f'"{version}"'}, data={"version": version, "new": fresh})
 
     async def _history(self, exchange):
-        past = [{"version": p.version, "id": p.id, "by": p.by, "at": p.at, "titles": p.names,
-                 "can_go_back": p.before is not None} for p in self.catalogue.versions.past
-                if p.version <= self.catalogue.versions.visible]
+        past = [
+            {
+                "version": p.version,
+                "id": p.id,
+                "by": p.by,
+                "at": p.at,
+                "titles": p.names,
+                "can_go_back": p.before is not None,
+            }
+            for p in self.catalogue.versions.past
+            if p.version <= self.catalogue.versions.visible
+        ]
         await exchange.reply(200, data={"version": self.catalogue.versions.visible, "changes": past})
 
     async def _diff(self, exchange):
@@ -195,5 +212,10 @@
         except (KeyError, ValueError):
             raise Bad(400, "from=VERSION&to=VERSION is wanted") from None
         found = self.catalogue.versions.diff(old, new)
-        await exchange.reply(200, data={name: {"was": was and builtins(was), "is": now and builtins(now)}
-                                        for name, (was, now) in found.items()})
+        await exchange.reply(
+            200,
+            data={
+                name: {"was": was and builtins(was), "is": now and builtins(now)}
+                for name, (was, now) in found.items()
+            },
+        )
--- a/terndrift/catalogue/service.py
+++ b/terndrift/catalogue/service.py
@@ -31,8 +31,11 @@
                 v.newest = v.visible = item["version"]
                 v.ids.update((id, (version, mark)) for id, version, mark in item["ids"])
                 for version, id, by, at, names, before in item["past"]:
-                    kept = None if before is None else {
-                        n: t and msgspec.convert(t, Title) for n, t in before.items()}
+                    kept = (
+                        None
+                        if before is None
+                        else {n: t and msgspec.convert(t, Title) for n, t in before.items()}
+                    )
                     v.past.append(Past(version, id, by, at, names, kept))
             else:
                 name, made, value = item
@@ -42,8 +45,15 @@
         """A change that was made: it is not checked again, as it may be older than the plans of now."""
         v = self.versions
         put = {name: msgspec.convert(t, Title) for name, t in record["put"].items()}
-        change = Change(record["id"], record["by"], record["at"], None, put, tuple(record["drop"]),
-                        knows=tuple(record.get("knows", ())))
+        change = Change(
+            record["id"],
+            record["by"],
+            record["at"],
+            None,
+            put,
+            tuple(record["drop"]),
+            knows=tuple(record.get("knows", ())),
+        )
         version = v._make(change, change.drop, record["mark"])
         if version != record["version"]:
             raise ValueError(f"version {record['version']} where {version} is next")
@@ -53,9 +63,18 @@
         """The visible version, whole, whatever is changed while it is read."""
         v = self.versions
         version = v.pin()
-        past = [(p.version, p.id, p.by, p.at, p.names,
-                 None if p.before is None else {n: t and builtins(t) for n, t in p.before.items()})
-                for p in v.past if p.version <= version]
+        past = [
+            (
+                p.version,
+                p.id,
+                p.by,
+                p.at,
+                p.names,
+                None if p.before is None else {n: t and builtins(t) for n, t in p.before.items()},
+            )
+            for p in v.past
+            if p.version <= version
+        ]
         ids = [(id, made, mark) for id, (made, mark) in v.ids.items() if made <= version]
         return self._items(version, past, ids)
 
@@ -88,9 +107,15 @@
         if self.committer is not None:
             past = self.versions.past[-1]
             dropped = [n for n in self.versions.staged[version] if n not in change.put]
-            record = {"id": change.id, "by": change.by, "at": change.at, "version": past.version,
-                      "put": {name: builtins(t) for name, t in change.put.items()},
-                      "drop": dropped, "mark": fingerprint(change)}
+            record = {
+                "id": change.id,
+                "by": change.by,
+                "at": change.at,
+                "version": past.version,
+                "put": {name: builtins(t) for name, t in change.put.items()},
+                "drop": dropped,
+                "mark": fingerprint(change),
+            }
             if change.knows:
                 record["knows"] = list(change.knows)
             try:
--- a/terndrift/catalogue/versions.py
+++ b/terndrift/catalogue/versions.py
@@ -155,8 +155,9 @@
         if base > self.newest or base < 0:
             raise Conflict(f"made against version {base} where {self.newest} is the newest", self.newest)
         if change.whole and base != self.newest:
-            raise Conflict(f"a whole catalogue made against version {base}, {self.newest} is the newest",
-                           self.newest)
+            raise Conflict(
+                f"a whole catalogue made against version {base}, {self.newest} is the newest", self.newest
+            )
         lost = [n for n in names if n in self.titles and self.titles[n][-1][0] > base]
         if lost:
             some = ", ".join(sorted(lost)[:5])
@@ -177,8 +178,16 @@
         self.ids[change.id] = (version, mark)
         while len(self.ids) > IDS:
             self.ids.popitem(last=False)
-        self.past.append(Past(version, change.id, change.by, change.at, len(change.put) + len(drop),
-                              before if keep else None))
+        self.past.append(
+            Past(
+                version,
+                change.id,
+                change.by,
+                change.at,
+                len(change.put) + len(drop),
+                before if keep else None,
+            )
+        )
         return version
 
     def publish(self, version):
--- a/terndrift/cli/fleet.py
+++ b/terndrift/cli/fleet.py
@@ -34,8 +34,10 @@
 
 
 def shown_members(value):
-    click.echo(f"{value['name']} of {value['fleet']}, local health {value['health']}; dropped "
-               + (", ".join(f"{k}: {v}" for k, v in sorted(value["dropped"].items())) or "nothing"))
+    click.echo(
+        f"{value['name']} of {value['fleet']}, local health {value['health']}; dropped "
+        + (", ".join(f"{k}: {v}" for k, v in sorted(value["dropped"].items())) or "nothing")
+    )
     table = [("member", "standing", "for s", "run", "incarnation")]
     for name, m in sorted(value["members"].items()):
         since = "" if m["for_s"] is None else m["for_s"]
@@ -44,13 +46,17 @@
 
 
 def shown_record(value):
-    click.echo(f"{value['name']}: {value['role']}, epoch {value['epoch'][0]} ({value['epoch'][1]}), "
-               f"{value['agreed']} agreed, known to be all {_ago(value['age_s'])}"
-               + (f", CUT OFF for {value['cut_off_s']} s" if value["cut_off_s"] else ""))
+    click.echo(
+        f"{value['name']}: {value['role']}, epoch {value['epoch'][0]} ({value['epoch'][1]}), "
+        f"{value['agreed']} agreed, known to be all {_ago(value['age_s'])}"
+        + (f", CUT OFF for {value['cut_off_s']} s" if value["cut_off_s"] else "")
+    )
     if "term" in value:
         doubts = ", neither votes nor confirms yet" if value["doubts"] else ""
-        click.echo(f"voter {value['identity']}: term {value['term']}, leader "
-                   f"{value['leader'] or 'not known'}, log up to {value['log']}{doubts}")
+        click.echo(
+            f"voter {value['identity']}: term {value['term']}, leader "
+            f"{value['leader'] or 'not known'}, log up to {value['log']}{doubts}"
+        )
     far = value.get("followers", {})
     voters = sorted(value["voters"].items())
     rows([("voter", "identity", "confirmed")] + [(n, i, far.get(n, "")) for n, i in voters])
@@ -91,9 +97,13 @@
     waits = f", waits for {value['waits_for']}" if value["waits_for"] else ""
     click.echo(f"{value['name']}: {value['stage']} for {value['since_s']} s{waits}; up for {value['up_s']} s")
     if value["past"]:
-        rows([("stage", "took s", "ended by")] + [
-            (p["stage"], p["took_s"], "its limit" if p["by_limit"] else "what it waited for")
-            for p in value["past"]])
+        rows(
+            [("stage", "took s", "ended by")]
+            + [
+                (p["stage"], p["took_s"], "its limit" if p["by_limit"] else "what it waited for")
+                for p in value["past"]
+            ]
+        )
     return None
 
 
@@ -105,8 +115,10 @@
     value = got(admin, "/fleet/load")
     if plain or "error" in value:
         return shown(200, value)
-    click.echo(f"{value['name']}: of {value['members']} controllers, a second; {value['extra_tries']:.1f} "
-               f"tries beyond the first, {value['connections']:.1f} connections, {value['open']} open")
+    click.echo(
+        f"{value['name']}: of {value['members']} controllers, a second; {value['extra_tries']:.1f} "
+        f"tries beyond the first, {value['connections']:.1f} connections, {value['open']} open"
+    )
     kinds = ("wanted", "shed", "answered", "in_target", "late", "turned_away")
     table = [("plan", *kinds)]
     for name in value["order"]:
@@ -119,8 +131,10 @@
         tried = "tried here next" if row["tried_here"] else "others try it"
         click.echo(f"{one} fails at {row['by']}: {tried}")
     if value["strained"] or value["strain"]["why"]:
-        click.echo(f"strained: {', '.join(value['strained']) or 'none yet told'}; here "
-                   f"{value['strain']['standing']} {value['strain']['why']}".rstrip())
+        click.echo(
+            f"strained: {', '.join(value['strained']) or 'none yet told'}; here "
+            f"{value['strain']['standing']} {value['strain']['why']}".rstrip()
+        )
     for key, part in value["crowds"].items():
         click.echo(f"crowd {key}: {part:.0%} of it turned away")
     return shown_shed(value)
@@ -128,8 +142,10 @@
 
 def shown_shed(value):
     parts = ", ".join(f"{part:.0%} of {name}" for name, part in value["sheds"].items()) or "nobody"
-    click.echo(f"level {value['level']} by {value['decided_by'] or 'nobody'}, {value['age_s']} s ago; shed: "
-               f"{parts}" + (f"; {value['why']}" if value["why"] else ""))
+    click.echo(
+        f"level {value['level']} by {value['decided_by'] or 'nobody'}, {value['age_s']} s ago; shed: "
+        f"{parts}" + (f"; {value['why']}" if value["why"] else "")
+    )
     if held := value["held"]:
         left = held["until"] / 1000 - time.time()
         more = f"{left:.0f} s more" if left > 0 else "over"
@@ -222,10 +238,20 @@
 @fleet.command()
 @address
 @click.option("--all", "every", is_flag=True, help="All controllers.")
-@click.option("--at-once", type=click.IntRange(1), default=1, show_default=True,
-              help="As many at most; of those that keep the record never two.")
-@click.option("--needs", type=click.FloatRange(1, 86400), default=60.0, show_default=True,
-              help="s in which each is expected back.")
+@click.option(
+    "--at-once",
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help="As many at most; of those that keep the record never two.",
+)
+@click.option(
+    "--needs",
+    type=click.FloatRange(1, 86400),
+    default=60.0,
+    show_default=True,
+    help="s in which each is expected back.",
+)
 @click.option("--why", default="restart", show_default=True)
 @click.argument("names", nargs=-1)
 def restart(admin, every, at_once, needs, why, names):
@@ -235,9 +261,21 @@
 
     if every == bool(names):
         raise click.UsageError("one of --all and NAMES is wanted")
-    value = {"why": why, "asked_by": work.who(), "urgency": 0, "needs": int(needs * 1e9), "drain": int(60e9),
-             "warm": int(1e9), "most": 1, "most_rack": 1, "most_zone": 0, "most_controllers": at_once,
-             "ready_share": 0.0, "holders": 0, "restart": True}
+    value = {
+        "why": why,
+        "asked_by": work.who(),
+        "urgency": 0,
+        "needs": int(needs * 1e9),
+        "drain": int(60e9),
+        "warm": int(1e9),
+        "most": 1,
+        "most_rack": 1,
+        "most_zone": 0,
+        "most_controllers": at_once,
+        "ready_share": 0.0,
+        "holders": 0,
+        "restart": True,
+    }
     machines = ["controllers"] if every else [f"{work.CONTROLLER}{name}" for name in names]
     work.put_in(admin, f"restart-{time.time_ns() // 10**9}", machines, (), lambda state: value)
 
@@ -267,13 +305,19 @@
         state = copied(durable.base)
         for n, entry in enumerate(durable.entries, durable.base["last"] + 1):
             applied(state, n, entry)
-        click.echo(f"{os.path.basename(folder)}: epoch {durable.epoch[0]}, {state['last']} entries; the last "
-                   f"{len(durable.entries)} may never have been agreed, and count from now on", err=True)
+        click.echo(
+            f"{os.path.basename(folder)}: epoch {durable.epoch[0]}, {state['last']} entries; the last "
+            f"{len(durable.entries)} may never have been agreed, and count from now on",
+            err=True,
+        )
     if now["epoch"][0] or now["agreed"]:
         gone = sorted(set(now["ids"]) - set((state or {}).get("ids", ())))
         named = f" ({', '.join(gone[:5])} ...)" if gone else ""
-        click.echo(f"given up: epoch {now['epoch'][0]} with {now['agreed']} agreed, of which {len(gone)} "
-                   f"proposals are not in the new one{named}", err=True)
+        click.echo(
+            f"given up: epoch {now['epoch'][0]} with {now['agreed']} agreed, of which {len(gone)} "
+            f"proposals are not in the new one{named}",
+            err=True,
+        )
     if not yes:
         click.confirm("Begin the record anew?", abort=True)
     said = state and {"map": state["map"], "ids": state["ids"]}
--- a/terndrift/cli/main.py
+++ b/terndrift/cli/main.py
@@ -14,8 +14,15 @@
 
 # Commands that are imported once they are asked for: a controller that starts needs none of them, and when
 # many start at once on a machine what each imports is most of what they wait for.
-LATER = {"catalogue": "stored", "store": "stored", "xds": "xds", "sip": "sip", "call": "sip",
-         "fleet": "fleet", "work": "work"}
+LATER = {
+    "catalogue": "stored",
+    "store": "stored",
+    "xds": "xds",
+    "sip": "sip",
+    "call": "sip",
+    "fleet": "fleet",
+    "work": "work",
+}
 
 
 class Group(click.Group):
@@ -133,8 +140,14 @@
         def note(self, what, **facts):
             click.echo(json.dumps({"what": what, **facts}))
 
-    player = Player(lambda: f"{parts.hostname}:{parts.port}", path[2], Printed(), seconds=seconds, top=top,
-                    abandon=abandon)
+    player = Player(
+        lambda: f"{parts.hostname}:{parts.port}",
+        path[2],
+        Printed(),
+        seconds=seconds,
+        top=top,
+        abandon=abandon,
+    )
     seen = asyncio.run(player.watch())
     if not seen:
         sys.exit(1)
@@ -223,8 +236,9 @@
     headers, query = {}, None
     for line in sys.stdin.read(1 << 20).splitlines():
         name, colon, value = line.partition(":")
-        known = next((h for h in (*cmcd.HEADERS, cmsd.STATIC, cmsd.DYNAMIC)
-                      if h.lower() == name.strip().lower()), None)
+        known = next(
+            (h for h in (*cmcd.HEADERS, cmsd.STATIC, cmsd.DYNAMIC) if h.lower() == name.strip().lower()), None
+        )
         if colon and known:
             headers[known] = f"{headers[known]},{value.strip()}" if known in headers else value.strip()
         elif "CMCD=" in line:
@@ -232,10 +246,13 @@
         elif line.strip():
             headers.setdefault(cmcd.REQUEST, line.strip())  # the bare value of a header, keys anywhere
     request, answer = cmcd.parse(headers, query), cmsd.parse(headers)
-    out = {"request": request.values,
-           "custom": {k: v for k, (_, v) in request.custom.items()} | answer.custom,
-           "static": answer.static, "dynamic": [{"server": n, **p} for n, p in answer.dynamic],
-           "ignored": [{"key": i.key, "why": i.why} for i in [*request.ignored, *answer.ignored]]}
+    out = {
+        "request": request.values,
+        "custom": {k: v for k, (_, v) in request.custom.items()} | answer.custom,
+        "static": answer.static,
+        "dynamic": [{"server": n, **p} for n, p in answer.dynamic],
+        "ignored": [{"key": i.key, "why": i.why} for i in [*request.ignored, *answer.ignored]],
+    }
     click.echo(json.dumps(out, indent=2))
 
 
--- a/terndrift/cli/sip.py
+++ b/terndrift/cli/sip.py
@@ -38,8 +38,15 @@
     if m.body and (m.get("content-type") or "").startswith("application/sdp"):
         try:
             body = sdp.read(m.body)
-            out["media"] = [{"kind": x.kind, "port": x.port, "codecs": list(x.codecs().values()),
-                             "direction": x.direction()} for x in body.media]
+            out["media"] = [
+                {
+                    "kind": x.kind,
+                    "port": x.port,
+                    "codecs": list(x.codecs().values()),
+                    "direction": x.direction(),
+                }
+                for x in body.media
+            ]
             out["bits"] = body.bits()
         except sdp.Unusable as wrong:
             out["media"] = f"not usable: {wrong}"
@@ -67,9 +74,18 @@
 
     async def run():
         socket = Socket()
-        caller = await socket.open(lambda address: Caller(
-            address, Printed(), f"{to.host}:{to.port}", to.user, "terndrift", bits, int(abandon * SECOND),
-            int(seconds * SECOND)))
+        caller = await socket.open(
+            lambda address: Caller(
+                address,
+                Printed(),
+                f"{to.host}:{to.port}",
+                to.user,
+                "terndrift",
+                bits,
+                int(abandon * SECOND),
+                int(seconds * SECOND),
+            )
+        )
         caller.call(time.monotonic_ns())
         socket.flush()
         state = None
--- a/terndrift/cli/stored.py
+++ b/terndrift/cli/stored.py
@@ -35,6 +35,7 @@
 
 def ask(address, method, path, value=None, match=None):
     """(code, JSON) from a controller's admin listener; ends the command if there is none."""
+
     async def once():
         call, out = Call(Pool(), address), bytearray()
         body = b"" if value is None else msgspec.json.encode(value)
@@ -42,8 +43,7 @@
         if match is not None:
             headers["If-Match"] = f'"{match}"'
         await call.open(3.0)
-        code = await asyncio.wait_for(
-            call.run(method, path, headers, on_chunk=out.extend, body=body), 60)
+        code = await asyncio.wait_for(call.run(method, path, headers, on_chunk=out.extend, body=body), 60)
         call.close()
         return code, json.loads(bytes(out) or b"null")
 
@@ -70,8 +70,11 @@
                 value = msgspec.json.decode(line)
                 out[value.pop("name")] = value
             except (msgspec.DecodeError, KeyError, AttributeError, TypeError) as wrong:
-                fail(f"{path}:{n}: found {line[:60].decode(errors='replace').strip()!r}, wanted an object "
-                     f"with a name ({type(wrong).__name__})", 2)
+                fail(
+                    f"{path}:{n}: found {line[:60].decode(errors='replace').strip()!r}, wanted an object "
+                    f"with a name ({type(wrong).__name__})",
+                    2,
+                )
     return out
 
 
@@ -100,9 +103,10 @@
         raise click.UsageError(f"a whole catalogue of more than {PART} titles: use --front")
     mark = f"load-{time.time_ns():x}"
     for start in range(0, len(names), PART):
-        part = {n: put[n] for n in names[start:start + PART]}
-        code, value = ask(admin, "POST", "/catalogue/changes", {"id": f"{mark}-{start}", "put": part,
-                                                                 "whole": whole})
+        part = {n: put[n] for n in names[start : start + PART]}
+        code, value = ask(
+            admin, "POST", "/catalogue/changes", {"id": f"{mark}-{start}", "put": part, "whole": whole}
+        )
         if code != 200:
             break
     shown(code, value)
@@ -301,9 +305,17 @@
             for n, row in enumerate(rows):
                 where = value.get("stream") if "items" in value else row[0]
                 if stream in (None, where):
-                    click.echo(json.dumps({"file": name, "offset": offset, "stream": where,
-                                           "number": value.get("first", 0) + n if "first" in value else None,
-                                           "value": row if "items" in value else row[1]}))
+                    click.echo(
+                        json.dumps(
+                            {
+                                "file": name,
+                                "offset": offset,
+                                "stream": where,
+                                "number": value.get("first", 0) + n if "first" in value else None,
+                                "value": row if "items" in value else row[1],
+                            }
+                        )
+                    )
 
 
 @store.command("compact")
--- a/terndrift/cli/timeline.py
+++ b/terndrift/cli/timeline.py
@@ -2,9 +2,18 @@
 
 from terndrift.fleet.work import State
 
-COLOURS = {State.WAITING: "#dddddd", State.TOLD: "#f0c36d", State.EMPTY: "#e69138", State.OUT: "#cc4125",
-           State.OVERDUE: "#7f0000", State.BACK: "#6fa8dc", State.WARMING: "#a4c2f4", State.DONE: "#6aa84f",
-           State.GIVEN_BACK: "#b4a7d6", State.FOUND: "#000000"}
+COLOURS = {
+    State.WAITING: "#dddddd",
+    State.TOLD: "#f0c36d",
+    State.EMPTY: "#e69138",
+    State.OUT: "#cc4125",
+    State.OVERDUE: "#7f0000",
+    State.BACK: "#6fa8dc",
+    State.WARMING: "#a4c2f4",
+    State.DONE: "#6aa84f",
+    State.GIVEN_BACK: "#b4a7d6",
+    State.FOUND: "#000000",
+}
 
 
 def drawn(spans, racks, path):
@@ -19,14 +28,25 @@
     figure, axes = pyplot.subplots(figsize=(10, 1.5 + 0.22 * len(names)))
     for n, name in enumerate(names):
         for state, since, until in spans[name]:
-            axes.barh(n, (until - since) / 1000, left=(since - begin) / 1000, height=0.8,
-                      color=COLOURS[State(state)])
+            axes.barh(
+                n,
+                (until - since) / 1000,
+                left=(since - begin) / 1000,
+                height=0.8,
+                color=COLOURS[State(state)],
+            )
     axes.set_yticks(range(len(names)), [f"{racks.get(m, '?')}  {m}" for m in names], fontsize=7)
     axes.set_xlabel("s")
     seen = {state for parts in spans.values() for state, _, _ in parts}
     states = [state for state in COLOURS if state.value in seen]
-    axes.legend([pyplot.Rectangle((0, 0), 1, 1, color=COLOURS[s]) for s in states], [s.value for s in states],
-                fontsize=7, ncols=5, loc="lower center", bbox_to_anchor=(0.5, 1.0))
+    axes.legend(
+        [pyplot.Rectangle((0, 0), 1, 1, color=COLOURS[s]) for s in states],
+        [s.value for s in states],
+        fontsize=7,
+        ncols=5,
+        loc="lower center",
+        bbox_to_anchor=(0.5, 1.0),
+    )
     figure.tight_layout()
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
--- a/terndrift/cli/work.py
+++ b/terndrift/cli/work.py
@@ -41,8 +41,9 @@
     began = time.monotonic()
     for _ in range(TRIES):
         id, value = _made(admin, make, began)
-        code, said = ask(admin, "POST", "/fleet/propose", {"id": f"{id}@{time.time_ns():x}", "value": value,
-                                                           "wait": 10.0})
+        code, said = ask(
+            admin, "POST", "/fleet/propose", {"id": f"{id}@{time.time_ns():x}", "value": value, "wait": 10.0}
+        )
         if code != 200:
             fail(f"{admin}: {said.get('error', code)}")
         if said["counted"]:
@@ -64,14 +65,28 @@
 
 def machines_of(found):
     """name -> Machine, of what the controller answered."""
-    return {name: Machine(name, m["rack"], m["zone"], m["weight"], m["ready"], m["started"],
-                          frozenset(m["titles"]), frozenset(m["labels"]), m["voter"], m["cold"])
-            for name, m in found["machines"].items()}
-
-
-BY = {"rack": lambda m, what: str(m.rack) == what and not m.controller,
-      "zone": lambda m, what: m.zone == what and not m.controller,
-      "label": lambda m, what: what in m.labels}
+    return {
+        name: Machine(
+            name,
+            m["rack"],
+            m["zone"],
+            m["weight"],
+            m["ready"],
+            m["started"],
+            frozenset(m["titles"]),
+            frozenset(m["labels"]),
+            m["voter"],
+            m["cold"],
+        )
+        for name, m in found["machines"].items()
+    }
+
+
+BY = {
+    "rack": lambda m, what: str(m.rack) == what and not m.controller,
+    "zone": lambda m, what: m.zone == what and not m.controller,
+    "label": lambda m, what: what in m.labels,
+}
 ALL = {"all": lambda m: not m.controller, "controllers": lambda m: m.controller}
 
 
@@ -94,6 +109,7 @@
 
 def put_in(admin, name, names, allow, make):
     """Adds machines to a plan, `make(state)`: a plan that could never go on is not handed over."""
+
     def made(state, found):
         machines = machines_of(found)
         value = {**make(state), "machines": expanded(names, machines)}
@@ -112,8 +128,9 @@
     click.echo(f"{name}: {wanted[-1]} machines wait")
 
 
-ALLOW = click.option("--allow", multiple=True, metavar="MACHINE",
-                     help="Leave this one out if it could never go.")
+ALLOW = click.option(
+    "--allow", multiple=True, metavar="MACHINE", help="Leave this one out if it could never go."
+)
 
 
 @work.command()
@@ -185,8 +202,11 @@
 def _plan(admin, name, change):
     def make(state, _):
         r = agreed.rev(state)
-        value = {"?": {agreed.REV: r}, agreed.REV: r + 1,
-                 f"work/plan/{name}": {**_known(state, name), **change, "by": who(), "at": wall()}}
+        value = {
+            "?": {agreed.REV: r},
+            agreed.REV: r + 1,
+            f"work/plan/{name}": {**_known(state, name), **change, "by": who(), "at": wall()},
+        }
         if change.get("withdrawn"):
             for machine, row in agreed.rows(state).items():
                 here = State(row["state"])
@@ -228,8 +248,17 @@
     out = [("machine", "plan", "state", "step", "by", "likely in s", "waits for")]
     for m, r in sorted(table.items()):
         likely = found["likely_s"].get(m)
-        out.append((m, r["plan"], r["state"], r["n"], r["by"], "" if likely is None else likely,
-                    found["why"].get(m, "")))
+        out.append(
+            (
+                m,
+                r["plan"],
+                r["state"],
+                r["n"],
+                r["by"],
+                "" if likely is None else likely,
+                found["why"].get(m, ""),
+            )
+        )
     rows(out)
     if found["left"]:
         click.echo("out before the record began anew, and not named yet: " + ", ".join(found["left"]))
@@ -249,8 +278,13 @@
         found = got(admin, "/fleet/work")
         if plain:
             state = {"map": found["map"]}
-            value = {"machines": agreed.rows(state), "plans": agreed.plans(state), "why": found["why"],
-                     "likely_s": found["likely_s"], "left": found["left"]}
+            value = {
+                "machines": agreed.rows(state),
+                "plans": agreed.plans(state),
+                "why": found["why"],
+                "likely_s": found["likely_s"],
+                "left": found["left"],
+            }
             click.echo(json.dumps(value) if watch else json.dumps(value, indent=1))
         else:
             if watch:
@@ -272,8 +306,14 @@
         found = _known(state, name)
     except Unfit as unfit:
         fail(str(unfit), 2)
-    shown(200, {"name": name, **found, "steps": {m: r["log"] for m, r in sorted(agreed.rows(state).items())
-                                                 if r["plan"] == name}})
+    shown(
+        200,
+        {
+            "name": name,
+            **found,
+            "steps": {m: r["log"] for m, r in sorted(agreed.rows(state).items()) if r["plan"] == name},
+        },
+    )
 
 
 @work.command()
@@ -284,22 +324,37 @@
     """How long each machine was in each state, by rack, and when; clocks are those of who took the steps."""
     found = got(admin, "/fleet/work")
     spans = agreed.spans({"map": found["map"]}, wall())
-    racks = {m: f"rack {row['rack']}" if not m.startswith(CONTROLLER) else "controllers"
-             for m, row in found["machines"].items()}
+    racks = {
+        m: f"rack {row['rack']}" if not m.startswith(CONTROLLER) else "controllers"
+        for m, row in found["machines"].items()
+    }
     if out:
         from terndrift.cli.timeline import drawn  # whoever wants no plot needs no matplotlib
 
         drawn(spans, racks, out)
     if plain:
-        return shown(200, {m: [{"state": s, "from": a, "until": b} for s, a, b in parts]
-                           for m, parts in sorted(spans.items())})
+        return shown(
+            200,
+            {
+                m: [{"state": s, "from": a, "until": b} for s, a, b in parts]
+                for m, parts in sorted(spans.items())
+            },
+        )
     lines = [("machine", "of", "drained s", "out s", "back s", "now")]
     for m, parts in sorted(spans.items(), key=lambda x: (racks.get(x[0], "?"), x[0])):
         took = {state: sum(b - a for s, a, b in parts if s == state) / 1000 for state, _, _ in parts}
         back = took.get(State.BACK.value, 0) + took.get(State.WARMING.value, 0)
         outside = took.get(State.OUT.value, 0) + took.get(State.OVERDUE.value, 0)
-        lines.append((m, racks.get(m, "?"), round(took.get(State.TOLD.value, 0), 1), round(outside, 1),
-                      round(back, 1), parts[-1][0]))
+        lines.append(
+            (
+                m,
+                racks.get(m, "?"),
+                round(took.get(State.TOLD.value, 0), 1),
+                round(outside, 1),
+                round(back, 1),
+                parts[-1][0],
+            )
+        )
     rows(lines)
     return None
 
--- a/terndrift/cli/xds.py
+++ b/terndrift/cli/xds.py
@@ -33,6 +33,7 @@
                 self.said.append((level, event, facts))
             if self.loud and level != "debug":
                 click.echo(json.dumps({"level": level, "event": event, **facts}, default=str), err=True)
+
         return tell
 
 
@@ -44,9 +45,19 @@
     if len(files) != 2:
         raise click.UsageError(f"'{spec}': two files are wanted, CLUSTERS.json,ENDPOINTS.json")
     form = "path" if files[0] else "rest" if spec.startswith("http://") else form
-    out = {"source": "" if files[0] else spec, "form": form, "clusters": files[0], "endpoints": files[1],
-           "refresh": SECOND, "first": 15 * SECOND, "largest": 64 << 20, "ca": "", "certificate": "",
-           "key": "", "loads": False}
+    out = {
+        "source": "" if files[0] else spec,
+        "form": form,
+        "clusters": files[0],
+        "endpoints": files[1],
+        "refresh": SECOND,
+        "first": 15 * SECOND,
+        "largest": 64 << 20,
+        "ca": "",
+        "certificate": "",
+        "key": "",
+        "loads": False,
+    }
     check(spec, out)
     return out
 
@@ -91,15 +102,26 @@
 
 def table(rows, columns):
     """Rows of plain values as aligned text."""
-    texts = [[", ".join(map(str, r[c])) if isinstance(r[c], list) else "" if r[c] is None else str(r[c])
-              for c in columns] for r in rows]
+    texts = [
+        [
+            ", ".join(map(str, r[c])) if isinstance(r[c], list) else "" if r[c] is None else str(r[c])
+            for c in columns
+        ]
+        for r in rows
+    ]
     widths = [max(map(len, column)) for column in zip(columns, *texts, strict=True)]
-    return "\n".join("  ".join(t.ljust(w) for t, w in zip(row, widths, strict=True)).rstrip()
-                     for row in [columns, *texts])
-
-
-form = click.option("--form", type=click.Choice(["delta", "sotw"]), default="delta", show_default=True,
-                    help="Of a gRPC source.")
+    return "\n".join(
+        "  ".join(t.ljust(w) for t, w in zip(row, widths, strict=True)).rstrip() for row in [columns, *texts]
+    )
+
+
+form = click.option(
+    "--form",
+    type=click.Choice(["delta", "sotw"]),
+    default="delta",
+    show_default=True,
+    help="Of a gRPC source.",
+)
 within = click.option("--within", type=float, default=10.0, show_default=True, help="Seconds to wait for it.")
 
 
@@ -126,6 +148,7 @@
         if code != 200:
             fail(f"{admin}: {report}")
     else:
+
         async def once():
             async with Read(spec, form, within) as read:
                 if why := read.wrong():
@@ -140,8 +163,11 @@
     for name, said in report["sources"].items():
         age = "never heard" if said["age"] is None else f"heard {said['age']:.1f} s ago"
         doubted = f", {said['doubted']} doubted" if said["doubted"] else ""
-        click.echo(f"{name}: {said['entries']} streamers, {age}{'' if said['reached'] else ', out of reach'}"
-                   f"{doubted}", err=True)
+        click.echo(
+            f"{name}: {said['entries']} streamers, {age}{'' if said['reached'] else ', out of reach'}"
+            f"{doubted}",
+            err=True,
+        )
     for alarm in report["alarms"]:
         click.echo(f"alarm {alarm['ago']:.0f} s ago: {alarm['what']}", err=True)
 
@@ -152,11 +178,22 @@
 @form
 def watch(spec, seconds, form):
     """Print each change of SOURCE, a JSON line each, until it is stopped."""
+
     def hand(entries, there, gone, forgotten, old):
         for e in entries:
-            click.echo(json.dumps({"id": e.id, "address": read.listing.flow.numbers.taken.get(e.id),
-                                   "standing": "removed" if e.id in gone else e.standing.name.lower(),
-                                   "rack": e.rack, "kind": e.kind, "zone": e.zone, "weight": e.weight}))
+            click.echo(
+                json.dumps(
+                    {
+                        "id": e.id,
+                        "address": read.listing.flow.numbers.taken.get(e.id),
+                        "standing": "removed" if e.id in gone else e.standing.name.lower(),
+                        "rack": e.rack,
+                        "kind": e.kind,
+                        "zone": e.zone,
+                        "weight": e.weight,
+                    }
+                )
+            )
 
     async def run():
         stop, loop = asyncio.Event(), asyncio.get_running_loop()
@@ -179,6 +216,7 @@
 @within
 def diff(before, after, form, within):
     """Print what differs between two sources; exit 1 if anything does."""
+
     async def both():
         out = []
         for spec in (before, after):
@@ -233,13 +271,15 @@
 def lint(spec, form, within):
     """Print all that is wrong with what SOURCE lists, and what is likely not meant; exit 1 if any is
     wrong."""
+
     async def run():
         async with Read(spec, form, within) as read:
             if read.reader is None:
                 return [], []
             session = read.reader.session
             faults = [f for found in session.last.values() for f in found] or (
-                [read.wrong()] if read.wrong() else [])
+                [read.wrong()] if read.wrong() else []
+            )
             return faults, list(doubtful(read.reader.view))
 
     try:
@@ -288,5 +328,3 @@
             await sources.close()
 
     asyncio.run(run())
-
-
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -65,9 +65,22 @@
         self.open += 1
         self._alarm(carried.due - last_word(wanted.time_left), carried)
         self.watch("wanted", carried)
-        self._call(now, carried, lambda: self.controller.wanted(
-            now, carried.id, wanted.plan, wanted.title, self.narrow(wanted.cells), wanted.top,
-            wanted.time_left - margin(wanted.time_left), wanted.length, False, wanted.rates))
+        self._call(
+            now,
+            carried,
+            lambda: self.controller.wanted(
+                now,
+                carried.id,
+                wanted.plan,
+                wanted.title,
+                self.narrow(wanted.cells),
+                wanted.top,
+                wanted.time_left - margin(wanted.time_left),
+                wanted.length,
+                False,
+                wanted.rates,
+            ),
+        )
         return carried
 
     def hand_over(self, now, wanted, carrier, streamer, rung):
@@ -85,8 +98,17 @@
 
         def both():  # the rung in force goes with it: the decisions' first guess is not to be carried out
             changed = self.controller.handed_over(
-                now, carried.id, wanted.plan, wanted.title, wanted.cells, wanted.top,
-                wanted.time_left, wanted.length, False, streamer)
+                now,
+                carried.id,
+                wanted.plan,
+                wanted.title,
+                wanted.cells,
+                wanted.top,
+                wanted.time_left,
+                wanted.length,
+                False,
+                streamer,
+            )
             self.controller.told_rung(now, carried.id, rung)
             return changed
 
@@ -119,8 +141,13 @@
         self._answer(now, carried, Answer(Kind.PLAYS))
         self._call(now, carried, lambda: self.controller.playing(now, carried.id, now - carried.sent_at))
         if report:
-            self._call(now, carried, lambda: self.controller.told_use(
-                now, carried.id, carried.streamer.id, report.get("link"), report.get("uplink")))
+            self._call(
+                now,
+                carried,
+                lambda: self.controller.told_use(
+                    now, carried.id, carried.streamer.id, report.get("link"), report.get("uplink")
+                ),
+            )
         return None
 
     def try_over(self, now, carried, ending, report=None):
@@ -132,8 +159,11 @@
         done = carried.answer is not None
         carried.turn(now, Stage.OVER if done else Stage.WAITING)
         self.watch("try over", carried, ending=ending.name, streamer=streamer.id)
-        self._call(now, carried, lambda: self.controller.try_ended(
-            now, carried.id, ending, took, done, streamer.id, report or {}))
+        self._call(
+            now,
+            carried,
+            lambda: self.controller.try_ended(now, carried.id, ending, took, done, streamer.id, report or {}),
+        )
 
     def over(self, now, carried, ending, report=None):
         """What plays is over."""
@@ -142,8 +172,13 @@
         carried.turn(now, Stage.OVER)
         carried.carrier.let_go(carried, carried.streamer)
         self.watch("over", carried, ending=ending.name)
-        self._call(now, carried, lambda: self.controller.try_ended(
-            now, carried.id, ending, now - carried.sent_at, True, carried.streamer.id, report or {}))
+        self._call(
+            now,
+            carried,
+            lambda: self.controller.try_ended(
+                now, carried.id, ending, now - carried.sent_at, True, carried.streamer.id, report or {}
+            ),
+        )
 
     def left(self, now, carried):
         """The viewer is gone: nothing more is owed, but what is out is out until it has ended."""
@@ -165,8 +200,11 @@
 
     def told_use(self, now, carried, link, uplink):
         if carried.stage is Stage.PLAYING:
-            self._call(now, carried, lambda: self.controller.told_use(
-                now, carried.id, carried.streamer.id, link, uplink))
+            self._call(
+                now,
+                carried,
+                lambda: self.controller.told_use(now, carried.id, carried.streamer.id, link, uplink),
+            )
 
     def told_share(self, now, streamer, share):
         self._call(now, None, lambda: self.controller.told_share(now, streamer, share))
@@ -194,16 +232,18 @@
         for carried in [c for c in self.held.values() if c.wanted.title in titles]:
             if carried.stage in (Stage.WAITING, Stage.TRYING, Stage.CALLING_OFF):
                 cells = titles[carried.wanted.title]
-                self._call(now, carried, lambda c=carried, to=cells: self.controller.holders_changed(
-                    now, c.id, to))
+                self._call(
+                    now, carried, lambda c=carried, to=cells: self.controller.holders_changed(now, c.id, to)
+                )
 
     def among(self, now, controllers, turn, warm):
         """What a fleet settles and knows (interface.py); `warm`: id -> hundredths of its link that were asked
         for, told as a report of a while ago."""
         self._call(now, None, lambda: self.controller.among(now, controllers, turn, warm))
         for id, use in warm.items():
-            self._call(now, None, lambda id=id, use=use: self.controller.told_use(
-                now, None, id, use / 100, None))
+            self._call(
+                now, None, lambda id=id, use=use: self.controller.told_use(now, None, id, use / 100, None)
+            )
 
     def limits(self, now, extra, found, advice):
         """What a fleet's members together allow and found under load (interface.py)."""
@@ -282,8 +322,13 @@
         if carried.answer is None:
             carried.answer = answer
             self.open -= 1
-            self.watch("answer", carried, kind=answer.kind.value, come_back=answer.come_back,
-                       took=now - carried.taken_at)
+            self.watch(
+                "answer",
+                carried,
+                kind=answer.kind.value,
+                come_back=answer.come_back,
+                took=now - carried.taken_at,
+            )
             carried.answered(answer)
 
     def _close(self, now, carried, answer):
--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -357,7 +357,7 @@
         # of very many holders some, by chance, and all if none of them will do: the least loaded of 256 is as
         # good as that of thousands, and the loop is not held. Could harm where only a few of them have room
         n = len(pb.cells) // 256
-        some = list(pb.cells)[int(self._chance() * n)::n] if n > 1 else pb.cells
+        some = list(pb.cells)[int(self._chance() * n) :: n] if n > 1 else pb.cells
         if not (fresh := self._fresh(pb, some) or self._fresh(pb, pb.cells)):
             return self._reject(now, pb)  # every holder is on the trail, or left to others
         self.jam[alike] = now  # until something is sent
@@ -390,8 +390,11 @@
         if sum([p.rates[p.rung] - p.rates[p.plan.floor] for p in own]) < need:
             return None
         rungs, at = self._fair(now, s.rack, pb, s, True), s if s.asked(now) + need > s.limit() else s.rack
-        over = {p: p.rates[p.rung] - p.rates[rungs[p]] for p in own
-                if p.streamer in at.streamers and p.state is State.PLAYING and p.rung > rungs[p]}
+        over = {
+            p: p.rates[p.rung] - p.rates[rungs[p]]
+            for p in own
+            if p.streamer in at.streamers and p.state is State.PLAYING and p.rung > rungs[p]
+        }
         if sum(over.values()) < need:
             return None
         freed = 0.0
@@ -445,7 +448,8 @@
             while times and times[0] <= now - rules.extra_window:
                 times.popleft()
         return self.lent != 0 and (
-            most is None or len(self.extra) + 1 <= most + rules.extra_share * len(self.taken))
+            most is None or len(self.extra) + 1 <= most + rules.extra_share * len(self.taken)
+        )
 
     def _badly(self, now, s, ending):
         """Set aside: guards against streamers that err at once (and look idle), hang or are gone."""
@@ -605,14 +609,19 @@
     def _steps(self, plan, rates):
         """(order, kB) of the step up from each rung: what earns most for a kB goes first."""
         earns = self.d.ladder.revenue
-        return [(-plan.revenue * (earns[low + 1] - earns[low]) / max(more - kb, 1e-9), more - kb)
-                for low, (kb, more) in enumerate(zip(rates, rates[1:], strict=False))]
+        return [
+            (-plan.revenue * (earns[low + 1] - earns[low]) / max(more - kb, 1e-9), more - kb)
+            for low, (kb, more) in enumerate(zip(rates, rates[1:], strict=False))
+        ]
 
     def _rung(self, now, pb, s):
         """The highest rung that keeps link and uplink under the mark, and fair to those that play."""
         free = min(MARK * s.full - s.asked(now), MARK * s.rack.limit(now) - s.rack.asked(now))
-        joins = [p.rung for p in s.mates(pb)
-                 if p.plan.floor <= p.rung <= pb.top and p.rates[p.rung] * p.plan.adds <= free]
+        joins = [
+            p.rung
+            for p in s.mates(pb)
+            if p.plan.floor <= p.rung <= pb.top and p.rates[p.rung] * p.plan.adds <= free
+        ]
         if pb.rates[pb.plan.floor] > free:
             return max(joins) if joins else None
         fair = self._fair(now, s.rack, pb, s)[pb]
--- a/terndrift/deployment.py
+++ b/terndrift/deployment.py
@@ -42,8 +42,20 @@
 
 def plans(value):
     top = len(value["ladder"]["rates"]) - 1
-    return {name: Plan(name, p["revenue"], p["scale"], p["floor"], min(p["top"], top), p["seats"],
-                       p["startup_target"], p["repeatable"], p["adds"]) for name, p in value["plans"].items()}
+    return {
+        name: Plan(
+            name,
+            p["revenue"],
+            p["scale"],
+            p["floor"],
+            min(p["top"], top),
+            p["seats"],
+            p["startup_target"],
+            p["repeatable"],
+            p["adds"],
+        )
+        for name, p in value["plans"].items()
+    }
 
 
 def made(value, controller):
@@ -53,18 +65,35 @@
     if seed is None:
         seed = zlib.crc32(controller["name"].encode())
     return Deployment(
-        seed=seed, rank=controller["rank"], controllers=controller["of"], zone=controller["zone"],
+        seed=seed,
+        rank=controller["rank"],
+        controllers=controller["of"],
+        zone=controller["zone"],
         plans=plans(value),
-        ladder=Ladder(tuple(r / 1000 for r in ladder["rates"]), tuple(ladder["revenue"]),
-                      ladder["shortfall_cost"], ladder["switch_cost"]),
-        links=Links(links["unit"] / 1000, links["uplink"] / 1000, links["places"], links["lag"],
-                    links["refuses_from"]),
+        ladder=Ladder(
+            tuple(r / 1000 for r in ladder["rates"]),
+            tuple(ladder["revenue"]),
+            ladder["shortfall_cost"],
+            ladder["switch_cost"],
+        ),
+        links=Links(
+            links["unit"] / 1000, links["uplink"] / 1000, links["places"], links["lag"], links["refuses_from"]
+        ),
         rules=Rules(
-            answer_slack=0, cold_for=rules["cold_for"], cold_share=rules["cold_share"],
-            fall_multiple=rules["fall_multiple"], fall_window=rules["fall_window"],
-            try_limit=rules["try_limit"], extra_tries=rules["extra_tries"],
-            extra_share=rules["extra_share"], extra_window=rules["extra_window"],
-            longest_advice=rules["longest_advice"], probes=False, peers=False))
+            answer_slack=0,
+            cold_for=rules["cold_for"],
+            cold_share=rules["cold_share"],
+            fall_multiple=rules["fall_multiple"],
+            fall_window=rules["fall_window"],
+            try_limit=rules["try_limit"],
+            extra_tries=rules["extra_tries"],
+            extra_share=rules["extra_share"],
+            extra_window=rules["extra_window"],
+            longest_advice=rules["longest_advice"],
+            probes=False,
+            peers=False,
+        ),
+    )
 
 
 def titles(value):
@@ -72,6 +101,7 @@
     out = {}
     for name, t in value["titles"].items():
         count = max(1, -(-t["seconds"] * 10**9 // segment))
-        out[name] = Title(name, t["plan"], count, count * segment,
-                          frozenset(t["holders"]) if t["holders"] else None)
+        out[name] = Title(
+            name, t["plan"], count, count * segment, frozenset(t["holders"]) if t["holders"] else None
+        )
     return out
--- a/terndrift/fleet/agreed.py
+++ b/terndrift/fleet/agreed.py
@@ -107,7 +107,7 @@
         first = self.last - len(self.entries)
         age = self.age(now)
         if pull.epoch == self.epoch and pull.last >= first:
-            after, part, state = pull.last, self.entries[pull.last - first:][:PIECE], None
+            after, part, state = pull.last, self.entries[pull.last - first :][:PIECE], None
         else:
             after, part, state = self.last, [], copied(self.state)
         said = Agreed(self.epoch, after, part, self.last, state, -1 if age is None else age, pull.at)
@@ -119,7 +119,7 @@
         if got.state is not None and (got.epoch, got.state["last"]) > (self.epoch, self.last):
             self.begin(got.state)
         if got.epoch == self.epoch and got.after <= self.last:
-            for entry in got.entries[self.last - got.after:]:
+            for entry in got.entries[self.last - got.after :]:
                 self.take(entry)
         if got.epoch == self.epoch and self.last >= got.agreed:
             if got.age >= 0 and got.at in self.asks:
--- a/terndrift/fleet/arena.py
+++ b/terndrift/fleet/arena.py
@@ -50,8 +50,9 @@
                 durable.replay(record)
             kept = durable if n in self.voters else None
             mint = partial(_mint, random.Random(f"{self.seed}/{n}/{self.now}"))
-            self.up[n] = Controller("arena", n, self.names, self.voters, kept, self.now // MS, self.now, mint,
-                                    self.seed)
+            self.up[n] = Controller(
+                "arena", n, self.names, self.voters, kept, self.now // MS, self.now, mint, self.seed
+            )
             self.alarms.pop(n, None)
             self._after(n)
 
--- a/terndrift/fleet/crowds.py
+++ b/terndrift/fleet/crowds.py
@@ -6,7 +6,7 @@
 level decides the parts of heavy keys to be shed, too. It guards the viewers of everything else, in every
 plan, against one title or one client that comes many times as often as all; it could do harm where that
 title is what all of them want: hence only while what is taken comes late or is turned away, only beyond
-HEAVY of all, and only with others there who would be hurt. """
+HEAVY of all, and only with others there who would be hurt."""
 
 from collections import Counter
 
@@ -67,8 +67,11 @@
         the window; `bad`: whether too much of what was taken came late. Returns whether a new crowd was
         found: the level waits for what that brings."""
         others = max(OTHERS, PART * wanted)
-        needs = {k: max(0.0, 1 - SHARE * can / n) for k, n in keys.items()
-                 if n > HEAVY * wanted and wanted - n >= others}
+        needs = {
+            k: max(0.0, 1 - SHARE * can / n)
+            for k, n in keys.items()
+            if n > HEAVY * wanted and wanted - n >= others
+        }
         new = False
         self.well_since = None if bad else self.well_since or now
         if bad:
@@ -77,7 +80,8 @@
                 self.parts[key] = max(part, self.parts.get(key, 0.0))
         elif now - self.well_since >= 2 * SECOND:
             # as far as it comes as ever what goes well is what was taken of it, and the rest is still shed
-            self.parts = {k: max(round(part - BACK, 6), min(part, needs.get(k, 0.0)))
-                          for k, part in self.parts.items()}
+            self.parts = {
+                k: max(round(part - BACK, 6), min(part, needs.get(k, 0.0))) for k, part in self.parts.items()
+            }
         self.parts = {k: part for k, part in self.parts.items() if part > 0}
         return new
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -36,8 +36,14 @@
         c = self.controller
         off, _ = c.off(now)
         listed, members = c.follower.state["map"], c.members.members
-        found = {name: url for name in sorted(c.known) if name != c.me and (url := listed.get(FRONT + name))
-                 and members[name].standing is Standing.ALIVE and CONTROLLER + name not in off}
+        found = {
+            name: url
+            for name in sorted(c.known)
+            if name != c.me
+            and (url := listed.get(FRONT + name))
+            and members[name].standing is Standing.ALIVE
+            and CONTROLLER + name not in off
+        }
         strained = c.loads.rides(now).strained
         well = {name: url for name, url in found.items() if name not in strained} or found
         return {name: url for name, url in well.items() if now - members[name].since > YOUNG} or well
--- a/terndrift/fleet/findings.py
+++ b/terndrift/fleet/findings.py
@@ -14,7 +14,7 @@
 most are second tries of somebody. Could do harm where two controllers alone can't reach what all others can:
 then what plays at the others says otherwise. Under overload some are late and some play: that is no streamer
 that fails for all (seen: by the younger of failure and success alone all 24 of a day were found ill at
-once). """
+once)."""
 
 import zlib
 from collections import deque
@@ -37,10 +37,17 @@
     for table in tables:
         for address, row in table.items():
             was = out.get(address)
-            out[address] = list(row) if was is None else [
-                was[BY] + row[BY], _younger(was[ILL], row[ILL]), max(was[SINCE], row[SINCE]),
-                _younger(was[WELL], row[WELL]),
-                *(a + b for a, b in zip(was[DEAD:], row[DEAD:], strict=True))]
+            out[address] = (
+                list(row)
+                if was is None
+                else [
+                    was[BY] + row[BY],
+                    _younger(was[ILL], row[ILL]),
+                    max(was[SINCE], row[SINCE]),
+                    _younger(was[WELL], row[WELL]),
+                    *(a + b for a, b in zip(was[DEAD:], row[DEAD:], strict=True)),
+                ]
+            )
     return dict(sorted(out.items(), key=lambda x: (x[1][ILL] < 0, x[1][ILL], x[0]))[:ROWS])
 
 
@@ -50,15 +57,21 @@
 
 def older(table, ms):
     """The same, so much later."""
-    return {address: [row[BY], *(age if age < 0 else age + ms for age in row[ILL:DEAD]), *row[DEAD:]]
-            for address, row in table.items()}
+    return {
+        address: [row[BY], *(age if age < 0 else age + ms for age in row[ILL:DEAD]), *row[DEAD:]]
+        for address, row in table.items()
+    }
 
 
 def sound(table, members):
     return len(table) <= ROWS and all(
-        len(row) == 7 and 0 <= row[DEAD] <= row[BY] <= members and min(row[SINCE], *row[FAILED:]) >= 0
-        and min(row[ILL], row[WELL]) >= -1 and max(row[FAILED:]) <= MOST_COUNTED * members
-        for row in table.values())
+        len(row) == 7
+        and 0 <= row[DEAD] <= row[BY] <= members
+        and min(row[SINCE], *row[FAILED:]) >= 0
+        and min(row[ILL], row[WELL]) >= -1
+        and max(row[FAILED:]) <= MOST_COUNTED * members
+        for row in table.values()
+    )
 
 
 class Own:
@@ -91,10 +104,16 @@
             since = max(since, now - self.since.get(address, now))
             by = int(address in self.since)
             out[address] = [
-                by, self._ago(now, self.ill, address), _ms(now - self.since.get(address, now)),
-                self._ago(now, self.well, address), int(by and aside[address]),
-                *(sum(now - at <= min(since, LATELY) for at in kept.get(address, ()))
-                  for kept in (self.ill, self.well))]
+                by,
+                self._ago(now, self.ill, address),
+                _ms(now - self.since.get(address, now)),
+                self._ago(now, self.well, address),
+                int(by and aside[address]),
+                *(
+                    sum(now - at <= min(since, LATELY) for at in kept.get(address, ()))
+                    for kept in (self.ill, self.well)
+                ),
+            ]
         return merged([out])
 
     @staticmethod
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -17,7 +17,7 @@
 holder, whichever is more.
 
 Shares are even where all that is wanted is more than there is: one that wants absurdly much takes nothing
-from others that want little. """
+from others that want little."""
 
 from collections import Counter, deque
 
@@ -166,8 +166,14 @@
                 self.has[kind] = part, m.at + LEASE
 
     def report(self, now):
-        return {kind: {"limit": most, "part": round(self.part(now, kind), 3),
-                       "wants": round(self.wanted[kind], 3)} for kind, most in self.limits.items()}
+        return {
+            kind: {
+                "limit": most,
+                "part": round(self.part(now, kind), 3),
+                "wants": round(self.wanted[kind], 3),
+            }
+            for kind, most in self.limits.items()
+        }
 
 
 class Bucket:
--- a/terndrift/fleet/load.py
+++ b/terndrift/fleet/load.py
@@ -70,8 +70,12 @@
     """Whether figures can be true at all."""
     rows = [*m.plans.values(), m.more]
     shaped = m.members > 0 and len(m.more) == 3 and all(len(row) == 6 for row in m.plans.values())
-    return (shaped and all(0 <= n <= MOST * m.members for row in rows for n in row) and 0 <= m.level < 100
-            and beside.sound(m.beside, m.members, MOST * m.members))
+    return (
+        shaped
+        and all(0 <= n <= MOST * m.members for row in rows for n in row)
+        and 0 <= m.level < 100
+        and beside.sound(m.beside, m.members, MOST * m.members)
+    )
 
 
 class Loads:
@@ -93,7 +97,7 @@
         return None if self.own is None else self.beat_at
 
     def _of(self, group):
-        return self.names[group * self.size:(group + 1) * self.size]
+        return self.names[group * self.size : (group + 1) * self.size]
 
     def collectors(self, group, there):
         return [n for n in self._of(group) if n in there][:2]
@@ -144,8 +148,12 @@
             self.whole = best[None]
         _, by, at = self.level
         said = now - max(0, m.ago) * MS  # by whoever decided: a word that is passed on gets no younger
-        if m.by and m.by != self.me and now - said <= LAPSES and (
-                now - at > LAPSES or m.by < by or m.by == by and said > at):
+        if (
+            m.by
+            and m.by != self.me
+            and now - said <= LAPSES
+            and (now - at > LAPSES or m.by < by or m.by == by and said > at)
+        ):
             self.level, self.caps = (m.level, m.by, said), m.beside.caps if m.beside else {}
 
     @staticmethod
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -74,8 +74,11 @@
         times += [self.work_at] if self._has_work() else []
         times += [self.rank_at] if self.ranked else []
         times += [self.warm.next_at()] if self.warm.seen or self.ranked else []
-        times += [at for at in (self.copies.next_at(), self.loads.next_at(), self.leases.next_at())
-                  if at is not None]
+        times += [
+            at
+            for at in (self.copies.next_at(), self.loads.next_at(), self.leases.next_at())
+            if at is not None
+        ]
         return min(times + [self.voter.next_at()] if self.voter else times)
 
     def received(self, now, sealed):
@@ -327,8 +330,9 @@
         f = self.follower
         age = f.age(now)
         for to, m in said:
-            data = messages.sealed(self.fleet, self.me, to, m, f.epoch[0], f.last,
-                                   -1 if age is None else age // MS)
+            data = messages.sealed(
+                self.fleet, self.me, to, m, f.epoch[0], f.last, -1 if age is None else age // MS
+            )
             if after:
                 self.held.append((after, to, data))
             else:
@@ -339,13 +343,25 @@
     def report(self, now):
         f, v = self.follower, self.voter
         age = f.age(now)
-        out = {"name": self.me, "epoch": list(f.epoch), "agreed": f.last,
-               "age_s": None if age is None else round(age / SECOND, 3),
-               "cut_off_s": round(self.cut_off(now) / SECOND, 1), "voters": f.state["voters"],
-               "proposals": len(self.proposals), "role": "follower"}
+        out = {
+            "name": self.me,
+            "epoch": list(f.epoch),
+            "agreed": f.last,
+            "age_s": None if age is None else round(age / SECOND, 3),
+            "cut_off_s": round(self.cut_off(now) / SECOND, 1),
+            "voters": f.state["voters"],
+            "proposals": len(self.proposals),
+            "role": "follower",
+        }
         if v:
-            out |= {"role": v.role.value, "identity": v.identity, "term": v.d.term, "leader": v.leader,
-                    "log": v.d.last, "doubts": v.role in (Role.DOUBTING, Role.OUT)}
+            out |= {
+                "role": v.role.value,
+                "identity": v.identity,
+                "term": v.d.term,
+                "leader": v.leader,
+                "log": v.d.last,
+                "doubts": v.role in (Role.DOUBTING, Role.OUT),
+            }
             if v.role is Role.LEADER:
                 out["followers"] = {n: v.match.get(i, 0) for n, i in v.d.voters().items() if n != self.me}
         return out
--- a/terndrift/fleet/members.py
+++ b/terndrift/fleet/members.py
@@ -118,12 +118,22 @@
         return [n for n, m in self.members.items() if m.run and m.standing <= Standing.SUSPECT]
 
     def view(self, now):
-        rows = {self.me: {"standing": "left" if self.leaving else "alive", "run": self.run,
-                          "incarnation": self.incarnation, "for_s": None}}
+        rows = {
+            self.me: {
+                "standing": "left" if self.leaving else "alive",
+                "run": self.run,
+                "incarnation": self.incarnation,
+                "for_s": None,
+            }
+        }
         for name, m in self.members.items():
             word = m.standing.name.lower() if m.run else "unheard"
-            rows[name] = {"standing": word, "run": m.run, "incarnation": m.incarnation,
-                          "for_s": round((now - m.since) / SECOND, 1)}
+            rows[name] = {
+                "standing": word,
+                "run": m.run,
+                "incarnation": m.incarnation,
+                "for_s": round((now - m.since) / SECOND, 1),
+            }
         return rows
 
     def next_at(self):
@@ -349,8 +359,13 @@
         a cut each has to refute by itself what the other half says of it."""
         doubts = Standing.SUSPECT, Standing.DEAD
         doubted = {m.name: m for m in self.members.values() if m.standing in doubts}
-        there = [n.name for n in news if n.state == Standing.ALIVE and (m := doubted.get(n.name))
-                 and (n.run, n.incarnation) == (m.run, m.incarnation)]
+        there = [
+            n.name
+            for n in news
+            if n.state == Standing.ALIVE
+            and (m := doubted.get(n.name))
+            and (n.run, n.incarnation) == (m.run, m.incarnation)
+        ]
         for name in self._some(MOST_TOLD, there):
             self.seq += 1
             self.out.append((name, Ping(self.seq, self._news(name))))
@@ -358,8 +373,12 @@
     def _of_me(self, one):
         if one.run > self.run:  # an earlier start of this name with a clock ahead of ours
             self.run, self.incarnation, self.own_told = one.run + 1, 0, 0
-        elif one.run == self.run and one.state != Standing.ALIVE and not self.leaving \
-                and one.incarnation >= self.incarnation:
+        elif (
+            one.run == self.run
+            and one.state != Standing.ALIVE
+            and not self.leaving
+            and one.incarnation >= self.incarnation
+        ):
             self.incarnation, self.own_told = one.incarnation + 1, 0
             self.health = min(SICKEST, self.health + 1)
             self.false_deaths += one.state == Standing.DEAD
@@ -379,8 +398,12 @@
             if standing is not m.standing:
                 self._turn(now, m, standing)
             m.told = 0
-        elif (standing is Standing.SUSPECT is m.standing and one.incarnation == m.incarnation
-              and sender not in m.accusers and len(m.accusers) <= CONFIRMATIONS):
+        elif (
+            standing is Standing.SUSPECT is m.standing
+            and one.incarnation == m.incarnation
+            and sender not in m.accusers
+            and len(m.accusers) <= CONFIRMATIONS
+        ):
             m.accusers.add(sender)
             m.told = 0
 
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -271,9 +271,33 @@
     fleet: str
     sender: str
     to: str
-    message: (Ping | Ack | AskFor | Nack | Whole | AskVote | Vote | Append | Kept | Base | Lead | Hello | Seen
-              | LetIn | Propose | Holds | Pull | Agreed | AskKnown | Knows
-              | AskHead | Head | Load | AskLease | Lease)
+    message: (
+        Ping
+        | Ack
+        | AskFor
+        | Nack
+        | Whole
+        | AskVote
+        | Vote
+        | Append
+        | Kept
+        | Base
+        | Lead
+        | Hello
+        | Seen
+        | LetIn
+        | Propose
+        | Holds
+        | Pull
+        | Agreed
+        | AskKnown
+        | Knows
+        | AskHead
+        | Head
+        | Load
+        | AskLease
+        | Lease
+    )
     epoch: int = 0
     agreed: int = 0  # how much of the record the sender has: who has less asks it for the rest
     age: int = -1  # ms since it knew that to be all; -1: it never did
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -18,14 +18,28 @@
 
 SECOND = work.SECOND
 MACHINE, EPOCH = "m", (1, "e")
-PLAN = {"machines": [MACHINE], "needs": 60 * SECOND, "drain": 2 * SECOND, "warm": SECOND, "most": 1,
-        "most_rack": 1, "most_zone": 0, "ready_share": 0.0, "holders": 0, "urgency": 0, "why": ""}
+PLAN = {
+    "machines": [MACHINE],
+    "needs": 60 * SECOND,
+    "drain": 2 * SECOND,
+    "warm": SECOND,
+    "most": 1,
+    "most_rack": 1,
+    "most_zone": 0,
+    "ready_share": 0.0,
+    "holders": 0,
+    "urgency": 0,
+    "why": "",
+}
 # Of a true second: the leader's clock runs 2% faster than that of a, and b's is between the two.
 RATES = {"leader": 1.02, "a": 1.0, "b": 1.01}
 # What passes at once: nearly half of the limit, and about what a drifting clock makes of it.
 PASSES = (49 * work.LIMIT // 100, 6 * SECOND // 5)
-FAULTS = ("permit before the last confirmation", "limit counted from the wrong end",
-          "age counted from arrival")
+FAULTS = (
+    "permit before the last confirmation",
+    "limit counted from the wrong end",
+    "age counted from arrival",
+)
 
 
 decode = msgspec.msgpack.Decoder(Holds | Agreed).decode
@@ -109,8 +123,10 @@
         for n, left in enumerate(w.passes):
             if left:
                 passes = tuple(p - (i == n) for i, p in enumerate(w.passes))
-                yield f"{PASSES[n] / SECOND} s pass", lambda n=n, p=passes: [("", replace(
-                    w, at=w.at + PASSES[n], passes=p))]
+                yield (
+                    f"{PASSES[n] / SECOND} s pass",
+                    lambda n=n, p=passes: [("", replace(w, at=w.at + PASSES[n], passes=p))],
+                )
         yield "the leader looks", lambda: self.look(w)
         for message in sorted(w.flying):
             yield f"{message[1]} to {message[0]}: arrives", lambda m=message: self.arrive(w, m)
@@ -129,16 +145,20 @@
         if off and w.tells:
             counts = {m: int(name in w.plays) for m in off}
             data = msgspec.msgpack.encode(Holds(work.rev(f.state), counts))
-            yield f"{name} tells", lambda: [("", replace(
-                w, tells=w.tells - 1, flying=w.flying | {("leader", name, data)}))]
+            yield (
+                f"{name} tells",
+                lambda: [("", replace(w, tells=w.tells - 1, flying=w.flying | {("leader", name, data)}))],
+            )
         if may and MACHINE not in off and (name not in w.plays or self.touchable(w)):
             yield f"{name} places", lambda: self.place(w, name)
         if name in w.plays:
             yield f"what {name} plays ends", lambda: [("", replace(w, plays=w.plays - {name}))]
         if w.crashes:
             new = {**w.follows, name: self.heard(now)}
-            yield f"{name} starts anew", lambda: [("", replace(
-                w, follows=new, plays=w.plays - {name}, crashes=w.crashes - 1))]
+            yield (
+                f"{name} starts anew",
+                lambda: [("", replace(w, follows=new, plays=w.plays - {name}, crashes=w.crashes - 1))],
+            )
 
     def touchable(self, w):
         return work.State(w.table()["state"]) in (work.State.OUT, work.State.OVERDUE)
@@ -186,4 +206,3 @@
                 f.take(Entry(1, "value", id, value))
         f.heard = []
         return [("", replace(w, leads=leads, follows={**w.follows, "leader": f}))]
-
--- a/terndrift/fleet/record.py
+++ b/terndrift/fleet/record.py
@@ -85,21 +85,29 @@
         elif what == "log":
             # a snapshot may have been taken once the base was beyond it: what it covers is left out
             n = record["after"] - self.base["last"]
-            del self.entries[max(0, n):]
-            self.entries += [Entry(*e) for e in record["entries"][max(0, -n):]]
+            del self.entries[max(0, n) :]
+            self.entries += [Entry(*e) for e in record["entries"][max(0, -n) :]]
             self.seen.update(record["seen"])
         elif what == "base":
             keep = self.last - record["state"]["last"] if record["keep"] else 0
             self.base = copied(record["state"])
-            self.entries = self.entries[len(self.entries) - keep:] if keep > 0 else []
+            self.entries = self.entries[len(self.entries) - keep :] if keep > 0 else []
 
     def items(self):
-        return iter([
-            {"what": "identity", "identity": self.identity}, {"what": "epoch", "epoch": list(self.epoch)},
-            {"what": "term", "term": self.term, "voted": self.voted},
-            {"what": "base", "state": copied(self.base), "keep": False},
-            {"what": "log", "after": self.base["last"], "entries": list(map(plain, self.entries)),
-             "seen": dict(self.seen)}])
+        return iter(
+            [
+                {"what": "identity", "identity": self.identity},
+                {"what": "epoch", "epoch": list(self.epoch)},
+                {"what": "term", "term": self.term, "voted": self.voted},
+                {"what": "base", "state": copied(self.base), "keep": False},
+                {
+                    "what": "log",
+                    "after": self.base["last"],
+                    "entries": list(map(plain, self.entries)),
+                    "seen": dict(self.seen),
+                },
+            ]
+        )
 
     @property
     def last(self):
@@ -178,8 +186,10 @@
 
     def quorum_at(self):
         """A leader's: when it last asked something that a majority has answered."""
-        times = sorted([self.now] + [self.answered.get(i, 0) for i in self.d.voters().values()
-                                     if i != self.identity], reverse=True)
+        times = sorted(
+            [self.now] + [self.answered.get(i, 0) for i in self.d.voters().values() if i != self.identity],
+            reverse=True,
+        )
         return times[self.majority() - 1] if len(times) >= self.majority() else 0
 
     # What happens.
@@ -199,8 +209,14 @@
             if isinstance(m, AskVote) and led and not m.planned:
                 return None  # who was cut off may come back with a high term: it must not unseat who is heard
             self._newer(now, m.term)
-        handler = {AskVote: self._asked, Vote: self._voted, Append: self._append, Kept: self._confirmed,
-                   Base: self._based, Lead: self._lead}.get(type(m))
+        handler = {
+            AskVote: self._asked,
+            Vote: self._voted,
+            Append: self._append,
+            Kept: self._confirmed,
+            Base: self._based,
+            Lead: self._lead,
+        }.get(type(m))
         return handler(now, sender, m) if handler else None
 
     def tick(self, now):
@@ -208,8 +224,12 @@
         if self.role in (Role.OUT, Role.DOUBTING) and now >= self.again_at:
             self.again_at = now + AGAIN
             there = self.follower.epoch == self.d.epoch and self.follower.state["voters"]
-            if self.role is Role.DOUBTING and there and self.identity not in there.values() \
-                    and self.follower.last > self.d.last:
+            if (
+                self.role is Role.DOUBTING
+                and there
+                and self.identity not in there.values()
+                and self.follower.last > self.d.last
+            ):
                 self._anew()  # it was put out meanwhile
                 self._become(now, Role.OUT)
             elif self.role is Role.DOUBTING:
@@ -352,8 +372,11 @@
             return self._become(now, Role.OUT)
         self.doubts[m.who] = m
         # by the voters of the log that is furthest: its own may be of before they were changed
-        voters = max([(self.d.end(), self.d.voters())] + [((s.last_term, s.last), s.voters) for s in
-                     self.doubts.values()], key=lambda x: x[0])[1]
+        voters = max(
+            [(self.d.end(), self.d.voters())]
+            + [((s.last_term, s.last), s.voters) for s in self.doubts.values()],
+            key=lambda x: x[0],
+        )[1]
         counted = [s for who, s in self.doubts.items() if who in voters.values()]
         if self.identity not in voters.values():
             self._anew()
@@ -384,7 +407,8 @@
         """One change of voters at a time, and none before something of this leader's own term is agreed."""
         voters, settled = self.d.voters(), self.follower.last
         if self.d.term_at(settled) != self.d.term or any(
-                e.kind == "voters" for e in self.d.entries[settled - self.d.base["last"]:]):
+            e.kind == "voters" for e in self.d.entries[settled - self.d.base["last"] :]
+        ):
             return
         for who, name in self.newcomers.items():
             if name in voters and voters[name] != who:
@@ -428,8 +452,11 @@
         asked = m.term + 1 if m.pre else m.term
         fit = (m.last_term, m.last) >= max(self.d.end(), self.floor) and now >= self.votes_from
         if m.pre:
-            granted = fit and asked > self.d.term and (now - self.heard_leader >= ELECTION
-                                                       and self.role is not Role.LEADER)
+            granted = (
+                fit
+                and asked > self.d.term
+                and (now - self.heard_leader >= ELECTION and self.role is not Role.LEADER)
+            )
         else:
             granted = fit and m.term == self.d.term and self.d.voted in ("", m.who)
             if granted and not self.d.voted:
@@ -456,15 +483,20 @@
             self._become(now, Role.LEADER)
 
     def _lead(self, now, sender, m):
-        if m.term == self.d.term and sender == self.leader and self.role is Role.FOLLOWER \
-                and now >= self.votes_from:
+        if (
+            m.term == self.d.term
+            and sender == self.leader
+            and self.role is Role.FOLLOWER
+            and now >= self.votes_from
+        ):
             self._stand(now, planned=True)
 
     # The log.
 
     def _log(self, after, entries):
-        self._keep({"what": "log", "after": after, "entries": list(map(plain, entries)),
-                    "seen": dict(self.d.seen)})
+        self._keep(
+            {"what": "log", "after": after, "entries": list(map(plain, entries)), "seen": dict(self.d.seen)}
+        )
         self.pending.append((self.wrote, after))
 
     def _beat(self, now):
@@ -483,9 +515,10 @@
             state = self.d.base
             self.out.append((name, self._of(Base, state["term"], state["last"], copied(state), self.round)))
             return
-        part = self.d.entries[n - 1 - self.d.base["last"]:][:MOST]
-        self.out.append((name, self._of(Append, before, n - 1, part, self.follower.last, self.round,
-                                        dict(self.d.seen))))
+        part = self.d.entries[n - 1 - self.d.base["last"] :][:MOST]
+        self.out.append(
+            (name, self._of(Append, before, n - 1, part, self.follower.last, self.round, dict(self.d.seen)))
+        )
 
     def _from_leader(self, now, sender, m):
         if m.term < self.d.term:
--- a/terndrift/fleet/returns.py
+++ b/terndrift/fleet/returns.py
@@ -7,7 +7,7 @@
 the same figures. What can be served is the best of what was answered in target of late; of that new viewers
 take their part. It guards against a wave of those turned away together that is turned away together again.
 It could do harm where what can be served has just risen: they wait for up to the longest advice that clients
-follow. """
+follow."""
 
 from collections import deque
 
@@ -46,7 +46,7 @@
         can = max((n for _, n in self.good), default=0)
         booked = _wide(booked, self.ahead + 1)
         new = max(0, asked - booked[0])
-        return [max(0.0, can - new - n) for n in booked[1:self.ahead + 1]]
+        return [max(0.0, can - new - n) for n in booked[1 : self.ahead + 1]]
 
     def advice(self, booked, asked):
         """DRAWS times to come back after, of which each viewer gets one by chance; () where nothing is
@@ -69,7 +69,7 @@
     out = []
     for table in tables:
         out = [a + b for a, b in zip(_wide(out, len(table)), _wide(table, len(out)), strict=True)]
-    return out[:MOST + 1]
+    return out[: MOST + 1]
 
 
 def _wide(table, size):
@@ -78,4 +78,4 @@
 
 def later(table, ns):
     """The same, so much later: whole seconds of it are over."""
-    return list(table[ns // SECOND:])
+    return list(table[ns // SECOND :])
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -63,8 +63,9 @@
     if me in fleet["voters"] and not fleet["store"]:
         out.append("fleet.store: a voter keeps the record, and needs a folder")
     front = urlsplit(fleet["front"])
-    if fleet["front"] not in ("", "listen") and (front.scheme not in ("http", "https") or not front.netloc
-                                                 or front.path.strip("/")):
+    if fleet["front"] not in ("", "listen") and (
+        front.scheme not in ("http", "https") or not front.netloc or front.path.strip("/")
+    ):
         out.append(f"fleet.front: '{fleet['front']}' is no URL without a path, as http://HOST:PORT")
     if out:
         raise Amiss("\n".join(out))
@@ -89,8 +90,17 @@
             durable = self._opened(value["store"])
         known = {me, *value["members"]}
         run = time.time_ns() // 1_000_000
-        self.controller = Controller(value["name"], me, known, value["voters"], durable, run, clock.now(),
-                                     lambda: secrets.token_hex(8), seed)
+        self.controller = Controller(
+            value["name"],
+            me,
+            known,
+            value["voters"],
+            durable,
+            run,
+            clock.now(),
+            lambda: secrets.token_hex(8),
+            seed,
+        )
         self.elsewhere = Elsewhere(self.controller, seed)
         self.server = Server(self._body, 256, body_size=BODY, fault=self._fault)
         self.transport, self.addresses, self.timer, self.timer_at = None, [], None, None
@@ -105,8 +115,9 @@
         except Damaged as wrong:
             aside = f"{folder}.damaged-{time.time_ns():x}"
             os.rename(folder, aside)
-            self.log.error("fleet: store damaged, put aside; a new identity is asked for", what=str(wrong),
-                           folder=aside)
+            self.log.error(
+                "fleet: store damaged, put aside; a new identity is asked for", what=str(wrong), folder=aside
+            )
             durable = Durable()
             store = Store(Files(folder), {STREAM: durable})
         self.committer = Committer(store)
@@ -123,8 +134,10 @@
         self.controller.copies.begin(self.clock.now())
         host, _, port = self.value["datagrams"].rpartition(":")
         self.transport, _ = await loop.create_datagram_endpoint(lambda: Datagrams(self), (host, int(port)))
-        self.addresses = ["{}:{}".format(*self.transport.get_extra_info("sockname")[:2]),
-                          self.server.listen_on(self.value["http"])]
+        self.addresses = [
+            "{}:{}".format(*self.transport.get_extra_info("sockname")[:2]),
+            self.server.listen_on(self.value["http"]),
+        ]
         self._after()
 
     # What comes in.
@@ -196,8 +209,9 @@
 
     async def _post(self, address, data):
         try:
-            await fetch(self.pool, address, "POST", PATH, {"Content-Length": str(len(data))}, within=2.0,
-                        body=data)
+            await fetch(
+                self.pool, address, "POST", PATH, {"Content-Length": str(len(data))}, within=2.0, body=data
+            )
         except (Unreached, Broken):
             self.dropped["not sent"] += 1
 
@@ -313,22 +327,40 @@
         """A whole catalogue in place of this one, as one change of its own; nothing of it if that fails."""
         source, whole, loop = copies.source, False, asyncio.get_running_loop()
         try:
-            code, _, body = await fetch(self.pool, self.value["members"][source]["http"], "GET", COPY,
-                                        within=COPY_WITHIN, most=LARGEST_COPY)
+            code, _, body = await fetch(
+                self.pool,
+                self.value["members"][source]["http"],
+                "GET",
+                COPY,
+                within=COPY_WITHIN,
+                most=LARGEST_COPY,
+            )
             if code == 200:
                 change = await loop.run_in_executor(None, self._copy, body)
                 await self.catalogue.apply(change)
                 whole = True
                 self.log.warning("catalogue: copied from a member", of=source, titles=len(change.put))
-        except (Unreached, Broken, StoreBroken, OSError, ValueError, KeyError, TypeError, Fault,
-                Conflict) as wrong:
+        except (
+            Unreached,
+            Broken,
+            StoreBroken,
+            OSError,
+            ValueError,
+            KeyError,
+            TypeError,
+            Fault,
+            Conflict,
+        ) as wrong:
             self.log.warning("catalogue: not copied", of=source, what=str(wrong)[:200])
         copies.copied(whole)
 
     def _copy(self, body):
         value = msgspec.msgpack.decode(body)
-        change = change_of({"id": f"{COPY_OF}{time.time_ns():x}", "put": value["titles"], "whole": True},
-                           "fleet", time.time())
+        change = change_of(
+            {"id": f"{COPY_OF}{time.time_ns():x}", "put": value["titles"], "whole": True},
+            "fleet",
+            time.time(),
+        )
         change.knows = tuple(map(str, value["ids"]))
         return change
 
@@ -355,8 +387,11 @@
                 before = sorted(self.surge.told[1].items())
                 self.surge.look()
                 if (found := sorted(self.surge.told[1].items())) != before:
-                    self.log.debug("found", left=[id for id, may in found if not may],
-                                   tried=[id for id, may in found if may])
+                    self.log.debug(
+                        "found",
+                        left=[id for id, may in found if not may],
+                        tried=[id for id, may in found if may],
+                    )
             except Exception as fault:  # the next look must come all the same
                 self.log.error("fault of the fleet", exc_info=fault)
             await asyncio.sleep(LOOKS / SECOND)
@@ -378,8 +413,13 @@
 
     def members(self):
         now = self.clock.now()
-        return {"name": self.me, "fleet": self.value["name"], "members": self.controller.members.view(now),
-                "health": self.controller.members.health, "dropped": dict(self.dropped)}
+        return {
+            "name": self.me,
+            "fleet": self.value["name"],
+            "members": self.controller.members.view(now),
+            "health": self.controller.members.health,
+            "dropped": dict(self.dropped),
+        }
 
     def record(self):
         now = self.clock.now()
@@ -393,15 +433,31 @@
     def work(self):
         """Planned work: its entries, machines as this controller sees them, what they wait for."""
         c, leads, state = self.controller, self.controller.leader() == self.me, self.controller.follower.state
-        machines = {n: {"rack": m.rack, "zone": m.zone, "weight": m.weight, "ready": m.ready, "cold": m.cold,
-                        "started": m.started, "titles": sorted(m.titles), "labels": sorted(m.labels),
-                        "voter": m.voter} for n, m in c.all_machines().items()}
+        machines = {
+            n: {
+                "rack": m.rack,
+                "zone": m.zone,
+                "weight": m.weight,
+                "ready": m.ready,
+                "cold": m.cold,
+                "started": m.started,
+                "titles": sorted(m.titles),
+                "labels": sorted(m.labels),
+                "voter": m.voter,
+            }
+            for n, m in c.all_machines().items()
+        }
         age = c.follower.age(self.clock.now())
-        return {"map": {k: v for k, v in state["map"].items() if k.startswith("work/")},
-                "age_s": None if age is None else age / SECOND,
-                "machines": machines, "why": c.work.why if leads else {}, "leader": c.leader(),
-                "leads": leads, "likely_s": c.work.likely(self.clock.now(), state, c.seen()) if leads else {},
-                "left": sorted(c.left)}
+        return {
+            "map": {k: v for k, v in state["map"].items() if k.startswith("work/")},
+            "age_s": None if age is None else age / SECOND,
+            "machines": machines,
+            "why": c.work.why if leads else {},
+            "leader": c.leader(),
+            "leads": leads,
+            "likely_s": c.work.likely(self.clock.now(), state, c.seen()) if leads else {},
+            "left": sorted(c.left),
+        }
 
     async def propose(self, value):
         """(code, answer): 200 with its number once it is seen agreed here, and whether it counted, as what it
@@ -422,8 +478,12 @@
         index = self.controller.follower.state["ids"].get(id)
         if index is None:
             return 504, {"error": "not known to be agreed yet; send it again under the same id", "id": id}
-        return 200, {"id": id, "index": abs(index), "counted": index > 0,
-                     "epoch": list(self.controller.follower.epoch)}
+        return 200, {
+            "id": id,
+            "index": abs(index),
+            "counted": index > 0,
+            "epoch": list(self.controller.follower.epoch),
+        }
 
     async def restart(self, value):
         if self.controller.voter is None:
@@ -439,8 +499,10 @@
         self._after()
         await self._until(lambda: self.controller.follower.last > 0, 5.0)
         self.log.warning("fleet: the record begins anew on an operator's word", epoch=self.record()["epoch"])
-        return 200, {"epoch": self.record()["epoch"],
-                     "given_up": {"epoch": given_up["epoch"], "agreed": given_up["agreed"]}}
+        return 200, {
+            "epoch": self.record()["epoch"],
+            "given_up": {"epoch": given_up["epoch"], "agreed": given_up["agreed"]},
+        }
 
     async def _until(self, true, seconds):
         waiter, until = asyncio.Event(), time.monotonic() + seconds
--- a/terndrift/fleet/shed.py
+++ b/terndrift/fleet/shed.py
@@ -69,8 +69,9 @@
     def step(self, now, plans, keys=()):
         """`plans`: sums of the last WINDOW over all (load.py); `keys`: the heaviest (crowds.py). Returns the
         level."""
-        wanted, answered, well = (sum(row[n] for row in plans.values())
-                                  for n in (WANTED, ANSWERED, IN_TARGET))
+        wanted, answered, well = (
+            sum(row[n] for row in plans.values()) for n in (WANTED, ANSWERED, IN_TARGET)
+        )
         self.good.append((now, well))
         while now - self.good[0][0] > BEST:
             self.good.popleft()
@@ -84,8 +85,11 @@
             return self.value
         if much:
             if can < answered:
-                self._turn(now, self._cut(plans, answered - can),
-                           f"{answered - well} of {answered} answered came late or were turned away")
+                self._turn(
+                    now,
+                    self._cut(plans, answered - can),
+                    f"{answered - well} of {answered} answered came late or were turned away",
+                )
         elif self.value and self.well_since and now - self.well_since >= HOLD:
             self.value = self._back(plans, GROWS * max(answered, best, 1))
             self.why = "all that is taken is answered in target" if self.value else ""
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -40,8 +40,9 @@
     controller has for that itself where it has to turn viewers away, as on SIGTERM; `stop()` stops it so;
     `sends_on()`: whether viewers are sent on instead, so that the plan's whole drain time costs nobody."""
 
-    def __init__(self, controller, listing, versions, host, cold_for, draining, drain, stop,
-                 sends_on=lambda: False):
+    def __init__(
+        self, controller, listing, versions, host, cold_for, draining, drain, stop, sends_on=lambda: False
+    ):
         self.controller, self.listing, self.versions, self.host = controller, listing, versions, host
         self.core, self.clock, self.cold_for = host.core, host.clock, cold_for
         self.draining, self.drain, self.drains, self.turned = draining, drain, False, OfLate()
@@ -51,8 +52,10 @@
         self.listed, self.known, self.known_as_of = [], {}, None  # known: name -> (Line, Machine)
         self.me = CONTROLLER + controller.me
         controller.machines, controller.holding = self.machines, self.holding
-        controller.wall, controller.turned = lambda: self.clock.wall_ns(self.clock.now()) // 1_000_000, \
-            self.turned.of_late
+        controller.wall, controller.turned = (
+            lambda: self.clock.wall_ns(self.clock.now()) // 1_000_000,
+            self.turned.of_late,
+        )
         controller.ill = self.ill
 
     def watch(self, event, carried, **facts):
@@ -89,16 +92,27 @@
             if said := [s.lines[address].standing for s in others if address in s.lines]:
                 standing = worst(said)
                 self.listed.append((line, standing))
-                self.known[line.name] = line, Machine(
-                    line.name, line.rack, line.zone, line.weight, standing == "ready",
-                    self.clock.wall_ns(line.started), frozenset(self.held.get(of.get(address), ())),
-                    frozenset(line.labels))
+                self.known[line.name] = (
+                    line,
+                    Machine(
+                        line.name,
+                        line.rack,
+                        line.zone,
+                        line.weight,
+                        standing == "ready",
+                        self.clock.wall_ns(line.started),
+                        frozenset(self.held.get(of.get(address), ())),
+                        frozenset(line.labels),
+                    ),
+                )
 
     def machines(self):
         self._machines()
         now = self.clock.now()
-        return {name: replace(m, cold=True) if line.started and now - line.started < self.cold_for else m
-                for name, (line, m) in self.known.items()}
+        return {
+            name: replace(m, cold=True) if line.started and now - line.started < self.cold_for else m
+            for name, (line, m) in self.known.items()
+        }
 
     def _id(self, name):
         line, _ = self.known.get(name, (None, None))
@@ -122,8 +136,9 @@
         an old failure says nothing."""
         self._machines()
         now, some = self.clock.now(), [(n, self._streamer(n)) for n in names]
-        return [n for n, s in some if s and s.down is not None
-                and now - (s.next_try - s.gap) < OF_LATE * SECOND]
+        return [
+            n for n, s in some if s and s.down is not None and now - (s.next_try - s.gap) < OF_LATE * SECOND
+        ]
 
     def permits(self, id):
         """Whether a set-up may go out to that streamer at this moment: the list is behind by up to a second,
@@ -142,8 +157,11 @@
         """The drains in force, into the list and the fronts."""
         now = self.clock.now()
         off, may = self.controller.off(now)
-        lines = {line.address: replace(line, standing="draining") for line, _ in self.rows()
-                 if not may or line.name in off}
+        lines = {
+            line.address: replace(line, standing="draining")
+            for line, _ in self.rows()
+            if not may or line.name in off
+        }
         source = self.listing.merged.source(SOURCE)
         put = [line for address, line in lines.items() if source.lines.get(address) != line]
         gone = [address for address in source.lines if address not in lines]
@@ -184,7 +202,7 @@
         playing = self._playing()
         looks = max(1, (drain - spent) // SOON + 1)
         if spent >= drain // 2 and playing:
-            self._end(playing[:max(1, len(playing) // looks)] if spent < drain else playing)
+            self._end(playing[: max(1, len(playing) // looks)] if spent < drain else playing)
 
     def _end(self, carried):
         for one in carried:
--- a/terndrift/fleet/stages.py
+++ b/terndrift/fleet/stages.py
@@ -17,8 +17,12 @@
     FULL = "full"
 
 
-ROUTES = {Stage.STARTED: (Stage.LISTED,), Stage.LISTED: (Stage.RAMPS,), Stage.RAMPS: (Stage.FULL,),
-          Stage.FULL: ()}
+ROUTES = {
+    Stage.STARTED: (Stage.LISTED,),
+    Stage.LISTED: (Stage.RAMPS,),
+    Stage.RAMPS: (Stage.FULL,),
+    Stage.FULL: (),
+}
 
 
 # ns that each lasts at most; then it goes on as it is. STARTED: the longest that a source's first word is
@@ -65,7 +69,13 @@
         self.stage, self.since = stage, now
 
     def report(self, now):
-        return {"stage": self.stage.value, "since_s": round((now - self.since) / SECOND, 1),
-                "waits_for": self.why, "up_s": round((now - self.began) / SECOND, 1),
-                "past": [{"stage": s.value, "took_s": round(took / SECOND, 2), "by_limit": late}
-                         for s, took, late in self.past]}
+        return {
+            "stage": self.stage.value,
+            "since_s": round((now - self.since) / SECOND, 1),
+            "waits_for": self.why,
+            "up_s": round((now - self.began) / SECOND, 1),
+            "past": [
+                {"stage": s.value, "took_s": round(took / SECOND, 2), "by_limit": late}
+                for s, took, late in self.past
+            ],
+        }
--- a/terndrift/fleet/strain.py
+++ b/terndrift/fleet/strain.py
@@ -4,7 +4,7 @@
 It sheds by the order of all (shed.py), by a level of its own on top of the fleet's, says so to the others,
 and sends viewers on to them where it can. Guards against a controller that takes, and answers late, what its
 neighbours have room for. Could do harm where all are strained alike: then viewers are sent on once, and
-turned away there. """
+turned away there."""
 
 from enum import Enum
 
@@ -39,10 +39,16 @@
     def second(self, now, late, files, memory):
         """Each second: ns that the loop was late at most; parts of descriptors and of memory in use. Returns
         the level."""
-        why = ", ".join(filter(None, (
-            f"loop {late // 1_000_000} ms late" if late > LATE else "",
-            f"{files:.0%} of its descriptors" if files > FULL else "",
-            f"{memory:.0%} of its memory" if memory > FULL else "")))
+        why = ", ".join(
+            filter(
+                None,
+                (
+                    f"loop {late // 1_000_000} ms late" if late > LATE else "",
+                    f"{files:.0%} of its descriptors" if files > FULL else "",
+                    f"{memory:.0%} of its memory" if memory > FULL else "",
+                ),
+            )
+        )
         # once may be a pause of the machine; what is full is full
         strained = bool(why) and (late <= LATE or self.twice)
         self.twice = late > LATE
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -39,8 +39,9 @@
         self.book, self.draws = Book(self.core.deployment.rules.longest_advice), 0
         self.strain, self.told = Strain(len(plans)), (None, {}, ())
         self.went_by, self.raised_at = 0.0, 0  # the level as last looked at, and when it last rose
-        self.leases = controller.leases = Leases(controller.me, dict(limits), len(controller.known),
-                                                 bool(controller.voters), now)
+        self.leases = controller.leases = Leases(
+            controller.me, dict(limits), len(controller.known), bool(controller.voters), now
+        )
         self.connects = Pace(self.leases, "connects", LONGEST)
         self.calls = Pace(self.leases, "calls", 10**18)  # a source is asked all the same, only later
         controller.loads.own = lambda now: self.own.of_late(now, self.core.open)
@@ -113,7 +114,7 @@
         self.pending.clear()
         # of those not answered yet alone: what plays is many times as much, and looked at ten times a second
         waiting = sum(pb.state is State.HELD and pb.tries > 0 for pb in self.core.controller.open)
-        self.leases.wants("extra", sum(n for n, in self.fails.of_late(now)) / WINDOW + waiting)
+        self.leases.wants("extra", sum(n for (n,) in self.fails.of_late(now)) / WINDOW + waiting)
         self.connects.look(now)
         self.calls.look(now)
         rides = self.controller.loads.rides(now)
@@ -181,19 +182,36 @@
         names = ("wanted", "shed", "answered", "in_target", "late", "turned_away")
         rows = {n: dict(zip(names, [x / WINDOW for x in row], strict=True)) for n, row in plans.items()}
         decides = by == self.controller.me
-        return {"name": self.controller.me, "members": members, "plans": rows,
-                "extra_tries": more[load.EXTRA] / WINDOW, "connections": more[load.CONNECTED] / WINDOW,
-                "open": more[load.OPEN],
-                "level": round(level, 3), "decided_by": by, "age_s": round((now - at) / SECOND, 1),
-                "sheds": {n: round(p, 3) for n, p in parts(level, self.order).items() if p},
-                "crowds": self.controller.loads.caps_in_force(now), "come_back": rides.back,
-                "failing": {a: {"by": row[findings.BY], "tried_here": self.judged_here(a),
-                                "failed": row[findings.FAILED], "played": row[findings.PLAYED]}
-                            for a, row in rides.found.items() if row[findings.BY]},
-                "leases": self.leases.report(now), "strained": rides.strained,
-                "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
-                "order": self.order, "why": self.controller.shed.why if decides else "",
-                "held": self.controller.follower.state["map"].get(HELD)}
+        return {
+            "name": self.controller.me,
+            "members": members,
+            "plans": rows,
+            "extra_tries": more[load.EXTRA] / WINDOW,
+            "connections": more[load.CONNECTED] / WINDOW,
+            "open": more[load.OPEN],
+            "level": round(level, 3),
+            "decided_by": by,
+            "age_s": round((now - at) / SECOND, 1),
+            "sheds": {n: round(p, 3) for n, p in parts(level, self.order).items() if p},
+            "crowds": self.controller.loads.caps_in_force(now),
+            "come_back": rides.back,
+            "failing": {
+                a: {
+                    "by": row[findings.BY],
+                    "tried_here": self.judged_here(a),
+                    "failed": row[findings.FAILED],
+                    "played": row[findings.PLAYED],
+                }
+                for a, row in rides.found.items()
+                if row[findings.BY]
+            },
+            "leases": self.leases.report(now),
+            "strained": rides.strained,
+            "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
+            "order": self.order,
+            "why": self.controller.shed.why if decides else "",
+            "held": self.controller.follower.state["map"].get(HELD),
+        }
 
     def judged_here(self, address):
         return next((may for id, may in self.told[1].items() if self.address(id) == address), None)
--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -72,8 +72,11 @@
         """What of its own sight is worth keeping: [[address, started, ns it ran, last, use]], `last` in ns
         since 1970 where `wall` is now."""
         mine = [(a, by[self.me]) for a, by in sorted(self.seen.items()) if self.me in by]
-        return [[a, s.started, s.last - s.since, wall - (now - s.last), s.use] for a, s in mine
-                if s.run == self.run and not s.ill]
+        return [
+            [a, s.started, s.last - s.since, wall - (now - s.last), s.use]
+            for a, s in mine
+            if s.run == self.run and not s.ill
+        ]
 
     def restore(self, now, wall, rows):
         """What an earlier run kept; what is too old, or lies ahead as a clock was set, is nothing."""
@@ -140,8 +143,20 @@
         for address in addresses:
             by = self.seen[address]
             some = by.values() if answers else [max(by.values(), key=lambda s: max(s.last, s.ill))]
-            facts += [Fact(address, s.who, s.run, s.started, (s.last - s.since) // MS, (now - s.last) // MS,
-                           (now - s.ill) // MS if s.ill else -1, s.use) for s in some if s.who]
+            facts += [
+                Fact(
+                    address,
+                    s.who,
+                    s.run,
+                    s.started,
+                    (s.last - s.since) // MS,
+                    (now - s.last) // MS,
+                    (now - s.ill) // MS if s.ill else -1,
+                    s.use,
+                )
+                for s in some
+                if s.who
+            ]
         return Knows(facts, answers)
 
     def heard(self, now, sender, m, runs):
@@ -174,8 +189,9 @@
         out = {}
         for address, start in started.items():
             by = self.seen.get(address, {}).values()
-            well = [s for s in by if here(s.started) == start and not s.ill
-                    and s.last - s.since >= self.cold_for]
+            well = [
+                s for s in by if here(s.started) == start and not s.ill and s.last - s.since >= self.cold_for
+            ]
             if not well:
                 continue
             latest = max(well, key=lambda s: s.last)
--- a/terndrift/fleet/work.py
+++ b/terndrift/fleet/work.py
@@ -160,8 +160,13 @@
     value = {"?": {REV: state["map"].get(REV)}, REV: r + 1}
     for name, row in new.items():
         log = [*row["log"], [State.FOUND.value, "leader", wall]]
-        value[f"work/m/{name}"] = {**row, "state": State.FOUND.value, "n": row["n"] + 1, "by": "leader",
-                                   "log": log}
+        value[f"work/m/{name}"] = {
+            **row,
+            "state": State.FOUND.value,
+            "n": row["n"] + 1,
+            "by": "leader",
+            "log": log,
+        }
     return f"work/found/{r}/{'/'.join(new)}"[:128], value
 
 
@@ -216,8 +221,12 @@
                 return State.BACK
             if here is State.OUT and waited > LATE * plan["needs"]:
                 return State.OVERDUE
-            self.why[name] = "it is out; its worker says when it is done" if here is State.OUT else \
-                "it is out for longer than was planned; its worker says when it is done, or it starts again"
+            self.why[name] = (
+                "it is out; its worker says when it is done"
+                if here is State.OUT
+                else "it is out for longer than was planned; its worker says when it is done, "
+                "or it starts again"
+            )
         if here is State.BACK:
             if machine is not None and machine.ready:
                 return State.WARMING
@@ -225,14 +234,20 @@
                 return State.OVERDUE
             self.why[name] = "it has not come back: no list says that it is ready"
         if here is State.WARMING:
-            ill = [member for member, (said, at) in sorted(seen.holds.items())
-                   if now - at < LATELY and name in said.ill]
+            ill = [
+                member
+                for member, (said, at) in sorted(seen.holds.items())
+                if now - at < LATELY and name in said.ill
+            ]
             if waited >= plan["warm"] and not ill:
                 return State.DONE
             if ill and waited > plan["warm"] + LATE * plan["needs"]:
                 return State.OVERDUE
-            self.why[name] = f"it says that it is ready, and {', '.join(ill[:3])} can't set up there" if ill \
+            self.why[name] = (
+                f"it says that it is ready, and {', '.join(ill[:3])} can't set up there"
+                if ill
                 else "it is ready and still cold"
+            )
         return None
 
     def _emptied(self, now, name, row, plan, seen, waited, anew):
@@ -251,8 +266,11 @@
             return State.EMPTY
         if waited > (LIMIT + plan["drain"]) * (1 + DRIFT) + NOTICED:
             return State.EMPTY
-        self.why[name] = f"{', '.join(placing[:3])} may still place on it" if placing else \
-            f"{holding} playbacks there have not ended"
+        self.why[name] = (
+            f"{', '.join(placing[:3])} may still place on it"
+            if placing
+            else f"{holding} playbacks there have not ended"
+        )
         if anew:
             self.why[name] += "; it was started anew without a permit, and goes on as planned"
         return None
@@ -333,8 +351,11 @@
             plan = known.get(table[name]["plan"], UNKNOWN_PLAN)
             spent = now - self.since.get(_step_of(name, table[name]), now)
             ends.append((max(0, self._left(State(table[name]["state"]), plan) - spent), name))
-        waiting = [(n, row, known[row["plan"]]) for n, row in table.items()
-                   if State(row["state"]) is State.WAITING and row["plan"] in known]
+        waiting = [
+            (n, row, known[row["plan"]])
+            for n, row in table.items()
+            if State(row["state"]) is State.WAITING and row["plan"] in known
+        ]
         room = Room(seen.machines, using)
         waiting.sort(key=lambda x: self._order(x, live, seen, room) if x[0] in seen.machines else (0,))
         while waiting:
@@ -379,8 +400,12 @@
     """Whether a controller that may be touched is to stop by itself: the very run of it that was told to
     drain, as the next one finds the same row until it has been seen."""
     row = rows(state).get(name)
-    return row is not None and row["state"] == State.OUT.value and row["was"] == run and \
-        plans(state).get(row["plan"], {}).get("restart", False)
+    return (
+        row is not None
+        and row["state"] == State.OUT.value
+        and row["was"] == run
+        and plans(state).get(row["plan"], {}).get("restart", False)
+    )
 
 
 def under(table):
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/worlds.py
@@ -72,8 +72,13 @@
 
     def _agree(self, now):
         if self.fault == "older term counted" and self.role is Role.LEADER:
-            kept = sorted([self.flushed if i == self.identity else self.match.get(i, 0)
-                           for i in self.d.voters().values()], reverse=True)
+            kept = sorted(
+                [
+                    self.flushed if i == self.identity else self.match.get(i, 0)
+                    for i in self.d.voters().values()
+                ],
+                reverse=True,
+            )
             self._agreed_to(now, kept[self.majority() - 1])
         super()._agree(now)
 
@@ -117,10 +122,23 @@
                 times = v.election_at, v.votes_from
                 ahead = [min(3, max(0, -(-(t - self.now) // ELECTION))) for t in times]
                 ago = [min(3, (self.now - t) // ELECTION) for t in (v.heard_leader, v.began)]
-                parts.append((v.role, v.leader, frozenset(v.votes), v.floor, v.follower.last, tuple(ahead),
-                              tuple(ago), tuple(sorted(v.match.items())), tuple(sorted(v.next.items())),
-                              tuple(sorted(v.newcomers.items())), frozenset(v.doubts), v.nonce,
-                              tuple(sorted((i, (self.now - t) // ELECTION) for i, t in v.answered.items()))))
+                parts.append(
+                    (
+                        v.role,
+                        v.leader,
+                        frozenset(v.votes),
+                        v.floor,
+                        v.follower.last,
+                        tuple(ahead),
+                        tuple(ago),
+                        tuple(sorted(v.match.items())),
+                        tuple(sorted(v.next.items())),
+                        tuple(sorted(v.newcomers.items())),
+                        frozenset(v.doubts),
+                        v.nonce,
+                        tuple(sorted((i, (self.now - t) // ELECTION) for i, t in v.answered.items())),
+                    )
+                )
         return hash(tuple(parts))
 
 
@@ -165,15 +183,22 @@
             if w.left.crashes:
                 yield f"{name} crashes", lambda n=name: self.crash(w, n)
         if w.left.passes:
-            yield "time passes", lambda: [("", replace(
-                w, now=w.now + ELECTION, left=replace(w.left, passes=w.left.passes - 1)))]
+            yield (
+                "time passes",
+                lambda: [
+                    ("", replace(w, now=w.now + ELECTION, left=replace(w.left, passes=w.left.passes - 1)))
+                ],
+            )
 
     def deliver(self, w, data, found, again=False):
         flying, left = w.flying if again else w.flying - {data}, w.left
         if again:
             left = replace(left, doubles=left.doubles - 1)
-        return self.act(replace(w, flying=flying, left=left), found.to,
-                        lambda v: v.received(w.now, found.sender, found.message))
+        return self.act(
+            replace(w, flying=flying, left=left),
+            found.to,
+            lambda v: v.received(w.now, found.sender, found.message),
+        )
 
     def propose(self, w, name):
         left = replace(w.left, proposals=w.left.proposals - 1)
@@ -202,8 +227,9 @@
             v.follower.state["epoch"] = list(EPOCH)
             v.newer_epoch(w.now)
         v.writes.clear()
-        w = replace(w, left=left, mints=mints + 10, nodes={**w.nodes, name: v},
-                    disks={**w.disks, name: forked(disk)})
+        w = replace(
+            w, left=left, mints=mints + 10, nodes={**w.nodes, name: v}, disks={**w.disks, name: forked(disk)}
+        )
         return [("", self.settle(w, name))]
 
     def act(self, w, name, call):
@@ -224,10 +250,18 @@
                 left = replace(w.left, crashes=w.left.crashes - 1)
                 down = {**w.nodes, name: None}
                 early = sent if self.fault == "vote not durable" else w.flying
-                after.append((" (crash before it is written)", replace(
-                    w, nodes=down, left=left, flying=early, mints=mints)))
-                after.append((" (crash once it is written)", replace(
-                    w, nodes=down, left=left, disks={**w.disks, name: disk}, mints=mints)))
+                after.append(
+                    (
+                        " (crash before it is written)",
+                        replace(w, nodes=down, left=left, flying=early, mints=mints),
+                    )
+                )
+                after.append(
+                    (
+                        " (crash once it is written)",
+                        replace(w, nodes=down, left=left, disks={**w.disks, name: disk}, mints=mints),
+                    )
+                )
             v.kept(w.now, v.wrote)
             writes, v.writes = v.writes, []
             for one in writes:
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -14,9 +14,20 @@
 
 
 def plan(machines, **more):
-    return {"machines": list(machines), "needs": 4 * SECOND, "drain": 6 * SECOND, "warm": 2 * SECOND,
-            "most": 2, "most_rack": 1, "most_zone": 0, "ready_share": 0.5, "holders": 1, "urgency": 0,
-            "why": "", **more}
+    return {
+        "machines": list(machines),
+        "needs": 4 * SECOND,
+        "drain": 6 * SECOND,
+        "warm": 2 * SECOND,
+        "most": 2,
+        "most_rack": 1,
+        "most_zone": 0,
+        "ready_share": 0.5,
+        "holders": 1,
+        "urgency": 0,
+        "why": "",
+        **more,
+    }
 
 
 class Site:
@@ -50,8 +61,10 @@
         c.holding = lambda names: {m: sum(p[0] == m for p in self.plays[name]) for m in names}
 
     def machines(self):
-        return {n: Machine(n, rack, "", 1.0, there, started, frozenset())
-                for n, (rack, there, started) in self.standing.items()}
+        return {
+            n: Machine(n, rack, "", 1.0, there, started, frozenset())
+            for n, (rack, there, started) in self.standing.items()
+        }
 
     def state(self, through=None):
         rows = work.rows(self.arena.up[through or self.names[-1]].follower.state)
@@ -95,13 +108,19 @@
         for name, c in self.arena.up.items():
             if self.looked.get(name) != c.follower.last:
                 self.looked[name] = c.follower.last
-                permits |= {(m, row["n"]) for m, row in work.rows(c.follower.state).items()
-                            if row["state"] == State.OUT.value and m in self.standing}
+                permits |= {
+                    (m, row["n"])
+                    for m, row in work.rows(c.follower.state).items()
+                    if row["state"] == State.OUT.value and m in self.standing
+                }
         permits -= self.touched.keys()
         for machine, n in sorted(permits):
             self.touched[machine, n] = now
-            held = [n for n, plays in self.plays.items() if any(p[0] == machine for p in plays)
-                    and n in self.arena.up]
+            held = [
+                n
+                for n, plays in self.plays.items()
+                if any(p[0] == machine for p in plays) and n in self.arena.up
+            ]
             if held:
                 self.wrong.append(f"{machine} touched while {held} play there")
             self.standing[machine][1] = False
--- a/terndrift/hints/cmsd.py
+++ b/terndrift/hints/cmsd.py
@@ -79,12 +79,19 @@
 
 
 def static_header(values, custom=None):
-    pairs = {k: Token(v) if STATIC_KEYS[k].form == "token" else v
-             for k, v in values.items() if v is not None and v != STATIC_KEYS[k].default}
+    pairs = {
+        k: Token(v) if STATIC_KEYS[k].form == "token" else v
+        for k, v in values.items()
+        if v is not None and v != STATIC_KEYS[k].default
+    }
     return written(pairs | (custom or {}))
 
 
 def dynamic_header(entries):
     """`entries`: (server, parameters), first the one farthest from the player (CTA-5006, 3.2)."""
-    return written_hops([(name, {k: v for k, v in params.items() if v is not None and v is not False})
-                         for name, params in entries])
+    return written_hops(
+        [
+            (name, {k: v for k, v in params.items() if v is not None and v is not False})
+            for name, params in entries
+        ]
+    )
--- a/terndrift/http/carrier.py
+++ b/terndrift/http/carrier.py
@@ -64,8 +64,14 @@
         values, custom = hints.values, hints.custom
         rate = self.rates(carried)[rung]
         pace = min(rate * AHEAD, values["rtp"] * 125) if values.get("rtp") else rate * AHEAD
-        own = {"sid": values.get("sid") or carried.id, "cid": values.get("cid") or carried.wanted.title[:64],
-               "rtp": max(1, kbit(pace)), "br": kbit(rate), "sf": "h", "st": "v"}
+        own = {
+            "sid": values.get("sid") or carried.id,
+            "cid": values.get("cid") or carried.wanted.title[:64],
+            "rtp": max(1, kbit(pace)),
+            "br": kbit(rate),
+            "sf": "h",
+            "st": "v",
+        }
         custom = {**custom, PLAYBACK: (cmcd.SESSION, carried.id), NUMBER: (cmcd.SESSION, carried.tries)}
         return cmcd.headers({**values, **own, **more}, custom)
 
@@ -144,8 +150,9 @@
             return self._over(carried, Ending.FULL if code == 503 else Ending.ERRED, figures)
         out = self.tries[carried]
         try:
-            out.playlist = playlists.offered(bytes(body), carried.wanted.about.rungs, plan.floor,
-                                             carried.wanted.top)
+            out.playlist = playlists.offered(
+                bytes(body), carried.wanted.about.rungs, plan.floor, carried.wanted.top
+            )
         except playlists.Unusable:
             self._farewell(call.address, carried.id)
             return self._over(carried, Ending.ERRED, figures)
--- a/terndrift/http/client.py
+++ b/terndrift/http/client.py
@@ -129,7 +129,9 @@
             self.stream.set_nodelay(True)  # see Exchange.start
             connection.write_headers(
                 httputil.RequestStartLine(method, target, "HTTP/1.1"),
-                httputil.HTTPHeaders({"Host": self.address, **headers}), body or None)
+                httputil.HTTPHeaders({"Host": self.address, **headers}),
+                body or None,
+            )
             connection.finish()
             await connection.read_response(self)
         except (StreamClosedError, UnsatisfiableReadError) as wrong:
@@ -179,8 +181,9 @@
             self.stream.close()
 
 
-async def fetch(pool, address, method, target, headers=None, connect=1.0, within=5.0, most=1 << 20,
-                body=b"", fresh=False):
+async def fetch(
+    pool, address, method, target, headers=None, connect=1.0, within=5.0, most=1 << 20, body=b"", fresh=False
+):
     """A whole small answer: (code, headers, body). Raises Unreached, Broken (also when it takes too long)."""
     call, got = Call(pool, address), bytearray()
 
@@ -191,8 +194,7 @@
 
     await call.open(connect, fresh)
     try:
-        await asyncio.wait_for(call.run(method, target, headers or {}, on_chunk=collect, body=body),
-                               within)
+        await asyncio.wait_for(call.run(method, target, headers or {}, on_chunk=collect, body=body), within)
     except TimeoutError:
         call.close()
         raise Broken("no answer in time") from None
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -1,10 +1,10 @@
 """The HTTP front: a viewer's playlist request becomes a wanted playback; what plays is relayed and shaped.
 
-    GET /v/<title>/main.m3u8          a set-up: 200 plays, 503 rejected, 504 aborted, 404 no such title,
-                                      307 another controller takes it
-    GET /p/<name>/r<rung>/index.m3u8  a rung's playlist, of a playback that plays
-    GET /p/<name>/r<rung>/<n>.ts      a segment, at the rung in force or the one asked for, the lower
-    DELETE /p/<name>                  the viewer leaves
+GET /v/<title>/main.m3u8          a set-up: 200 plays, 503 rejected, 504 aborted, 404 no such title,
+                                  307 another controller takes it
+GET /p/<name>/r<rung>/index.m3u8  a rung's playlist, of a playback that plays
+GET /p/<name>/r<rung>/<n>.ts      a segment, at the rung in force or the one asked for, the lower
+DELETE /p/<name>                  the viewer leaves
 """
 
 import asyncio
@@ -162,9 +162,20 @@
                 awaited = visit.awaited
             else:
                 left = asked.time_left - (now - came)
-                awaited = self._want(now, Wanted(
-                    found.plan, title, found.cells, asked.top, left, found.length, found.rates,
-                    About(hints, found.rungs)), visit)
+                awaited = self._want(
+                    now,
+                    Wanted(
+                        found.plan,
+                        title,
+                        found.cells,
+                        asked.top,
+                        left,
+                        found.length,
+                        found.rates,
+                        About(hints, found.rungs),
+                    ),
+                    visit,
+                )
             answer = await self._await(exchange, awaited)
         finally:
             self.gate.leave(self.now(), source)
@@ -230,8 +241,12 @@
             awaited.seat = self.seats.add(self.now(), secrets.token_urlsafe(12), carried, segments)
         awaited.seat.heard = self.now()
         body = awaited.playlist.replace("{base}", f"/p/{awaited.seat.name}").encode()
-        headers = {"Content-Type": TYPE, "Cache-Control": "no-store", cmsd.STATIC: MANIFEST_STATIC,
-                   cmsd.DYNAMIC: self._dynamic(awaited.said, carried)}
+        headers = {
+            "Content-Type": TYPE,
+            "Cache-Control": "no-store",
+            cmsd.STATIC: MANIFEST_STATIC,
+            cmsd.DYNAMIC: self._dynamic(awaited.said, carried),
+        }
         try:
             await exchange.reply(200, headers, body)
         except Gone:
@@ -321,8 +336,12 @@
         file = "index.m3u8" if self.number is None else f"{self.number}.ts"
         target = f"/v/{quote(carried.wanted.title, safe='')}/r{self.rung}/{file}"
         headers = front.carrier.said_to_streamer(
-            carried, self.hints, self.rung, ot="m" if self.number is None else "av",
-            d=None if self.number is None else self.should // 1_000_000)
+            carried,
+            self.hints,
+            self.rung,
+            ot="m" if self.number is None else "av",
+            d=None if self.number is None else self.should // 1_000_000,
+        )
         # an idle connection may just have been closed by the other side: media may be asked for again, once
         for fresh in (False, True):
             call = Call(front.carrier.pool, address or "")
@@ -353,12 +372,15 @@
         now = front.now()
         said, figures = report(headers)
         if figures and front.rationed.due(now, self.streamer):
-            front.host.do(front.host.core.told_use, self.seat.carried,
-                          figures.get("link"), figures.get("uplink"))
+            front.host.do(
+                front.host.core.told_use, self.seat.carried, figures.get("link"), figures.get("uplink")
+            )
         if code != 200:
             return None
-        out = {"Content-Type": headers.get("Content-Type", "application/octet-stream"),
-               cmsd.DYNAMIC: front._dynamic(said, self.seat.carried)}
+        out = {
+            "Content-Type": headers.get("Content-Type", "application/octet-stream"),
+            cmsd.DYNAMIC: front._dynamic(said, self.seat.carried),
+        }
         if said.static or said.custom:
             out[cmsd.STATIC] = cmsd.static_header(said.static, said.custom)
         length = headers.get("Content-Length")
--- a/terndrift/http/playlists.py
+++ b/terndrift/http/playlists.py
@@ -34,15 +34,22 @@
     lines = ["#EXTM3U", "#EXT-X-VERSION:4", "#EXT-X-INDEPENDENT-SEGMENTS"]
     for rung, rate in enumerate(rates):
         bits = int(rate * 8)
-        lines.append(f'#EXT-X-STREAM-INF:BANDWIDTH={bits},AVERAGE-BANDWIDTH={bits},CODECS="avc1.4d401f,mp4a.40.2"')
+        lines.append(
+            f'#EXT-X-STREAM-INF:BANDWIDTH={bits},AVERAGE-BANDWIDTH={bits},CODECS="avc1.4d401f,mp4a.40.2"'
+        )
         lines.append(f"{base}/r{rung}/index.m3u8")
     return "\n".join(lines) + "\n"
 
 
 def media(count, seconds):
     """A recorded title's media playlist: `count` segments of so many seconds."""
-    lines = ["#EXTM3U", "#EXT-X-VERSION:4", f"#EXT-X-TARGETDURATION:{max(1, round(seconds))}",
-             "#EXT-X-MEDIA-SEQUENCE:0", "#EXT-X-PLAYLIST-TYPE:VOD"]
+    lines = [
+        "#EXTM3U",
+        "#EXT-X-VERSION:4",
+        f"#EXT-X-TARGETDURATION:{max(1, round(seconds))}",
+        "#EXT-X-MEDIA-SEQUENCE:0",
+        "#EXT-X-PLAYLIST-TYPE:VOD",
+    ]
     for n in range(count):
         lines += [f"#EXTINF:{seconds:.3f},", f"{n}.ts"]
     return "\n".join([*lines, "#EXT-X-ENDLIST", ""])
--- a/terndrift/http/server.py
+++ b/terndrift/http/server.py
@@ -11,13 +11,28 @@
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 
-REASONS = {200: "OK", 204: "No Content", 307: "Temporary Redirect",
-           400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 409: "Conflict", 410: "Gone", 412: "Precondition Failed",
-           413: "Content Too Large", 415: "Unsupported Media Type", 422: "Unprocessable Content",
-           428: "Precondition Required", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-           500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable",
-           504: "Gateway Timeout"}
+REASONS = {
+    200: "OK",
+    204: "No Content",
+    307: "Temporary Redirect",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    410: "Gone",
+    412: "Precondition Failed",
+    413: "Content Too Large",
+    415: "Unsupported Media Type",
+    422: "Unprocessable Content",
+    428: "Precondition Required",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
 
 
 # A segment or so of a high rung: the system's own choice grows to megabytes for each slow client.
@@ -104,7 +119,8 @@
         # the body would wait 40 ms for the client's delayed acknowledgement of the head
         self.stream.set_nodelay(True)
         return self.connection.write_headers(
-            httputil.ResponseStartLine("HTTP/1.1", code, REASONS.get(code, "Unknown")), out, body)
+            httputil.ResponseStartLine("HTTP/1.1", code, REASONS.get(code, "Unknown")), out, body
+        )
 
     async def reply(self, code, headers=(), body=b"", text=None, data=None):
         """The whole answer: `body` bytes, or `text`, or `data` as JSON."""
@@ -143,14 +159,26 @@
 
     `connections` bounds how many are open; one more is answered 503 and closed."""
 
-    def __init__(self, handle, connections=4000, header_size=16384, header_time=15.0, stall=10.0,
-                 body_size=65536, fault=None):
+    def __init__(
+        self,
+        handle,
+        connections=4000,
+        header_size=16384,
+        header_time=15.0,
+        stall=10.0,
+        body_size=65536,
+        fault=None,
+    ):
         super().__init__(max_buffer_size=max(4 * header_size, body_size, 262144), read_chunk_size=65536)
         self.handle, self.most, self.header_size, self.stall = handle, connections, header_size, stall
         self.fault = fault or (lambda exchange, error: None)
         self.params = HTTP1ConnectionParameters(
-            chunk_size=65536, max_header_size=4 * header_size, header_timeout=header_time,
-            max_body_size=body_size, body_timeout=header_time)
+            chunk_size=65536,
+            max_header_size=4 * header_size,
+            header_timeout=header_time,
+            max_body_size=body_size,
+            body_timeout=header_time,
+        )
         self.peers = {}  # stream -> address of the client
         self.wires = {}  # stream -> HTTP1ServerConnection
         self.exchanges = set()
@@ -166,9 +194,10 @@
     def handle_stream(self, stream, address):
         if len(self.peers) >= self.most:
             self.turned_away += 1
-            stream.write(b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
-                         b"Connection: close\r\nContent-Length: 0\r\n\r\n").add_done_callback(
-                             lambda done: (done.exception(), stream.close()))
+            stream.write(
+                b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
+                b"Connection: close\r\nContent-Length: 0\r\n\r\n"
+            ).add_done_callback(lambda done: (done.exception(), stream.close()))
             return
         # small answers must not wait for the client's delayed acknowledgements
         stream.set_nodelay(True)
--- a/terndrift/listing/file.py
+++ b/terndrift/listing/file.py
@@ -8,8 +8,21 @@
 
 def lines(value, of_wall):
     """The lines of a file's plain value; `of_wall` turns seconds since 1970 into the service's clock."""
-    return [Line(name, s["id"], s["address"], s["rack"], s["kind"], s["zone"], s["standing"], s["weight"],
-                 of_wall(s["started"]), tuple(s["labels"])) for name, s in value["streamers"].items()]
+    return [
+        Line(
+            name,
+            s["id"],
+            s["address"],
+            s["rack"],
+            s["kind"],
+            s["zone"],
+            s["standing"],
+            s["weight"],
+            of_wall(s["started"]),
+            tuple(s["labels"]),
+        )
+        for name, s in value["streamers"].items()
+    ]
 
 
 class Followed:
--- a/terndrift/listing/kept.py
+++ b/terndrift/listing/kept.py
@@ -36,8 +36,10 @@
 
     def items(self):
         """As of now, however slowly it is read."""
-        return iter([(source, row) for source, rows in self.rows.items() for row in rows.values()]
-                    + list(self.as_of.items()))
+        return iter(
+            [(source, row) for source, rows in self.rows.items() for row in rows.values()]
+            + list(self.as_of.items())
+        )
 
     def too_old(self, source, now, oldest):
         """Whether what was kept of a source may not be acted on; `now`: ns since 1970. One whose time is not
@@ -47,8 +49,18 @@
 
 
 def row_of(line, to_wall):
-    return [line.name, line.id, line.address, line.rack, line.kind, line.zone, line.standing, line.weight,
-            to_wall(line.started), list(line.labels)]
+    return [
+        line.name,
+        line.id,
+        line.address,
+        line.rack,
+        line.kind,
+        line.zone,
+        line.standing,
+        line.weight,
+        to_wall(line.started),
+        list(line.labels),
+    ]
 
 
 def line_of(row, of_wall):
@@ -63,8 +75,16 @@
     for name, addresses in dirty.items():
         lines, addresses = sources[name].lines, sorted(addresses)
         for n in range(0, len(addresses) or 1, PART):
-            part = addresses[n:n + PART]
-            out.append((STREAM, {"source": name, "as_of": as_of,
-                                 "put": [row_of(lines[a], to_wall) for a in part if a in lines],
-                                 "gone": [a for a in part if a not in lines]}))
+            part = addresses[n : n + PART]
+            out.append(
+                (
+                    STREAM,
+                    {
+                        "source": name,
+                        "as_of": as_of,
+                        "put": [row_of(lines[a], to_wall) for a in part if a in lines],
+                        "gone": [a for a in part if a not in lines],
+                    },
+                )
+            )
     return out
--- a/terndrift/listing/lines.py
+++ b/terndrift/listing/lines.py
@@ -53,5 +53,13 @@
 def entry(line, id, standing=None):
     """The line as the decisions take it: a streamer is a cell of its own, so that a title's holders can be
     any set of them."""
-    return Listed(id, line.kind, line.zone, id, line.rack, STANDINGS[standing or line.standing], line.weight,
-                  line.started)
+    return Listed(
+        id,
+        line.kind,
+        line.zone,
+        id,
+        line.rack,
+        STANDINGS[standing or line.standing],
+        line.weight,
+        line.started,
+    )
--- a/terndrift/listing/merge.py
+++ b/terndrift/listing/merge.py
@@ -202,5 +202,7 @@
 
     def ages(self, now):
         """{source: (ns since it last said anything or None, reached, entries, doubted)}."""
-        return {s.name: (None if s.heard is None else now - s.heard, s.reached, len(s.lines), len(s.doubted))
-                for s in self.sources.values()}
+        return {
+            s.name: (None if s.heard is None else now - s.heard, s.reached, len(s.lines), len(s.doubted))
+            for s in self.sources.values()
+        }
