--- a/terndrift/listing/service.py
+++ b/terndrift/listing/service.py
@@ -45,8 +45,12 @@
                 self.merged.source(name)
                 continue
             if oldest is not None and self.kept.too_old(name, now, oldest):
-                self.log.warning("kept list is too old to be acted on", source=name, entries=len(rows),
-                                 as_of=self.kept.as_of.get(name, 0) / SECOND)
+                self.log.warning(
+                    "kept list is too old to be acted on",
+                    source=name,
+                    entries=len(rows),
+                    as_of=self.kept.as_of.get(name, 0) / SECOND,
+                )
                 self.dirty[name] |= rows.keys()  # or it would count as new with the next word that is kept
                 continue
             lines = [line_of(row, self.clock.of_wall_ns) for row in rows.values()]
@@ -73,10 +77,12 @@
         """What a source says came to be there or differ, and addresses that are gone; `whole`: `put` is all.
         In slices, as it may be long; a source waits for one before it tells the next."""
         merged, order = self.merged, self.order(name)
-        self._note(name, [line.address for line in put],
-                   list(merged.source(name).lines) if whole else gone)
-        steps = (merged.replacing(self.clock.now(), name, order, put) if whole else
-                 merged.changing(self.clock.now(), name, order, put, gone))
+        self._note(name, [line.address for line in put], list(merged.source(name).lines) if whole else gone)
+        steps = (
+            merged.replacing(self.clock.now(), name, order, put)
+            if whole
+            else merged.changing(self.clock.now(), name, order, put, gone)
+        )
         await sliced(map(self._changed, steps))
         self.heard.set()
 
@@ -87,8 +93,13 @@
 
     def _limit(self, name):
         of = self.flow.numbers.of
-        self.limited.told(name, {group: (part, most, frozenset(of[a] for a in addresses if a in of))
-                                 for group, (part, most, addresses) in self.stated[name].items()})
+        self.limited.told(
+            name,
+            {
+                group: (part, most, frozenset(of[a] for a in addresses if a in of))
+                for group, (part, most, addresses) in self.stated[name].items()
+            },
+        )
 
     def reached(self, name, reached, why=""):
         source = self.merged.source(name)
@@ -112,7 +123,7 @@
             if doubted:
                 self._changed(self.merged.confirm(now, name))
                 self._note(name, doubted)
-        for _, what in list(self.merged.alarms)[len(self.merged.alarms) - self.merged.alarmed + self.told:]:
+        for _, what in list(self.merged.alarms)[len(self.merged.alarms) - self.merged.alarmed + self.told :]:
             self.log.error("alarm of the list", what=what)
         self.told = self.merged.alarmed
         if self.committer is not None:
@@ -125,8 +136,11 @@
     def fresh(self):
         """Lines of which all sources that list them have spoken in this run."""
         merged = self.merged
-        return [line for address, line in merged.lines.items()
-                if all(s.heard is not None for s in merged.holders[address].values())]
+        return [
+            line
+            for address, line in merged.lines.items()
+            if all(s.heard is not None for s in merged.holders[address].values())
+        ]
 
     def line_of(self, id):
         return self.merged.lines.get(self.flow.numbers.taken.get(id))
@@ -211,16 +225,34 @@
     def report(self):
         """A plain value of the list in force and of its sources."""
         now, merged = self.clock.now(), self.merged
-        sources = {name: {"age": age and age / SECOND, "reached": reached, "entries": entries,
-                          "doubted": doubted}
-                   for name, (age, reached, entries, doubted) in merged.ages(now).items()}
-        rows = [{"id": self.flow.numbers.of.get(address), "address": address, "name": line.name,
-                 "rack": line.rack, "kind": line.kind, "zone": line.zone, "standing": line.standing,
-                 "weight": line.weight, "started": self.clock.wall_ns(line.started) / SECOND,
-                 "sources": [merged.holders[address][r].name for r in sorted(merged.holders[address])]}
-                for address, line in sorted(merged.lines.items())]
+        sources = {
+            name: {"age": age and age / SECOND, "reached": reached, "entries": entries, "doubted": doubted}
+            for name, (age, reached, entries, doubted) in merged.ages(now).items()
+        }
+        rows = [
+            {
+                "id": self.flow.numbers.of.get(address),
+                "address": address,
+                "name": line.name,
+                "rack": line.rack,
+                "kind": line.kind,
+                "zone": line.zone,
+                "standing": line.standing,
+                "weight": line.weight,
+                "started": self.clock.wall_ns(line.started) / SECOND,
+                "sources": [merged.holders[address][r].name for r in sorted(merged.holders[address])],
+            }
+            for address, line in sorted(merged.lines.items())
+        ]
         alarms = [{"ago": (now - at) / SECOND, "what": what} for at, what in merged.alarms]
-        limits = {f"{source}/{group}": {"turned_away": part, "most": most, "streamers": len(ids)}
-                  for (source, group), (part, most, ids) in self.limited.groups.items()}
-        return {"sources": sources, "limits": limits, "streamers": rows, "alarms": alarms,
-                "waiting": sorted(self.flow.waiting)}
+        limits = {
+            f"{source}/{group}": {"turned_away": part, "most": most, "streamers": len(ids)}
+            for (source, group), (part, most, ids) in self.limited.groups.items()
+        }
+        return {
+            "sources": sources,
+            "limits": limits,
+            "streamers": rows,
+            "alarms": alarms,
+            "waiting": sorted(self.flow.waiting),
+        }
--- a/terndrift/log_stream.py
+++ b/terndrift/log_stream.py
@@ -29,7 +29,7 @@
         """Whether it was written."""
         data = text.encode(errors="replace")
         if len(data) > AT_ONCE:
-            data = data[:AT_ONCE // 2] + b" ... " + data[-(AT_ONCE // 2 - 5):]
+            data = data[: AT_ONCE // 2] + b" ... " + data[-(AT_ONCE // 2 - 5) :]
         if not any(event & select.POLLOUT for _, event in self.poll.poll(0)):
             return False
         try:
--- a/terndrift/logs.py
+++ b/terndrift/logs.py
@@ -13,12 +13,17 @@
     lines = form == "json"
     shape = structlog.processors.JSONRenderer() if lines else structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
-        processors=[structlog.contextvars.merge_contextvars, structlog.processors.add_log_level,
-                    structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info, shape],
+        processors=[
+            structlog.contextvars.merge_contextvars,
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            shape,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=structlog.WriteLoggerFactory(file=stream or sys.stderr),
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
     # the libraries' own words: closed connections and malformed messages are daily bread, bugs are not
     logging.basicConfig(level=logging.ERROR, stream=stream or sys.stderr)
     return structlog.get_logger()
@@ -34,9 +39,16 @@
         elif event == "last word":
             log.error("answered without a decision", pb=carried.id)
         elif event == "answer":
-            log.info("answer", pb=carried.id, plan=carried.wanted.plan, title=carried.wanted.title,
-                     tries=carried.tries, streamer=carried.streamer.id if carried.streamer else None,
-                     rung=carried.rung, **facts)
+            log.info(
+                "answer",
+                pb=carried.id,
+                plan=carried.wanted.plan,
+                title=carried.wanted.title,
+                tries=carried.tries,
+                streamer=carried.streamer.id if carried.streamer else None,
+                rung=carried.rung,
+                **facts,
+            )
         else:
             log.debug(event, pb=carried.id, stage=carried.stage.value, **facts)
 
--- a/terndrift/platform/carrier.py
+++ b/terndrift/platform/carrier.py
@@ -152,8 +152,12 @@
         held = sum(len(peer.connections) + peer.connecting for peer in self.peers.values())
         if held < self.configuration.descriptors.streamers:
             return
-        spare = [one for peer in self.peers.values() for one, attempts in peer.connections.items()
-                 if one.up() and not attempts and (len(peer.connections) > 1 or not peer.playing)]
+        spare = [
+            one
+            for peer in self.peers.values()
+            for one, attempts in peer.connections.items()
+            if one.up() and not attempts and (len(peer.connections) > 1 or not peer.playing)
+        ]
         if not spare:
             raise NoDescriptor(f"{held} connections to streamers")
         min(spare, key=Connection.idle_since).close("room for another")
@@ -173,9 +177,13 @@
         if self.closing or peer.gone or listed != (peer.address, peer.started):
             to.close()
             raise ListedAnew("listed anew while the connection was made")
-        connection = Connection(to, self.host.clock,
-                                lambda one, got: [self._received(peer, one, message) for message in got],
-                                lambda one: self._closed(peer, one), HALF)
+        connection = Connection(
+            to,
+            self.host.clock,
+            lambda one, got: [self._received(peer, one, message) for message in got],
+            lambda one: self._closed(peer, one),
+            HALF,
+        )
         peer.connections[connection], peer.heard = {}, self.host.clock.now()
         for data in peer.waiting:
             connection.send(data)
@@ -255,8 +263,9 @@
     def _closed(self, peer, connection):
         attempts = peer.connections.pop(connection, {})
         if connection.why.startswith("unreadable") or attempts:
-            self.log.info("streamer's connection ended", streamer=peer.name, why=connection.why,
-                          attempts=len(attempts))
+            self.log.info(
+                "streamer's connection ended", streamer=peer.name, why=connection.why, attempts=len(attempts)
+            )
         for attempt in attempts.values():
             # one closed from this side: the streamer is yet to hear of it
             (self._over_soon if connection.by_us else self._over)(attempt, Ending.BROKEN)
@@ -287,9 +296,10 @@
                 except Unreached as wrong:
                     self.log.info("streamer not reached", streamer=peer.name, why=str(wrong))
                     continue
-                spare = [one for one, attempts in peer.connections.items()
-                         if one is not fresh and not attempts]
-                for connection in spare[:max(0, len(peer.connections) - MOST)]:  # the oldest may be dead
+                spare = [
+                    one for one, attempts in peer.connections.items() if one is not fresh and not attempts
+                ]
+                for connection in spare[: max(0, len(peer.connections) - MOST)]:  # the oldest may be dead
                     connection.close("replaced")
                 return
             if check or not peer.connections:
--- a/terndrift/platform/connection.py
+++ b/terndrift/platform/connection.py
@@ -35,8 +35,12 @@
 
 def stream(sock=None):
     """A stream with the platform's bounds, on `sock` or a new socket; raises OSError without a descriptor."""
-    return IOStream(sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
-                    max_buffer_size=2 * CHUNK, read_chunk_size=CHUNK, max_write_buffer_size=UNSENT)
+    return IOStream(
+        sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
+        max_buffer_size=2 * CHUNK,
+        read_chunk_size=CHUNK,
+        max_write_buffer_size=UNSENT,
+    )
 
 
 class Connection:
--- a/terndrift/platform/feed.py
+++ b/terndrift/platform/feed.py
@@ -66,9 +66,17 @@
         """One call, and what it brought taken. Raises Unreached, Broken, BadReply, CancelledError if the
         feed has moved meanwhile."""
         self.moved.clear()
-        self.call = asyncio.ensure_future(fetch(
-            self.pool, self.address, "GET", f"/v1/events?SUB={self.held}&wait={wait}", connect=connect,
-            within=within, most=LARGEST))
+        self.call = asyncio.ensure_future(
+            fetch(
+                self.pool,
+                self.address,
+                "GET",
+                f"/v1/events?SUB={self.held}&wait={wait}",
+                connect=connect,
+                within=within,
+                most=LARGEST,
+            )
+        )
         code, _, body = await self.call
         if code != 200:
             raise BadReply(f"answer {code}")
@@ -108,8 +116,12 @@
                     raise
             except (Unreached, Broken, BadReply) as wrong:
                 if not self.broken:  # once each time it is gone
-                    self.log.info("feed", address=self.address, why=str(wrong) or type(wrong).__name__,
-                                  after=round(time.monotonic() - began, 3))
+                    self.log.info(
+                        "feed",
+                        address=self.address,
+                        why=str(wrong) or type(wrong).__name__,
+                        after=round(time.monotonic() - began, 3),
+                    )
                 self.broken += 1
                 await self._wait(self.pause())
             except Exception as fault:  # the list must be followed all the same
@@ -148,8 +160,11 @@
 
     def _numbered(self, events):
         """(number, event) of those that have a number, in order."""
-        good = [(event["n"], event) for event in events
-                if isinstance(event, dict) and isinstance(event.get("n"), int)]
+        good = [
+            (event["n"], event)
+            for event in events
+            if isinstance(event, dict) and isinstance(event.get("n"), int)
+        ]
         if len(good) < len(events):
             self.log.warning("feed", why="an event without a number")
         return sorted(good, key=lambda pair: pair[0])
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -78,8 +78,9 @@
     def _close_quiet(self):
         """Closes a connection that nobody will miss, and says whether there was one: the first of those that
         have said nothing, else of those with nothing on them the one that was idle for longest."""
-        unused = [one for one, open in self.connections.items()
-                  if one.up() and not open and not self.standing[one]]
+        unused = [
+            one for one, open in self.connections.items() if one.up() and not open and not self.standing[one]
+        ]
         unused.sort(key=lambda one: (one.link.count > 0, one.idle_since()))
         victim = next((one for one in unused if not one.unread()), None)
         if victim is None:
@@ -93,8 +94,12 @@
         for connection, open in list(self.connections.items()):
             if connection.link.overdue(now):
                 connection.close("stops short")
-            elif (not open and not self.standing[connection] and now - connection.link.heard > IDLE
-                  and not connection.unread()):  # a set-up that has come is not closed upon
+            elif (
+                not open
+                and not self.standing[connection]
+                and now - connection.link.heard > IDLE
+                and not connection.unread()
+            ):  # a set-up that has come is not closed upon
                 connection.close("idle")
         for id, (since, *_, told) in list(self.expected.items()):
             if now - since > EXPECT and id in self.expected:
@@ -113,8 +118,11 @@
         for message in got:
             if not connection.up():
                 return
-            if (message.type == m.SET_UP and not m.plays_already(message)
-                    and (message.id in back or often[message.id] > 1)):
+            if (
+                message.type == m.SET_UP
+                and not m.plays_already(message)
+                and (message.id in back or often[message.id] > 1)
+            ):
                 connection.send(release(message.id, m.UNUSABLE))
             else:
                 self._message(connection, message)
@@ -153,13 +161,24 @@
             return
         viewing = Viewing(message.id, connection, said.passed)
         self.held[message.id] = self.connections[connection][message.id] = viewing
-        viewing.carried = self.host.do(self.host.core.want, self._wanted(viewing, said), self.carrier,
-                                       lambda answer: self._answered(viewing, answer))
+        viewing.carried = self.host.do(
+            self.host.core.want,
+            self._wanted(viewing, said),
+            self.carrier,
+            lambda answer: self._answered(viewing, answer),
+        )
 
     def _wanted(self, viewing, said):
         top = min(said.top, self.configuration.deployment.plans[said.plan].top, self.ladder - 1)
-        return Wanted(said.plan, said.title, self.layout.holders(said.first_cell, said.copies), top,
-                      said.time_left, said.length, about=viewing)
+        return Wanted(
+            said.plan,
+            said.title,
+            self.layout.holders(said.first_cell, said.copies),
+            top,
+            said.time_left,
+            said.length,
+            about=viewing,
+        )
 
     def _expect(self, connection, id, said):
         """What plays already. The decisions are handed it with the rung in force, as one told of it without
@@ -182,8 +201,9 @@
     def _hand_over(self, viewing, said, streamer, rung):
         if rung is not None:
             rung = min(max(rung, self.configuration.deployment.plans[said.plan].floor), self.ladder - 1)
-            viewing.carried = self.host.do(self.host.core.hand_over, self._wanted(viewing, said),
-                                           self.carrier, streamer, rung)
+            viewing.carried = self.host.do(
+                self.host.core.hand_over, self._wanted(viewing, said), self.carrier, streamer, rung
+            )
         if viewing.carried is None or viewing.carried.stage is Stage.OVER:
             self._forget(viewing)
             self._release(viewing)
--- a/terndrift/platform/link.py
+++ b/terndrift/platform/link.py
@@ -32,5 +32,3 @@
     def overdue(self, now):
         """Whether a message was begun too long ago."""
         return self.began is not None and now - self.began > self.half
-
-
--- a/terndrift/platform/message.py
+++ b/terndrift/platform/message.py
@@ -116,7 +116,7 @@
             raise Unreadable(f"parameter {code} is longer than its message")
         if code in parts:
             raise Unreadable(f"parameter {code} comes twice")
-        parts[code] = bytes(body[at:at + size])
+        parts[code] = bytes(body[at : at + size])
         at += size
     return Message(type, id, parts)
 
@@ -131,7 +131,7 @@
         if len(buffer) - at < size + 2:
             break
         _, type, id = HEAD.unpack_from(buffer, at)
-        out.append(decode(type, id, memoryview(buffer)[at + 11:at + 2 + size]))
+        out.append(decode(type, id, memoryview(buffer)[at + 11 : at + 2 + size]))
         at += size + 2
     if at:
         del buffer[:at]
@@ -185,11 +185,16 @@
     # a second over the plan's own: clocks and ways differ, and what plays already waits for nothing
     longest = plans[plan] // MS + 1000 if plays_at is None else 10**9
     return Asked(
-        plan, title, whole(message.text(WAIT, ""), "a wait of", 1, longest) * MS, int(length),
+        plan,
+        title,
+        whole(message.text(WAIT, ""), "a wait of", 1, longest) * MS,
+        int(length),
         whole(figures.get("home", ""), "home", 0, cells - 1),
         whole(figures.get("copies", ""), "copies", 1, cells),
-        whole(figures.get("top", ""), "top", 0, 255), plays_at,
-        tuple((code, message.parts[code]) for code in (PLAN, TITLE, DESCRIPTION)))
+        whole(figures.get("top", ""), "top", 0, 255),
+        plays_at,
+        tuple((code, message.parts[code]) for code in (PLAN, TITLE, DESCRIPTION)),
+    )
 
 
 # What streamers say.
--- a/terndrift/platform/peer.py
+++ b/terndrift/platform/peer.py
@@ -20,8 +20,9 @@
 
     def idle(self):
         """Whether nothing needs it any more."""
-        return not (self.playing or self.expected or self.connecting or self.waiting
-                    or any(self.connections.values()))
+        return not (
+            self.playing or self.expected or self.connecting or self.waiting or any(self.connections.values())
+        )
 
     def up(self):
         """The connections on which messages can be sent."""
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -54,8 +54,13 @@
     def __init__(self, configuration, log, path=None):
         self.configuration, self.log, self.path = configuration, log, path
         self.clock, self.stage = Clock(), Stage.STARTING
-        self.core = Core(configuration.deployment, self.clock.now(), configuration.name,
-                         configuration.drain_grace, logs.watcher(log))
+        self.core = Core(
+            configuration.deployment,
+            self.clock.now(),
+            configuration.name,
+            configuration.drain_grace,
+            logs.watcher(log),
+        )
         self.host = Host(self.core, self.clock)
         self.carrier = Carrier(self.host, configuration, log)
         self.front = Front(self.host, self.carrier, configuration, log)
--- a/terndrift/platform/settings.py
+++ b/terndrift/platform/settings.py
@@ -75,17 +75,22 @@
     if not isinstance(events, list):
         raise Malformed("known.events: missing, or not a list")
     return Configuration(
-        name=value["name"], listen=address(value["listen"], "listen"), feed=value["feed"],
+        name=value["name"],
+        listen=address(value["listen"], "listen"),
+        feed=value["feed"],
         descriptors=shared_out(terms.whole(limits, "limits.sockets", 1024, 16)),
-        deployment=replace(made, seed=seed), layout=layout,
+        deployment=replace(made, seed=seed),
+        layout=layout,
         deadlines=terms.deadlines(flat),
         connect=terms.whole(flat, "ceilings.connect_timeout_ns", 250 * 10**6, 1),
         keepalive=terms.whole(flat, "ceilings.keepalive_ns", 30 * 10**9, 1),
         most_on_connection=terms.whole(flat, "ceilings.max_streams", 2**20, 1),
         tell_every=terms.whole(flat, "family_info.reports_every_ns", 0, 0),
-        drain_grace=terms.whole(flat, "rules.drain_grace_ns", 0, 0), known=events,
+        drain_grace=terms.whole(flat, "rules.drain_grace_ns", 0, 0),
+        known=events,
         unknown=flat.unknown(),  # last: what is read above counts
-        values=terms.flat({key: part for key, part in value.items() if key not in EXPECTED_TO_CHANGE}))
+        values=terms.flat({key: part for key, part in value.items() if key not in EXPECTED_TO_CHANGE}),
+    )
 
 
 def changed_beside_feed(old, new):
@@ -105,9 +110,19 @@
         name, cell = str(row["host"]), int(row["block"])
         standing = STANDINGS[row["health"]]
         started = int(row.get("born_ms") or 0)
-        return Listed(
-            id=streamer_id(name), kind=str(row.get("class", "")), zone=str(row.get("site", "")), cell=cell,
-            rack=layout.rack(cell), standing=standing, weight=float(row.get("share", 1)),
-            started=clock.of_wall_ns(started * 1_000_000)), name, str(row.get("dial", ""))
+        return (
+            Listed(
+                id=streamer_id(name),
+                kind=str(row.get("class", "")),
+                zone=str(row.get("site", "")),
+                cell=cell,
+                rack=layout.rack(cell),
+                standing=standing,
+                weight=float(row.get("share", 1)),
+                started=clock.of_wall_ns(started * 1_000_000),
+            ),
+            name,
+            str(row.get("dial", "")),
+        )
     except (KeyError, TypeError, ValueError, OverflowError) as wrong:
         raise Malformed(f"a row of the list: {type(wrong).__name__} {wrong}") from None
--- a/terndrift/process.py
+++ b/terndrift/process.py
@@ -42,8 +42,10 @@
 def _memory():
     """Of the control group (cgroup v2) that it sees as its own."""
     try:
-        with open("/sys/fs/cgroup/memory.max", encoding="ascii") as most, \
-                open("/sys/fs/cgroup/memory.current", encoding="ascii") as now:
+        with (
+            open("/sys/fs/cgroup/memory.max", encoding="ascii") as most,
+            open("/sys/fs/cgroup/memory.current", encoding="ascii") as now,
+        ):
             return int(now.read()) / int(most.read())
     except (OSError, ValueError):  # none, or "max"
         return 0.0
--- a/terndrift/records/__init__.py
+++ b/terndrift/records/__init__.py
@@ -60,8 +60,14 @@
     out = None if reading.faults else plain(value, reading)
     if reading.faults:
         # a value that nobody gave stands at its place in the schema; what is wrong is the file
-        raise Wrong([f if not f.place.file.startswith("<schema>") else
-                     Fault(Place(name, 1, 1), f.path, f.found, f.wanted) for f in reading.faults])
+        raise Wrong(
+            [
+                f
+                if not f.place.file.startswith("<schema>")
+                else Fault(Place(name, 1, 1), f.path, f.found, f.wanted)
+                for f in reading.faults
+            ]
+        )
     if shape is None:
         return out
     try:
--- a/terndrift/records/parse.py
+++ b/terndrift/records/parse.py
@@ -26,11 +26,31 @@
 WORDS = {"true": (BOOL, True), "false": (BOOL, False), "null": (NULL, None)}
 # Deeper than any file that a person writes; guards the reader's own stack against one that nobody did.
 DEEPEST = 64
-NAMES = {"NAME": "a name", "QUANTITY": "a quantity", "INT": "a number", "FLOAT": "a number", "STRING": "text",
-         "DEFINITION": "a definition", "LBRACE": "'{'", "RBRACE": "'}'", "LSQB": "'['", "RSQB": "']'",
-         "COLON": "':'", "COMMA": "','", "VBAR": "'|'", "LPAR": "'('", "RPAR": "')'", "BOUND": "a bound",
-         "MARK": "'*'", "DOT": "'.'", "__ANON_0": "'...'", "OPTIONAL": "'?'", "INCLUDE": "'include'",
-         "__ANON_1": "'&'", "$END": "the end of the file"}
+NAMES = {
+    "NAME": "a name",
+    "QUANTITY": "a quantity",
+    "INT": "a number",
+    "FLOAT": "a number",
+    "STRING": "text",
+    "DEFINITION": "a definition",
+    "LBRACE": "'{'",
+    "RBRACE": "'}'",
+    "LSQB": "'['",
+    "RSQB": "']'",
+    "COLON": "':'",
+    "COMMA": "','",
+    "VBAR": "'|'",
+    "LPAR": "'('",
+    "RPAR": "')'",
+    "BOUND": "a bound",
+    "MARK": "'*'",
+    "DOT": "'.'",
+    "__ANON_0": "'...'",
+    "OPTIONAL": "'?'",
+    "INCLUDE": "'include'",
+    "__ANON_1": "'&'",
+    "$END": "the end of the file",
+}
 
 
 @lru_cache(maxsize=1)
@@ -171,8 +191,11 @@
         for child in tree.children:
             if child.data == "rest":
                 inner = child.children
-                rest = self.value(inner[0], scope, f"{path}[]", file) if inner else Scalar(
-                    None, (), self._place(child, file))
+                rest = (
+                    self.value(inner[0], scope, f"{path}[]", file)
+                    if inner
+                    else Scalar(None, (), self._place(child, file))
+                )
             else:
                 items.append(self.value(child, scope, f"{path}[{len(items)}]", file))
         return ListOf(tuple(items), rest, self._place(tree, file))
--- a/terndrift/records/values.py
+++ b/terndrift/records/values.py
@@ -44,8 +44,14 @@
         return shown(self.kind, self.value)
 
 
-OPS = {">=": operator.ge, "<=": operator.le, ">": operator.gt, "<": operator.lt, "!=": operator.ne,
-       "=~": lambda value, pattern: re.search(pattern, value) is not None}
+OPS = {
+    ">=": operator.ge,
+    "<=": operator.le,
+    ">": operator.gt,
+    "<": operator.lt,
+    "!=": operator.ne,
+    "=~": lambda value, pattern: re.search(pattern, value) is not None,
+}
 
 
 @dataclass(frozen=True)
@@ -60,8 +66,12 @@
         for op, limit in self.bounds:
             if op == "=~" and atom.kind is not STRING:
                 return False
-            comparable = atom.kind is limit.kind or not isinstance(atom.value, str | bool) and not isinstance(
-                limit.value, str | bool) and {atom.kind.name, limit.kind.name} <= {"int", "float"}
+            comparable = (
+                atom.kind is limit.kind
+                or not isinstance(atom.value, str | bool)
+                and not isinstance(limit.value, str | bool)
+                and {atom.kind.name, limit.kind.name} <= {"int", "float"}
+            )
             if not comparable or not OPS[op](atom.value, limit.value):
                 return False
         return True
@@ -195,8 +205,12 @@
 
 
 def _meet_structs(a, b, reading, path):
-    out = Struct({}, a.patterns + [p for p in b.patterns if p not in a.patterns], a.closed or b.closed,
-                 b.place if a.closed else a.place)
+    out = Struct(
+        {},
+        a.patterns + [p for p in b.patterns if p not in a.patterns],
+        a.closed or b.closed,
+        b.place if a.closed else a.place,
+    )
     for name in [*a.members, *(n for n in b.members if n not in a.members)]:
         mine, theirs = a.members.get(name), b.members.get(name)
         here = under(path, name)
--- a/terndrift/rehearse/baselines.py
+++ b/terndrift/rehearse/baselines.py
@@ -29,5 +29,9 @@
         return sorted(able, key=lambda s: (len(s.playbacks), self._chance()))
 
 
-POLICIES = {"design": Controller, "random": Random, "round-robin": RoundRobin,
-            "least-connections": LeastConnections}
+POLICIES = {
+    "design": Controller,
+    "random": Random,
+    "round-robin": RoundRobin,
+    "least-connections": LeastConnections,
+}
--- a/terndrift/rehearse/between.py
+++ b/terndrift/rehearse/between.py
@@ -24,7 +24,7 @@
     def __init__(self, rehearsal):
         self.rehearsal = rehearsal
         self.names = [f"c{n}" for n in range(rehearsal.controllers)]
-        self.voters = self.names[:rehearsal.day["members"]["voters"]]
+        self.voters = self.names[: rehearsal.day["members"]["voters"]]
         self.network, self.pool = Network(self.names, rehearsal.seed), Pool(4)
         self.chance, self.ended = random.Random(f"between/{rehearsal.seed}"), False
         self.works = rehearsal.day["work"]["share"] > 0 and rehearsal.day["work"]["by"] == "settled"
@@ -56,19 +56,34 @@
     def front(self, n):
         """The `fleet` of the n-th controller's front file. The others reach it by the network's addresses, so
         that it may listen elsewhere after a restart: its old port may be somebody's by then."""
-        return {"name": "rehearsed", "datagrams": "127.0.0.1:0", "http": "127.0.0.1:0", "voters": self.voters,
-                "store": f"c{n}.record" if f"c{n}" in self.voters else "", "work": self.works,
-                "members": self.network.members(f"c{n}"), "front": "listen",
-                "shed": self.rehearsal.day["members"]["shed"],
-                "limits": self.rehearsal.day["members"]["limits"]}
+        return {
+            "name": "rehearsed",
+            "datagrams": "127.0.0.1:0",
+            "http": "127.0.0.1:0",
+            "voters": self.voters,
+            "store": f"c{n}.record" if f"c{n}" in self.voters else "",
+            "work": self.works,
+            "members": self.network.members(f"c{n}"),
+            "front": "listen",
+            "shed": self.rehearsal.day["members"]["shed"],
+            "limits": self.rehearsal.day["members"]["limits"],
+        }
 
     async def ask(self, n, method, path, value=None, within=1.0):
         """The JSON of an admin listener; None: no answer, or not a good one."""
         body = b"" if value is None else msgspec.json.encode(value)
         try:
             length = {"Content-Length": str(len(body))}
-            code, _, got = await fetch(self.pool, self.rehearsal.admins[n], method, path, length,
-                                       within=within, body=body, connect=0.5)
+            code, _, got = await fetch(
+                self.pool,
+                self.rehearsal.admins[n],
+                method,
+                path,
+                length,
+                within=within,
+                body=body,
+                connect=0.5,
+            )
         except (Unreached, Broken, KeyError):
             return None
         return json.loads(got) if code == 200 else None
@@ -89,8 +104,12 @@
             shutil.copytree(self.own(n), self.own(n) + ".earlier")
 
     def work(self):
-        return [self._looks(), self._proposals(), self._converges(),
-                *(self._trouble(*trouble) for trouble in self.rehearsal.drawn.between)]
+        return [
+            self._looks(),
+            self._proposals(),
+            self._converges(),
+            *(self._trouble(*trouble) for trouble in self.rehearsal.drawn.between),
+        ]
 
     async def _looks(self):
         while not self.ended:
@@ -103,8 +122,15 @@
         at = time.monotonic_ns()
         said = await self.ask(n, "GET", "/fleet/record")
         if said is not None:
-            self.note("looked", at=at, controller=f"c{n}", role=said["role"], epoch=said["epoch"][0],
-                      agreed=said["agreed"], age_s=said["age_s"])
+            self.note(
+                "looked",
+                at=at,
+                controller=f"c{n}",
+                role=said["role"],
+                epoch=said["epoch"][0],
+                agreed=said["agreed"],
+                age_s=said["age_s"],
+            )
 
     async def _proposals(self):
         rate, at, n = self.rehearsal.day["members"]["propose"], 0.0, 0
@@ -168,14 +194,19 @@
     async def _both(self):
         """What all know of members and record."""
         numbers = range(len(self.names))
-        return [await asyncio.gather(*(self.ask(n, "GET", path) for n in numbers))
-                for path in ("/fleet/members", "/fleet/record")]
+        return [
+            await asyncio.gather(*(self.ask(n, "GET", path) for n in numbers))
+            for path in ("/fleet/members", "/fleet/record")
+        ]
 
     async def _converges(self):
         """After the last fault: until all see each other, and know as much as was agreed by then."""
         drawn = self.rehearsal.drawn
-        last = max([at + lasts for at, _, _, lasts, _ in drawn.between]
-                   + [at + lasts for at, _, lasts, _ in drawn.kills], default=0)
+        last = max(
+            [at + lasts for at, _, _, lasts, _ in drawn.between]
+            + [at + lasts for at, _, lasts, _ in drawn.kills],
+            default=0,
+        )
         await self.rehearsal._until(last)
         began = time.monotonic()
         members, records = await self._both()
@@ -204,11 +235,15 @@
     @staticmethod
     def _alive(members):
         return all(members) and all(
-            m["standing"] == "alive" for said in members for m in said["members"].values())
+            m["standing"] == "alive" for said in members for m in said["members"].values()
+        )
 
     def _same(self, members, records):
-        return self._alive(members) and all(records) and len(
-            {(tuple(s["epoch"]), s["agreed"]) for s in records}) == 1
+        return (
+            self._alive(members)
+            and all(records)
+            and len({(tuple(s["epoch"]), s["agreed"]) for s in records}) == 1
+        )
 
     def deaths(self):
         """(ns on this machine's clock, who said so, of whom), from the controllers' logs."""
--- a/terndrift/rehearse/churn.py
+++ b/terndrift/rehearse/churn.py
@@ -33,7 +33,8 @@
                 continue
             standing = worst((off, edited))
             clusters[f"rack-{self.cluster[id]}"][line.name] = replace(
-                line, standing=standing, started=r.started.get(id, 0.0))
+                line, standing=standing, started=r.started.get(id, 0.0)
+            )
         self.source.clusters = clusters
         self.source.changed()
 
--- a/terndrift/rehearse/crowd.py
+++ b/terndrift/rehearse/crowd.py
@@ -23,8 +23,10 @@
     bad = None
 
     def said(self, **more):
-        return {"CMCD-Session": f'sid="{self.visit}"', **{k: v for k, v in self.bad.items()
-                                                          if k != "CMCD-Session"}}
+        return {
+            "CMCD-Session": f'sid="{self.visit}"',
+            **{k: v for k, v in self.bad.items() if k != "CMCD-Session"},
+        }
 
 
 async def call(value, row, chance, ledger):
@@ -33,9 +35,19 @@
     socket = Socket(f"{value['seed']}/{row['visit']}", calls["loss"], calls["double"], calls["late"])
     n = chance.randrange(len(value["sips"]))
     seconds = int(row["seconds"] * SECOND)
-    caller = await socket.open(lambda address: Caller(
-        address, ledger, value["sips"][n], row["title"], row["visit"], row["bits"],
-        int(row["abandon"] * SECOND), seconds, calls["t1"]))
+    caller = await socket.open(
+        lambda address: Caller(
+            address,
+            ledger,
+            value["sips"][n],
+            row["title"],
+            row["visit"],
+            row["bits"],
+            int(row["abandon"] * SECOND),
+            seconds,
+            calls["t1"],
+        )
+    )
     seen = Seen(caller, value["controllers"][n], row, ledger)
     socket.heard, socket.sent = seen.heard, seen.sent
     try:
@@ -59,8 +71,14 @@
         if not self.asked and data.startswith(b"INVITE"):
             self.asked = True
             until = time.monotonic_ns() + int(self.row["abandon"] * SECOND)
-            self.ledger.note("ask", ask=self.caller.call_id, visit=self.row["visit"], title=self.row["title"],
-                             controller=self.controller, until=until)
+            self.ledger.note(
+                "ask",
+                ask=self.caller.call_id,
+                visit=self.row["visit"],
+                title=self.row["title"],
+                controller=self.controller,
+                until=until,
+            )
 
     def heard(self, data):
         code = data[8:11]
@@ -93,9 +111,18 @@
             task.add_done_callback(playing.discard)
             continue
         make = Player if row["odd"] is None else Odd
-        player = make(lambda c=chance: c.choice(addresses), row["title"], ledger, pool, row["visit"],
-                      row["plan"], row["abandon"], row["top"], row["seconds"],
-                      pause=lambda p=row["pause"]: p)
+        player = make(
+            lambda c=chance: c.choice(addresses),
+            row["title"],
+            ledger,
+            pool,
+            row["visit"],
+            row["plan"],
+            row["abandon"],
+            row["top"],
+            row["seconds"],
+            pause=lambda p=row["pause"]: p,
+        )
         player.bad = ODD[row["odd"]] if row["odd"] is not None else None
         if not row["returns"]:
             player.pause = lambda: 1e9
--- a/terndrift/rehearse/demo.py
+++ b/terndrift/rehearse/demo.py
@@ -18,7 +18,9 @@
 	titles: "shelving": {plan: "recorded", seconds: 10}
 }
 """
-FLEET = DEPLOYMENT + """
+FLEET = (
+    DEPLOYMENT
+    + """
 uplinks: {"0": 4MB/s, "1": 2MB/s}
 streamers: {
 	"a": {id: 1, rack: 0, kind: "box", link: 2MB/s}
@@ -26,6 +28,7 @@
 	"c": {id: 3, rack: 1, kind: "box", link: 2MB/s}
 }
 """
+)
 
 
 class Quiet:
@@ -66,8 +69,13 @@
 
 async def _try(say, address):
     pool = Pool()
-    code, headers, _ = await fetch(pool, address, "GET", "/v/shelving/main.m3u8",
-                                   {"CMCD-Session": 'sid="demo"', "CMCD-Object": "tb=1600"})
+    code, headers, _ = await fetch(
+        pool,
+        address,
+        "GET",
+        "/v/shelving/main.m3u8",
+        {"CMCD-Session": 'sid="demo"', "CMCD-Object": "tb=1600"},
+    )
     say(f"set-up answered {code}, {headers.get('CMSD-Dynamic')}")
     seen = await Player(lambda: address, "shelving", Quiet(), pool, seconds=10.0).watch()
     say(f"a player saw {seen:.0f} s of the title")
--- a/terndrift/rehearse/draw.py
+++ b/terndrift/rehearse/draw.py
@@ -40,8 +40,14 @@
         at = int(trouble["from"] * seconds * SECOND)
         kind, lasts = trouble["kind"], trouble["lasts"]
         some = _share(chance, [s["id"] for s in out.streamers], trouble["share"])
-        fault = {"at": at, "lasts": lasts, "kind": kind, "size": trouble["size"], "streamers": some,
-                 "racks": []}
+        fault = {
+            "at": at,
+            "lasts": lasts,
+            "kind": kind,
+            "size": trouble["size"],
+            "streamers": some,
+            "racks": [],
+        }
         if kind == "surge":
             rates += [(at, day["viewers"]["rate"] * trouble["size"]), (at + lasts, day["viewers"]["rate"])]
         elif kind == "kill":
@@ -123,15 +129,16 @@
     for n, id in enumerate(ids):
         begin = at + n * turn
         gone, back = begin + turn // 3, begin + 2 * turn // 3
-        out.faults.append({"at": gone, "lasts": back - gone, "kind": "die", "size": 1.0,
-                           "streamers": [id], "racks": []})
+        out.faults.append(
+            {"at": gone, "lasts": back - gone, "kind": "die", "size": 1.0, "streamers": [id], "racks": []}
+        )
         out.edits += [(begin, id, "draining", None), (back + late // 3, id, "ready", back)]
 
 
 ODD = (  # hints that players get wrong: the set-up must play all the same
-    {"CMCD-Request": "bl=,mtp=-3,,dl=\"x\""},
+    {"CMCD-Request": 'bl=,mtp=-3,,dl="x"'},
     {"CMCD-Object": "tb=1,br=99999999999999999999"},
-    {"CMCD-Session": "sid=\"" + "x" * 300 + "\",cid=5"},
+    {"CMCD-Session": 'sid="' + "x" * 300 + '",cid=5'},
     {"CMCD-Status": "bs=maybe,rtp"},
 )
 
@@ -155,12 +162,22 @@
         top = max(plan["floor"], len(ladder) // 2 - 1) if small else len(ladder) - 1
         leaves = chance.random() < day["viewers"]["leave"]
         length = row["seconds"] * (chance.uniform(0.3, 0.9) if leaves else 1)
-        out.append({
-            "at": int(at * SECOND), "visit": f"v{n}", "title": title, "plan": row["plan"],
-            "abandon": plan["abandon"] / SECOND, "seconds": length, "top_rung": top,
-            "top": int(ladder[top] * plan["scale"] * 8 / 1000) if small else None,
-            "returns": chance.random() < day["viewers"]["returns"], "pause": chance.uniform(0.5, 2.5),
-            "call": title in day["calls"]["titles"], "bits": int(ladder[top] * plan["scale"] * 8),
-            "odd": chance.randrange(len(ODD)) if chance.random() < day["viewers"]["odd"] else None,
-            "luck": chance.random()})
+        out.append(
+            {
+                "at": int(at * SECOND),
+                "visit": f"v{n}",
+                "title": title,
+                "plan": row["plan"],
+                "abandon": plan["abandon"] / SECOND,
+                "seconds": length,
+                "top_rung": top,
+                "top": int(ladder[top] * plan["scale"] * 8 / 1000) if small else None,
+                "returns": chance.random() < day["viewers"]["returns"],
+                "pause": chance.uniform(0.5, 2.5),
+                "call": title in day["calls"]["titles"],
+                "bits": int(ladder[top] * plan["scale"] * 8),
+                "odd": chance.randrange(len(ODD)) if chance.random() < day["viewers"]["odd"] else None,
+                "luck": chance.random(),
+            }
+        )
         n += 1
--- a/terndrift/rehearse/run.py
+++ b/terndrift/rehearse/run.py
@@ -35,8 +35,10 @@
     """A plain value in the record language."""
     pad = "\t" * indent
     if isinstance(value, dict):
-        inner = "".join(f"{pad}\t{msgspec.json.encode(str(k)).decode()}: {written(v, indent + 1)}\n"
-                        for k, v in value.items())
+        inner = "".join(
+            f"{pad}\t{msgspec.json.encode(str(k)).decode()}: {written(v, indent + 1)}\n"
+            for k, v in value.items()
+        )
         return "{\n" + inner + pad + "}"
     if isinstance(value, list):
         return "[" + ", ".join(written(v, indent + 1) for v in value) + "]"
@@ -57,21 +59,35 @@
 
 def deployment_text(d):
     """A deployment's plain value back in the language: durations and rates get their units again."""
-    plans = {n: {**p, "startup_target": ns(p["startup_target"]), "abandon": ns(p["abandon"])}
-             for n, p in d["plans"].items()}
-    ladder = {**d["ladder"], "rates": [rate(r) for r in d["ladder"]["rates"]],
-              "switch_cost": ns(d["ladder"]["switch_cost"])}
-    links = {**d["links"], "unit": rate(d["links"]["unit"]), "uplink": rate(d["links"]["uplink"]),
-             "lag": ns(d["links"]["lag"])}
+    plans = {
+        n: {**p, "startup_target": ns(p["startup_target"]), "abandon": ns(p["abandon"])}
+        for n, p in d["plans"].items()
+    }
+    ladder = {
+        **d["ladder"],
+        "rates": [rate(r) for r in d["ladder"]["rates"]],
+        "switch_cost": ns(d["ladder"]["switch_cost"]),
+    }
+    links = {
+        **d["links"],
+        "unit": rate(d["links"]["unit"]),
+        "uplink": rate(d["links"]["uplink"]),
+        "lag": ns(d["links"]["lag"]),
+    }
     times = ("drain_grace", "cold_for", "fall_window", "extra_window", "longest_advice")
     rules = {k: ns(v) if k in times else v for k, v in d["rules"].items()}
-    return {"plans": plans, "ladder": ladder, "links": links, "rules": rules, "titles": d["titles"],
-            "segment": ns(d["segment"])}
+    return {
+        "plans": plans,
+        "ladder": ladder,
+        "links": links,
+        "rules": rules,
+        "titles": d["titles"],
+        "segment": ns(d["segment"]),
+    }
 
 
 class Rehearsal:
-    def __init__(self, day, seed, controllers, streamers, seconds, policy="design", folder=None,
-                 plot=None):
+    def __init__(self, day, seed, controllers, streamers, seconds, policy="design", folder=None, plot=None):
         self.day, self.seed, self.seconds, self.policy = day, seed, seconds, policy
         self.controllers, self.folder, self.plot = controllers, folder, plot
         self.drawn = drawn(day, seed, controllers, streamers, seconds)
@@ -113,7 +129,8 @@
     async def _spawn(self, name, *args):
         log = open(self.path(f"{name}.log"), "ab")  # noqa: SIM115 - the child's own
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", *args, stdout=log, stderr=log, stdin=asyncio.subprocess.DEVNULL)
+            sys.executable, "-m", *args, stdout=log, stderr=log, stdin=asyncio.subprocess.DEVNULL
+        )
         log.close()
         self.processes[name] = process
         return process
@@ -136,16 +153,29 @@
         for rack in racks:
             mine = [s for s in self.drawn.streamers if s["rack"] == rack and s["kind"] != "room"]
             ids = {s["id"] for s in mine}
-            script = [{**f, "at": ns(f["at"]), "lasts": ns(f["lasts"]),
-                       "streamers": [i for i in f["streamers"] if i in ids],
-                       "racks": [r for r in f["racks"] if r == rack]} for f in self.drawn.faults]
-            value = {"deployment": deployment_text(d), "begin": self.begin,
-                     "ledger": self.path(f"rack{rack}.jsonl"), "ready": self.path(f"rack{rack}.ready"),
-                     "uplinks": {str(rack): rate(self.drawn.uplinks[rack])},
-                     "streamers": {s["name"]: {"id": s["id"], "rack": rack, "kind": s["kind"],
-                                               "link": rate(s["link"])} for s in mine},
-                     "script": [f for f in script if f["streamers"] or f["racks"]],
-                     "orders": self.path(f"rack{rack}.orders") if self.working else ""}
+            script = [
+                {
+                    **f,
+                    "at": ns(f["at"]),
+                    "lasts": ns(f["lasts"]),
+                    "streamers": [i for i in f["streamers"] if i in ids],
+                    "racks": [r for r in f["racks"] if r == rack],
+                }
+                for f in self.drawn.faults
+            ]
+            value = {
+                "deployment": deployment_text(d),
+                "begin": self.begin,
+                "ledger": self.path(f"rack{rack}.jsonl"),
+                "ready": self.path(f"rack{rack}.ready"),
+                "uplinks": {str(rack): rate(self.drawn.uplinks[rack])},
+                "streamers": {
+                    s["name"]: {"id": s["id"], "rack": rack, "kind": s["kind"], "link": rate(s["link"])}
+                    for s in mine
+                },
+                "script": [f for f in script if f["streamers"] or f["racks"]],
+                "orders": self.path(f"rack{rack}.orders") if self.working else "",
+            }
             with open(self.path(f"rack{rack}.rec"), "w", encoding="utf-8") as file:
                 file.write(written(value)[2:-1])
             await self._spawn(f"rack{rack}", "terndrift", "streamer", self.path(f"rack{rack}.rec"))
@@ -154,12 +184,17 @@
             self.lines.update(records.load(self.path(f"rack{rack}.ready"), "list")["streamers"])
         places = d["links"]["places"]
         begin = time.monotonic_ns() + int((self.begin - time.time()) * SECOND)
-        self.ledger.note("fleet", begin=begin, uplinks={str(n): up for n, up in self.drawn.uplinks.items()},
-                         streamers=[{**s, "places": places.get(s["kind"], 8)} for s in self.drawn.streamers])
+        self.ledger.note(
+            "fleet",
+            begin=begin,
+            uplinks={str(n): up for n, up in self.drawn.uplinks.items()},
+            streamers=[{**s, "places": places.get(s["kind"], 8)} for s in self.drawn.streamers],
+        )
         for trouble in self.day["troubles"]:
             if trouble["kind"] == "surge":
-                self.ledger.note("surge", t=begin + int(trouble["from"] * self.seconds * SECOND),
-                                 lasts=trouble["lasts"])
+                self.ledger.note(
+                    "surge", t=begin + int(trouble["from"] * self.seconds * SECOND), lasts=trouble["lasts"]
+                )
         if self.day["calls"]["rooms"]:
             await self._rooms()
         if self.churn:
@@ -178,10 +213,19 @@
     async def _rooms(self):
         """The media servers, a process of their own."""
         calls, rooms = self.day["calls"], [s for s in self.drawn.streamers if s["kind"] == "room"]
-        value = {"rooms": rooms, "places": calls["places"], "t1": calls["t1"], "seed": self.seed,
-                 "loss": calls["loss"], "double": calls["double"], "late": calls["late"], "begin": self.begin,
-                 "script": self.drawn.faults, "ledger": self.path("rooms.jsonl"),
-                 "ready": self.path("rooms.ready")}
+        value = {
+            "rooms": rooms,
+            "places": calls["places"],
+            "t1": calls["t1"],
+            "seed": self.seed,
+            "loss": calls["loss"],
+            "double": calls["double"],
+            "late": calls["late"],
+            "begin": self.begin,
+            "script": self.drawn.faults,
+            "ledger": self.path("rooms.jsonl"),
+            "ready": self.path("rooms.ready"),
+        }
         with open(self.path("rooms.json"), "wb") as file:
             file.write(msgspec.json.encode(value))
         await self._spawn("rooms", "terndrift.standin.rooms", self.path("rooms.json"))
@@ -193,16 +237,23 @@
         write_list(self.path("list.rec"), self.lines, self.started, self.standing)
 
     async def _controller(self, n, listen, sip):
-        value = {"deployment": deployment_text(self.day["deployment"]),
-                 "controller": {"name": f"c{n}", "rank": n, "of": self.controllers,
-                                "seed": self.seed * 100 + n},
-                 "http": {"listen": listen, "drain": ns(SECOND)}, "list": "" if self.churn else "list.rec",
-                 "list_poll": ns(LIST_POLL * SECOND), "ready": f"c{n}.ready",
-                 "log": {"level": "info", "form": "json"},
-                 "catalogue": {"admin": "127.0.0.1:0", "store": f"c{n}.store"}}
+        value = {
+            "deployment": deployment_text(self.day["deployment"]),
+            "controller": {"name": f"c{n}", "rank": n, "of": self.controllers, "seed": self.seed * 100 + n},
+            "http": {"listen": listen, "drain": ns(SECOND)},
+            "list": "" if self.churn else "list.rec",
+            "list_poll": ns(LIST_POLL * SECOND),
+            "ready": f"c{n}.ready",
+            "log": {"level": "info", "form": "json"},
+            "catalogue": {"admin": "127.0.0.1:0", "store": f"c{n}.store"},
+        }
         if self.day["calls"]["rooms"]:
-            value["sip"] = {"listen": sip, "t1": ns(self.day["calls"]["t1"]),
-                            "session": ns(self.day["calls"]["session"]), "least_session": ns(SECOND)}
+            value["sip"] = {
+                "listen": sip,
+                "t1": ns(self.day["calls"]["t1"]),
+                "session": ns(self.day["calls"]["session"]),
+                "least_session": ns(SECOND),
+            }
         if self.between:
             value["fleet"] = self.between.front(n)
         if self.churn:
@@ -218,23 +269,34 @@
         if self.between:
             *sip, datagrams, bodies = sip
             self.between.network.at(f"c{n}", datagrams, bodies)
-        self.sips[n:n + 1] = sip
-        self.addresses[n:n + 1] = [address]
+        self.sips[n : n + 1] = sip
+        self.addresses[n : n + 1] = [address]
         self.ledger.note("controller up", name=f"c{n}", address=address)
         return address
 
     async def _day(self):
-        value = {"ledger": self.path("viewers.jsonl"), "controllers": self.addresses, "begin": self.begin,
-                 "seed": self.seed, "tail": TAIL, "sips": self.sips, "calls": self.day["calls"],
-                 "arrivals": self.drawn.arrivals}
+        value = {
+            "ledger": self.path("viewers.jsonl"),
+            "controllers": self.addresses,
+            "begin": self.begin,
+            "seed": self.seed,
+            "tail": TAIL,
+            "sips": self.sips,
+            "calls": self.day["calls"],
+            "arrivals": self.drawn.arrivals,
+        }
         with open(self.path("viewers.json"), "wb") as file:
             file.write(msgspec.json.encode(value))
         crowd = await self._spawn("viewers", "terndrift.rehearse.crowd", self.path("viewers.json"))
         work = [asyncio.ensure_future(self._edits())]
         work += [asyncio.ensure_future(self._swaps(n)) for n in range(self.controllers)]
         work += [asyncio.ensure_future(self._kill(*kill)) for kill in self.drawn.kills]
-        work += [asyncio.ensure_future(w) for part in (self.churn, self.between, self.working) if part
-                 for w in part.work()]
+        work += [
+            asyncio.ensure_future(w)
+            for part in (self.churn, self.between, self.working)
+            if part
+            for w in part.work()
+        ]
         await asyncio.wait_for(crowd.wait(), self.seconds + TAIL + 60)
         await asyncio.gather(*work)
         if self.between:
@@ -336,20 +398,31 @@
         return [f"rack{rack}.jsonl" for rack in sorted(self.drawn.uplinks)] + rooms
 
     def facts(self):
-        notes = {"viewers": read(self.path("viewers.jsonl")), "runner": read(self.path("runner.jsonl")),
-                 "streamers": [n for name in self._ledgers() for n in read(self.path(name))]}
+        notes = {
+            "viewers": read(self.path("viewers.jsonl")),
+            "runner": read(self.path("runner.jsonl")),
+            "streamers": [n for name in self._ledgers() for n in read(self.path(name))],
+        }
         return judge.Facts(self.day["deployment"], notes, told_within=LIST_POLL + 0.2)
 
     def report(self, facts):
-        return {"seed": self.seed, "policy": self.policy, "controllers": self.controllers,
-                "streamers": len(self.drawn.streamers), "seconds": self.seconds,
-                **figures.report(facts, [a for a in self.drawn.arrivals if not a["call"]]),
-                **seconds.report(facts, self.seconds), **recovery.report(facts, self.seconds),
-                **placements.report(facts), **overload.report(facts, self.seconds),
-                **(calls.report(facts, self.drawn.arrivals) if self.day["calls"]["rooms"] else {}),
-                **(told_off.report(facts) if self.churn else {}),
-                **(fleet.report(facts, self.between.deaths()) if self.between else {}), **fleet.worked(facts),
-                **judge.report(facts)}
+        return {
+            "seed": self.seed,
+            "policy": self.policy,
+            "controllers": self.controllers,
+            "streamers": len(self.drawn.streamers),
+            "seconds": self.seconds,
+            **figures.report(facts, [a for a in self.drawn.arrivals if not a["call"]]),
+            **seconds.report(facts, self.seconds),
+            **recovery.report(facts, self.seconds),
+            **placements.report(facts),
+            **overload.report(facts, self.seconds),
+            **(calls.report(facts, self.drawn.arrivals) if self.day["calls"]["rooms"] else {}),
+            **(told_off.report(facts) if self.churn else {}),
+            **(fleet.report(facts, self.between.deaths()) if self.between else {}),
+            **fleet.worked(facts),
+            **judge.report(facts),
+        }
 
 
 async def _post(pool, address, path, value):
--- a/terndrift/rehearse/several.py
+++ b/terndrift/rehearse/several.py
@@ -37,8 +37,9 @@
 class Several:
     """`voters` of `names` keep a record; none: nobody knows of another. `more`: of every front file."""
 
-    def __init__(self, folder, names, voters=(), seed=1, listed=LISTED, deployment=DEPLOYMENT,
-                 called="several", **more):
+    def __init__(
+        self, folder, names, voters=(), seed=1, listed=LISTED, deployment=DEPLOYMENT, called="several", **more
+    ):
         self.folder, self.names, self.voters, self.more = str(folder), list(names), list(voters), more
         self.called, self.network = called, Network(self.names, seed)
         self.processes, self.admins, self.fronts, self.pool = {}, {}, {}, Pool(4)
@@ -66,14 +67,23 @@
         return self.network.members(name)
 
     def _front(self, name):
-        value = {"controller": {"name": name, "rank": self.names.index(name), "of": len(self.names)},
-                 "list": "list.rec", "ready": f"{name}.ready",
-                 "catalogue": {"admin": "127.0.0.1:0", "store": f"{name}.store"},
-                 "log": {"level": "info", "form": "json"}, **self.more}
+        value = {
+            "controller": {"name": name, "rank": self.names.index(name), "of": len(self.names)},
+            "list": "list.rec",
+            "ready": f"{name}.ready",
+            "catalogue": {"admin": "127.0.0.1:0", "store": f"{name}.store"},
+            "log": {"level": "info", "form": "json"},
+            **self.more,
+        }
         if self.voters:
-            value["fleet"] = {"name": self.called, "voters": self.voters, "members": self.members(name),
-                              "store": f"{name}.record" if name in self.voters else "", "front": "listen",
-                              **self.more.get("fleet", {})}
+            value["fleet"] = {
+                "name": self.called,
+                "voters": self.voters,
+                "members": self.members(name),
+                "store": f"{name}.record" if name in self.voters else "",
+                "front": "listen",
+                **self.more.get("fleet", {}),
+            }
         self._write(f"{name}.rec", 'include "deployment.rec"\n' + written(value)[2:-1])
         return self.path(f"{name}.rec")
 
@@ -86,11 +96,16 @@
             if os.path.exists(self.path(f"{name}.ready")):
                 os.unlink(self.path(f"{name}.ready"))
             process = self.processes[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", AHEAD.format(self.ahead.get(name, 0), self.slow.get(name, 0)),
-                "serve", self._front(name),
+                sys.executable,
+                "-c",
+                AHEAD.format(self.ahead.get(name, 0), self.slow.get(name, 0)),
+                "serve",
+                self._front(name),
                 limit=1 << 20,
-                stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE,
-                stderr=asyncio.subprocess.STDOUT)
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=asyncio.subprocess.STDOUT,
+            )
             self.readers.append(asyncio.ensure_future(self._read(name, process)))
         for name in names:
             await self._up(name)
@@ -197,8 +212,9 @@
         body = b"" if value is None else json.dumps(value).encode()
         try:
             length = {"Content-Length": str(len(body))}
-            code, _, got = await fetch(self.pool, self.admins[name], method, path, length, within=within,
-                                       body=body, connect=1.0)
+            code, _, got = await fetch(
+                self.pool, self.admins[name], method, path, length, within=within, body=body, connect=1.0
+            )
         except (Unreached, Broken):
             return 0, None
         return code, json.loads(got or b"null")
@@ -221,8 +237,11 @@
         """Those of the voters that run, and are not left out, that say they lead and are heard."""
         names = [v for v in self.voters if v in (among or self.running())]
         found = await self.records(names)
-        return [n for n, r in found.items()
-                if r and r["role"] == "leader" and r["age_s"] is not None and r["age_s"] < 2]
+        return [
+            n
+            for n, r in found.items()
+            if r and r["role"] == "leader" and r["age_s"] is not None and r["age_s"] < 2
+        ]
 
     async def leader(self, among=None):
         found = []
@@ -238,21 +257,40 @@
         """(of whom, by whom) -> (standing, run), of all that run."""
         names = self.running()
         found = await asyncio.gather(*(self.ask(n, "GET", "/fleet/members") for n in names))
-        return {(of, by): (m["standing"], m["run"]) for by, (_, said) in zip(names, found, strict=True)
-                if said for of, m in said["members"].items() if of != by}
+        return {
+            (of, by): (m["standing"], m["run"])
+            for by, (_, said) in zip(names, found, strict=True)
+            if said
+            for of, m in said["members"].items()
+            if of != by
+        }
 
     async def settled(self):
         """Whether all that run see each other alive, and nobody else."""
         there = set(self.running())
         seen = await self.standings()
         return len(seen) == len(there) * (len(self.names) - 1) and all(
-            (standing == "alive") == (of in there) for (of, _), (standing, _) in seen.items())
+            (standing == "alive") == (of in there) for (of, _), (standing, _) in seen.items()
+        )
 
     async def same(self):
         """Whether all that run have the same of the record."""
         found = (await self.records()).values()
-        return all(found) and len({(tuple(r["epoch"]), r["agreed"], json.dumps(r["map"], sort_keys=True),
-                                    json.dumps(r["ids"], sort_keys=True)) for r in found}) == 1
+        return (
+            all(found)
+            and len(
+                {
+                    (
+                        tuple(r["epoch"]),
+                        r["agreed"],
+                        json.dumps(r["map"], sort_keys=True),
+                        json.dumps(r["ids"], sort_keys=True),
+                    )
+                    for r in found
+                }
+            )
+            == 1
+        )
 
     async def until(self, true, within=30.0):
         """Seconds until `await true()` first holds; an AssertionError if it does not in time."""
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -70,8 +70,11 @@
 
     def figures(self, fresh):
         link, uplink = self.use() if fresh else self.told[0][1:]
-        return {"link": round(min(link, 99.0), 3), "uplink": round(min(uplink, 99.0), 3),
-                "streams": len(self.rates) + self.busy}
+        return {
+            "link": round(min(link, 99.0), 3),
+            "uplink": round(min(uplink, 99.0), 3),
+            "streams": len(self.rates) + self.busy,
+        }
 
     def speed(self):
         """Of what plays here, over its rate."""
@@ -137,8 +140,16 @@
     def _arrives(self, carried, out, s, number, rung):
         w, wanted = self.world, carried.wanted
         br = kbit(w.rates[wanted.plan][rung])
-        w.note("streamers", "try", streamer=s.id, pb=carried.id, number=number, title=wanted.title, br=br,
-               sid=wanted.about)
+        w.note(
+            "streamers",
+            "try",
+            streamer=s.id,
+            pb=carried.id,
+            number=number,
+            title=wanted.title,
+            br=br,
+            sid=wanted.about,
+        )
         if out.off:
             return w.note("streamers", "try gone", streamer=s.id, pb=carried.id, number=number)
         if len(s.rates) + s.busy >= s.places:
@@ -190,10 +201,23 @@
         self.front = self.chance.choice(w.fronts)
         self.name, title = f"{row['visit']}/{self.asks}", w.titles[row["title"]]
         abandon = int(row["abandon"] * SECOND)
-        self.note("ask", ask=self.name, title=title.name, plan=row["plan"], controller=self.front.name,
-                  until=w.now + abandon)
-        wanted = Wanted(row["plan"], title.name, title.holders or w.everywhere, self.top, abandon,
-                        title.length, about=row["visit"])
+        self.note(
+            "ask",
+            ask=self.name,
+            title=title.name,
+            plan=row["plan"],
+            controller=self.front.name,
+            until=w.now + abandon,
+        )
+        wanted = Wanted(
+            row["plan"],
+            title.name,
+            title.holders or w.everywhere,
+            self.top,
+            abandon,
+            title.length,
+            about=row["visit"],
+        )
 
         def answered(answer):
             w.after(WAY, self._answered, answer)
@@ -235,8 +259,14 @@
             self.begun = w.now
         dry = max(0, w.now - self.begun - self.ahead)
         self.begun += dry
-        self.note("segment", br=kbit(rate), size=int(rate * piece / SECOND), dry=dry / SECOND,
-                  took=took / SECOND, seconds=piece / SECOND)
+        self.note(
+            "segment",
+            br=kbit(rate),
+            size=int(rate * piece / SECOND),
+            dry=dry / SECOND,
+            took=took / SECOND,
+            seconds=piece / SECOND,
+        )
         self.ahead += piece
         self.seen += piece / SECOND
         self.number += 1
@@ -266,11 +296,17 @@
         self.titles = deployment.titles(d)
         racks = {n: Rack(given) for n, given in self.drawn.uplinks.items()}
         self.racks = racks
-        self.streamers = {r["id"]: Streamer(self, r, racks[r["rack"]], d["links"]["places"].get(r["kind"], 8))
-                          for r in self.drawn.streamers}
+        self.streamers = {
+            r["id"]: Streamer(self, r, racks[r["rack"]], d["links"]["places"].get(r["kind"], 8))
+            for r in self.drawn.streamers
+        }
         self.everywhere = frozenset(self.streamers)
-        made = [deployment.made(d, {"name": f"c{n}", "rank": n, "of": controllers, "zone": "",
-                                    "seed": seed * 100 + n}) for n in range(controllers)]
+        made = [
+            deployment.made(
+                d, {"name": f"c{n}", "rank": n, "of": controllers, "zone": "", "seed": seed * 100 + n}
+            )
+            for n in range(controllers)
+        ]
         self.fronts = [Front(self, n, m, d["rules"]["drain_grace"], decisions) for n, m in enumerate(made)]
 
     def note(self, who, what, **facts):
@@ -284,8 +320,10 @@
 
     def run(self):
         """Plays the day to its end; the notes are `notes`."""
-        listed = [Listed(r["id"], r["kind"], "", r["id"], r["rack"], Standing.READY, 1.0, 0)
-                  for r in self.drawn.streamers]
+        listed = [
+            Listed(r["id"], r["kind"], "", r["id"], r["rack"], Standing.READY, 1.0, 0)
+            for r in self.drawn.streamers
+        ]
         for s in self.streamers.values():
             self.note("streamers", "up", streamer=s.id, cold=False, address="", kind="")
         for n, front in enumerate(self.fronts):
@@ -295,9 +333,13 @@
             self.after(late, front.do, front.core.list_changed, listed, True, False)
             self.after(SECOND + n * SECOND // len(self.fronts), front.second)
         begin = self.now + EARLY
-        self.note("runner", "fleet", begin=begin,
-                  uplinks={str(n): up for n, up in self.drawn.uplinks.items()},
-                  streamers=[{**r, "places": self.streamers[r["id"]].places} for r in self.drawn.streamers])
+        self.note(
+            "runner",
+            "fleet",
+            begin=begin,
+            uplinks={str(n): up for n, up in self.drawn.uplinks.items()},
+            streamers=[{**r, "places": self.streamers[r["id"]].places} for r in self.drawn.streamers],
+        )
         for row in self.drawn.arrivals:
             self.at(begin + row["at"], lambda row=row: self.viewer(self, row).ask())
         self.after(SAMPLE, self._sample)
@@ -313,9 +355,15 @@
     def report(self, facts=None):
         """As of a rehearsal over processes."""
         facts = facts or self.facts()
-        return {"seed": self.seed, "controllers": len(self.fronts), "streamers": len(self.streamers),
-                "seconds": self.seconds, **figures.report(facts, self.drawn.arrivals),
-                **seconds.report(facts, self.seconds), **judge.report(facts)}
+        return {
+            "seed": self.seed,
+            "controllers": len(self.fronts),
+            "streamers": len(self.streamers),
+            "seconds": self.seconds,
+            **figures.report(facts, self.drawn.arrivals),
+            **seconds.report(facts, self.seconds),
+            **judge.report(facts),
+        }
 
     def _sample(self):
         for s in self.streamers.values():
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -68,8 +68,9 @@
     def comes_up(self, controller, kept=None):
         """With what members tell (None: nothing) it looks at once, and then again and again."""
         if controller is not None:
-            self.sight = Sight(controller, self.world.listing, self.host, self.world.cold_for, self.rank,
-                               self.back.under_way)
+            self.sight = Sight(
+                controller, self.world.listing, self.host, self.world.cold_for, self.rank, self.back.under_way
+            )
             self.controller = controller
             if kept is not None:
                 self.sight.restore(kept)
@@ -176,8 +177,20 @@
 
     viewer = Viewer
 
-    def __init__(self, day, seed, controllers, streamers, seconds, parts=PARTS, share=0.7, at=0.4, down=3.0,
-                 loss=0.0, rack=None):
+    def __init__(
+        self,
+        day,
+        seed,
+        controllers,
+        streamers,
+        seconds,
+        parts=PARTS,
+        share=0.7,
+        at=0.4,
+        down=3.0,
+        loss=0.0,
+        rack=None,
+    ):
         super().__init__({**day, "troubles": []}, seed, controllers, streamers, seconds)
         self.parts, self.share, self.down = parts, share, int(down * SECOND)
         self.cold_for = day["deployment"]["rules"]["cold_for"]
@@ -187,8 +200,12 @@
         self.arena.start()
         assert self.arena.until(self.arena.settled, 90) is not None
         self.arena.call(names[0], "restart", None)
-        assert self.arena.until(lambda: all(
-            len(c.follower.state["voters"]) == VOTERS for c in self.arena.up.values()), 60) is not None
+        assert (
+            self.arena.until(
+                lambda: all(len(c.follower.state["voters"]) == VOTERS for c in self.arena.up.values()), 60
+            )
+            is not None
+        )
         self.now = self.arena.now
         self.fronts = [self._front(n) for n in range(controllers)]
         self.kill_at, self.peaks, self.rack = int(at * seconds * SECOND), [], rack
@@ -197,8 +214,16 @@
 
     def _front(self, n):
         d = self.day["deployment"]
-        deployment = made(d, {"name": f"c{n}", "rank": n, "of": len(self.arena.names), "zone": "",
-                              "seed": self.seed * 100 + n})
+        deployment = made(
+            d,
+            {
+                "name": f"c{n}",
+                "rank": n,
+                "of": len(self.arena.names),
+                "zone": "",
+                "seed": self.seed * 100 + n,
+            },
+        )
         return Front(self, n, deployment, d["rules"]["drain_grace"], self.decisions)
 
     def run(self):
@@ -242,8 +267,11 @@
 
     def listed(self, ids=None):
         some = [r for r in self.drawn.streamers if ids is None or r["id"] in ids]
-        return [Listed(r["id"], r["kind"], "", r["id"], r["rack"], standing, 1.0, started)
-                for r in some for standing, started in [self.list_of[r["id"]]]]
+        return [
+            Listed(r["id"], r["kind"], "", r["id"], r["rack"], standing, 1.0, started)
+            for r in some
+            for standing, started in [self.list_of[r["id"]]]
+        ]
 
     # A rack of streamers restarts in the outage, and its list tells so late.
 
@@ -274,7 +302,11 @@
 
     def report(self, facts=None):
         facts = facts or self.facts()
-        most = max((sum(n for at, n in self.peaks if t <= at < t + SECOND) for t, _ in self.peaks[::10]),
-                   default=0)
-        return {**super().report(facts), **recovery.report(facts, self.seconds),
-                "datagrams_peak_a_member_s": round(most / len(self.fronts), 1)}
+        most = max(
+            (sum(n for at, n in self.peaks if t <= at < t + SECOND) for t, _ in self.peaks[::10]), default=0
+        )
+        return {
+            **super().report(facts),
+            **recovery.report(facts, self.seconds),
+            "datagrams_peak_a_member_s": round(most / len(self.fronts), 1),
+        }
--- a/terndrift/rehearse/working.py
+++ b/terndrift/rehearse/working.py
@@ -26,7 +26,7 @@
         """Names of streamers and controllers that the plan names; voters last, as by rank."""
         r, told = self.r, self.told
         streamers = sorted(r.lines, key=lambda n: r.lines[n]["id"])
-        streamers = streamers[:max(1, round(told["share"] * len(streamers)))]
+        streamers = streamers[: max(1, round(told["share"] * len(streamers)))]
         count = round(told["controllers"] * r.controllers)
         return streamers, [f"{CONTROLLER}c{n}" for n in range(r.controllers)][:count]
 
@@ -34,11 +34,19 @@
         r, told = self.r, self.told
         streamers, controllers = self._machines()
         await r._until(int(told["from"] * r.seconds * SECOND))
-        r.ledger.note("work", machines=[r.lines[n]["id"] for n in streamers], controllers=controllers,
-                      most=told["most"], by=told["by"])
+        r.ledger.note(
+            "work",
+            machines=[r.lines[n]["id"] for n in streamers],
+            controllers=controllers,
+            most=told["most"],
+            by=told["by"],
+        )
         began = time.monotonic()
-        states = await (self._settled(streamers, controllers) if told["by"] == "settled" else
-                        self._scripted(streamers, controllers))
+        states = await (
+            self._settled(streamers, controllers)
+            if told["by"] == "settled"
+            else self._scripted(streamers, controllers)
+        )
         r.ledger.note("work ends", states=states, took=round(time.monotonic() - began, 1))
 
     def _late(self):
@@ -48,9 +56,17 @@
 
     async def _settled(self, streamers, controllers):
         told = self.told
-        plan = {"machines": streamers + controllers, "why": "rehearsed", "urgency": 0, "most_rack": 1,
-                "most_zone": 0, "most_controllers": 1, "holders": 1, "ready_share": 0.5,
-                **{k: told[k] for k in ("needs", "drain", "warm", "most")}}
+        plan = {
+            "machines": streamers + controllers,
+            "why": "rehearsed",
+            "urgency": 0,
+            "most_rack": 1,
+            "most_zone": 0,
+            "most_controllers": 1,
+            "holders": 1,
+            "ready_share": 0.5,
+            **{k: told[k] for k in ("needs", "drain", "warm", "most")},
+        }
 
         def handed_over(state):
             return None if work.plans(state) else work.added(state, plan, "rehearsed", "runner", _wall())
@@ -64,7 +80,8 @@
                     self.out[name] = row["n"]
                     touching.append(asyncio.ensure_future(self._touched(name)))
             if len(table) == len(plan["machines"]) and all(
-                    work.State(row["state"]) in work.ENDED for row in table.values()):
+                work.State(row["state"]) in work.ENDED for row in table.values()
+            ):
                 break
             await asyncio.sleep(LOOK)
         await asyncio.gather(*touching)
@@ -122,10 +139,10 @@
                 groups.append([name])
                 if n % every == every - 1 and n // every < len(controllers):
                     groups.append([controllers[n // every]])
-            groups += [[name] for name in controllers[len(streamers) // every:]]
+            groups += [[name] for name in controllers[len(streamers) // every :]]
         else:
             mixed = self.chance.sample(streamers, len(streamers))
-            groups = [mixed[n:n + most] for n in range(0, len(mixed), most)]
+            groups = [mixed[n : n + most] for n in range(0, len(mixed), most)]
             for n, name in enumerate(self.chance.sample(controllers, len(controllers))):
                 groups[n % len(groups)].append(name)
         states = {}
--- a/terndrift/scheduler/plan.py
+++ b/terndrift/scheduler/plan.py
@@ -84,8 +84,11 @@
         if not able:
             wait = min(-job.bytes_free / job.bytes_a_second for job in self.jobs.values())
             return None, max(1, int(wait * SECOND) + 1)
-        pressed = [job for job in able if job.wanted_by is not None
-                   and now + job.work_left / self.share >= job.wanted_by]
+        pressed = [
+            job
+            for job in able
+            if job.wanted_by is not None and now + job.work_left / self.share >= job.wanted_by
+        ]
         if pressed:
             return min(pressed, key=lambda job: job.wanted_by), 0
         chosen = min(able, key=lambda job: job.served)
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -52,9 +52,12 @@
             check(f"xds.{name}", xds)
     beside = os.path.dirname(os.path.abspath(path))
     settled(value)
-    for part, keys in ((value, ("list", "ready")), (value["catalogue"], ("store", "file")),
-                       (value["fleet"], ("store",)),
-                       *((xds, files) for xds in value["xds"].values())):
+    for part, keys in (
+        (value, ("list", "ready")),
+        (value["catalogue"], ("store", "file")),
+        (value["fleet"], ("store",)),
+        *((xds, files) for xds in value["xds"].values()),
+    ):
         for key in keys:
             if part[key]:
                 part[key] = os.path.join(beside, part[key])
@@ -63,6 +66,7 @@
 
 def both(one, other):
     """Two watchers of the core as one."""
+
     def watch(event, carried, **facts):
         one(event, carried, **facts)
         other(event, carried, **facts)
@@ -114,8 +118,9 @@
 
     def permits(self, wanted, streamer):
         title = self.versions.get(wanted.title)
-        return title is not None and not title.nowhere and (
-            not title.holders or streamer.cell in title.holders)
+        return (
+            title is not None and not title.nowhere and (not title.holders or streamer.cell in title.holders)
+        )
 
     def find(self, name):
         title = self.versions.get(name)
@@ -127,8 +132,15 @@
             segment, ladder = self.value["segment"], self.value["ladder"]["rates"]
             count = max(1, -(-title.seconds * SECOND // segment))
             rates = tuple(r / 1000 for r in dense(title, ladder)) if title.rates else None
-            served = Served(title.plan, self.value["plans"][title.plan]["abandon"], self.cells(name), count,
-                            count * segment, rates, tuple(available(title, ladder)))
+            served = Served(
+                title.plan,
+                self.value["plans"][title.plan]["abandon"],
+                self.cells(name),
+                count,
+                count * segment,
+                rates,
+                tuple(available(title, ladder)),
+            )
             if len(self.known) >= MOST_KNOWN:
                 self.known.clear()
             self.known[name] = title, served
@@ -150,20 +162,32 @@
         self.clock = Clock()
         made = deployment.made(value["deployment"], value["controller"])
         http, limits = value["http"], value["limits"]
-        self.core = Core(made, self.clock.now(), value["controller"]["name"],
-                         value["deployment"]["rules"]["drain_grace"], logs.watcher(self.log),
-                         controller or Controller)
+        self.core = Core(
+            made,
+            self.clock.now(),
+            value["controller"]["name"],
+            value["deployment"]["rules"]["drain_grace"],
+            logs.watcher(self.log),
+            controller or Controller,
+        )
         self.host = Host(self.core, self.clock)
         self.addresses = {}  # of what is listed, and of what is gone and may still play
         self.titles = Titles(value["deployment"], made)
         self.core.permits = self.titles.permits
         self.pool = Pool(http["pool"])
         self.carrier = HttpCarrier(self.host, self.pool, self.addresses, http["connect"])
-        room = SimpleNamespace(open=limits["open"], playbacks=limits["playbacks"], idle=http["idle"],
-                               stall=http["stall"])
+        room = SimpleNamespace(
+            open=limits["open"], playbacks=limits["playbacks"], idle=http["idle"], stall=http["stall"]
+        )
         self.front = Front(self.host, self.carrier, self.titles, room, self.log)
-        self.server = Server(self.front.handle, http["connections"], http["header"],
-                             http["header_time"] / SECOND, http["stall"] / SECOND, fault=self._fault)
+        self.server = Server(
+            self.front.handle,
+            http["connections"],
+            http["header"],
+            http["header_time"] / SECOND,
+            http["stall"] / SECOND,
+            fault=self._fault,
+        )
         self.sources = Sources(value, self.clock, self._list_changed, self.log, made.seed, self._playbacks_at)
         self.listing = self.sources.listing
         self.core.narrow = self.listing.limited.narrow
@@ -171,8 +195,9 @@
         if value["offer"]["listen"]:
             from terndrift.xds.server import serving
 
-            self.serving = serving(self.listing, self.clock, value["controller"]["region"], self.log,
-                                   value["offer"]["loads"])
+            self.serving = serving(
+                self.listing, self.clock, value["controller"]["region"], self.log, value["offer"]["loads"]
+            )
         # one for each that is told: each covers the time since its own last report
         told = [one for name, one in self.sources.xds.items() if value["xds"][name]["loads"]]
         if told:
@@ -183,22 +208,30 @@
             self.core.watch = both(self.core.watch, tally.watch)
         if tallies:
             self.front.passed = lambda streamer, size: [t.passed(streamer, size) for t, _ in tallies]
-        self.reporters = [Reporter(one, partial(self._loads, tally, one), made.seed, self.log)
-                          for tally, one in tallies]
+        self.reporters = [
+            Reporter(one, partial(self._loads, tally, one), made.seed, self.log) for tally, one in tallies
+        ]
         self.sip = None
         if value["sip"]["listen"]:
             self.titles.room = value["sip"]["kind"]
             from terndrift.sip.service import Sip
 
-            self.sip = Sip(value["sip"], self.host, self.titles, self.addresses, value["sip"]["open"],
-                           self.log)
+            self.sip = Sip(
+                value["sip"], self.host, self.titles, self.addresses, value["sip"]["open"], self.log
+            )
         self.sip_address = None
         self.address, self.admin_address, self.tasks, self.stopped = None, None, [], asyncio.Event()
         self.runner = Runner(value["background"], self.log)
         self.fleet = None
         if value["fleet"]["name"]:
-            self.fleet = Fleet(value["fleet"], self.core.name, self.clock, made.seed, self.log,
-                               lambda plan: made.plans[plan].startup_target)
+            self.fleet = Fleet(
+                value["fleet"],
+                self.core.name,
+                self.clock,
+                made.seed,
+                self.log,
+                lambda plan: made.plans[plan].startup_target,
+            )
             self.core.watch = both(self.core.watch, self.fleet.watch)
             self.front.elsewhere = lambda: self.fleet.elsewhere.choose(self.clock.now())
             if value["fleet"]["work"]:
@@ -217,7 +250,8 @@
             self.addresses.pop(id, None)
         self.titles.listed(entries, gone)
         (self.log.info if old else self.log.debug)(
-            "list", changed=len(entries), streamers=len(self.titles.there), old=old)
+            "list", changed=len(entries), streamers=len(self.titles.there), old=old
+        )
         self.host.do(self.core.list_changed, entries, False, old)
 
     def _loads(self, tally, source):
@@ -237,10 +271,17 @@
 
     def _obey(self):
         """Planned work of the fleet is obeyed from the start on."""
-        site = self.fleet.site = Site(self.fleet.controller, self.listing, self.titles.versions, self.host,
-                                      self.value["deployment"]["rules"]["cold_for"], self._draining,
-                                      self.value["http"]["drain"], self._restarts,
-                                      lambda: bool(self.fleet.elsewhere.places(self.clock.now())))
+        site = self.fleet.site = Site(
+            self.fleet.controller,
+            self.listing,
+            self.titles.versions,
+            self.host,
+            self.value["deployment"]["rules"]["cold_for"],
+            self._draining,
+            self.value["http"]["drain"],
+            self._restarts,
+            lambda: bool(self.fleet.elsewhere.places(self.clock.now())),
+        )
         self.core.watch = both(self.core.watch, site.watch)
         self.front.refused = lambda plan, wait: site.gate(plan)
         permits = self.core.permits
@@ -248,14 +289,20 @@
 
     def _sheds(self, limits):
         """Overload is met as the fleet settles, and its limits are kept."""
+
         def address(id):
             line = self.listing.line_of(id)
             return line.address if line else self.addresses.get(id, "")
 
         elsewhere = self.fleet.elsewhere
         surge = self.fleet.surge = Surge(
-            self.fleet.controller, self.host, self.core.deployment.plans, limits, address,
-            lambda: bool(elsewhere.places(self.clock.now())))
+            self.fleet.controller,
+            self.host,
+            self.core.deployment.plans,
+            limits,
+            address,
+            lambda: bool(elsewhere.places(self.clock.now())),
+        )
         self.core.watch, self.front.sheds = both(self.core.watch, surge.watch), surge.sheds
         refused = self.front.refused
         self.front.refused = lambda plan, wait: (refused(plan, wait), surge.gate(plan, wait))
@@ -267,8 +314,13 @@
         """What is seen of streamers, told to the others and kept for the next run."""
         fleet, kept = self.fleet, self.value["catalogue"]["store"]
         sight = fleet.sight = Sight(
-            fleet.controller, self.listing, self.host, self.value["deployment"]["rules"]["cold_for"],
-            (self.core.deployment.rank, self.core.deployment.controllers), fleet.back.under_way)
+            fleet.controller,
+            self.listing,
+            self.host,
+            self.value["deployment"]["rules"]["cold_for"],
+            (self.core.deployment.rank, self.core.deployment.controllers),
+            fleet.back.under_way,
+        )
         fleet.keep_in = f"{kept}.sight" if kept else ""
         self.core.watch, passed = both(self.core.watch, sight.watch), self.front.passed
 
@@ -303,9 +355,14 @@
             for what in committer.store.dropped:
                 self.log.warning("store: dropped", what=str(what))
         self.catalogue = Catalogue(versions, committer, self.runner, self._titles_changed, self.log)
-        self.admin = Server(Admin(self.catalogue, lambda: self.titles.there, self.listing,
-                                        self._loads_heard, self.fleet).handle, 64, fault=self._fault,
-                            body_size=BODY)
+        self.admin = Server(
+            Admin(
+                self.catalogue, lambda: self.titles.there, self.listing, self._loads_heard, self.fleet
+            ).handle,
+            64,
+            fault=self._fault,
+            body_size=BODY,
+        )
         self.source = Source(value["file"], value["poll"] / SECOND, self.catalogue, self.log, time.time)
 
     def _titles_changed(self, names):
@@ -314,8 +371,10 @@
     async def _first_titles(self):
         """The titles of the front file, where the catalogue has none of its own yet; then its file."""
         if self.titles.versions.newest == 0 and self.value["deployment"]["titles"]:
-            put = {name: {"plan": t["plan"], "seconds": t["seconds"], "holders": t["holders"]}
-                   for name, t in self.value["deployment"]["titles"].items()}
+            put = {
+                name: {"plan": t["plan"], "seconds": t["seconds"], "holders": t["holders"]}
+                for name, t in self.value["deployment"]["titles"].items()
+            }
             await self.catalogue.apply(change_of({"id": "front-file", "put": put}, "front file", time.time()))
         if self.value["catalogue"]["file"]:
             self.tasks.append(asyncio.ensure_future(self.source.follow()))
@@ -354,8 +413,14 @@
                 addresses += self.fleet.addresses if self.fleet else []
                 file.write("\n".join(filter(None, addresses)) + "\n")
             os.replace(part, self.value["ready"])
-        self.log.info("listening", address=self.address, admin=self.admin_address, offer=self.offer_address,
-                      sip=self.sip_address, controller=self.core.name)
+        self.log.info(
+            "listening",
+            address=self.address,
+            admin=self.admin_address,
+            offer=self.offer_address,
+            sip=self.sip_address,
+            controller=self.core.name,
+        )
 
     async def _seconds(self):
         while True:
@@ -363,8 +428,11 @@
             try:
                 late = self.host.tell_late(self.log)
                 if self.fleet and self.fleet.surge and self.fleet.surge.second(late, *process.used()):
-                    self.log.warning("strain", standing=self.fleet.surge.strain.standing.value,
-                                     why=self.fleet.surge.strain.why)
+                    self.log.warning(
+                        "strain",
+                        standing=self.fleet.surge.strain.standing.value,
+                        why=self.fleet.surge.strain.why,
+                    )
                 self.front.every_second()
                 await self.sources.every_second()
                 if self.fleet:
--- a/terndrift/sip/bridge.py
+++ b/terndrift/sip/bridge.py
@@ -42,8 +42,12 @@
     OVER = "over"
 
 
-CALL_ROUTES = {Asked.ASKED: (Asked.ANSWERED, Asked.OVER), Asked.ANSWERED: (Asked.UP, Asked.OVER),
-               Asked.UP: (Asked.OVER,), Asked.OVER: ()}
+CALL_ROUTES = {
+    Asked.ASKED: (Asked.ANSWERED, Asked.OVER),
+    Asked.ANSWERED: (Asked.UP, Asked.OVER),
+    Asked.UP: (Asked.OVER,),
+    Asked.OVER: (),
+}
 LEG_ROUTES = {
     Calling.CALLING: (Calling.EARLY, Calling.CANCELLING, Calling.UP, Calling.OVER),
     Calling.EARLY: (Calling.CANCELLING, Calling.UP, Calling.OVER),
@@ -86,16 +90,21 @@
         if self.state is not Asked.ASKED:
             return
         self.turn(Asked.ANSWERED)
-        headers = [("contact", bridge.contact), ("allow", ALLOW), ("supported", "timer"),
-                   ("content-type", "application/sdp")]
+        headers = [
+            ("contact", bridge.contact),
+            ("allow", ALLOW),
+            ("supported", "timer"),
+            ("content-type", "application/sdp"),
+        ]
         if self.interval:
             who = "uas" if self.refreshing else "uac"
             headers.append(expires(self.interval, who))
             if not self.refreshing:
                 headers.append(("require", "timer"))
         self.ok = response(self.invite, 200, tag=self.dialog.local.tag, headers=headers, body=body)
-        self.side = Side(bridge, self, self.dialog, self.transaction.peer, False, bridge.contact, body,
-                         self.invite.body)
+        self.side = Side(
+            bridge, self, self.dialog, self.transaction.peer, False, bridge.contact, body, self.invite.body
+        )
         bridge.say(now, self.transaction, self.ok)
         self.wait = bridge.stack.times.t1
         self.resend = bridge.alarm(now + self.wait, self._again)
@@ -123,8 +132,9 @@
             return
         self.turn(Asked.OVER)
         headers = [("retry-after", retry_after)] if retry_after else []
-        self.bridge.say(now, self.transaction, response(
-            self.invite, code, reason, self.dialog.local.tag, headers))
+        self.bridge.say(
+            now, self.transaction, response(self.invite, code, reason, self.dialog.local.tag, headers)
+        )
         self.bridge.calls.pop(self.transaction, None)
 
     def end(self, now, why="ended here"):
@@ -204,8 +214,9 @@
                 bridge.refuse_stray(now, made, self.transaction.request.cseq[0], self.peer)  # a second one
             return
         self.answer = message
-        self.side = Side(bridge, self, made, self.peer, True, bridge.contact,
-                         self.transaction.request.body, message.body)
+        self.side = Side(
+            bridge, self, made, self.peer, True, bridge.contact, self.transaction.request.body, message.body
+        )
         bridge.plain(made.request("ACK", self.transaction.request.cseq[0]), self.peer)
         if self.state is Calling.CANCELLING:  # CANCEL and 200 crossed: it stands, and is ended at once (15)
             self.side.end(now, "called off")
@@ -261,8 +272,17 @@
     are asked of media servers, and at most of callers; `gate(now, transaction)`: None, or an answer (code,
     headers) that an INVITE gets before anything is made of it: authentication, overload."""
 
-    def __init__(self, user, times, sent_by, contact, draw, session, gate=lambda now, t: None,
-                 least_session=LEAST_SESSION):
+    def __init__(
+        self,
+        user,
+        times,
+        sent_by,
+        contact,
+        draw,
+        session,
+        gate=lambda now, t: None,
+        least_session=LEAST_SESSION,
+    ):
         self.user, self.contact, self.draw, self.gate = user, contact, draw, gate
         self.stack = Stack(times, sent_by, draw)
         self.session, self.least_session = session, least_session
@@ -320,11 +340,18 @@
         """An INVITE to a media server, of a Call-ID of its own; returns the Leg."""
         leg = Leg(self, peer, about)
         message, host = Message("INVITE", str(uri)), self.stack.sent_by[0]
-        message.headers = [("max-forwards", str(HOPS)), ("to", f"<{uri}>"),
-                           ("from", f"<sip:terndrift@{host}>;tag={self.draw(6).hex()}"),
-                           ("call-id", f"{self.draw(12).hex()}@{host}"), ("cseq", "1 INVITE"),
-                           ("contact", self.contact), ("allow", ALLOW), ("supported", "timer"),
-                           ("content-type", "application/sdp"), *[(n, str(v)) for n, v in headers]]
+        message.headers = [
+            ("max-forwards", str(HOPS)),
+            ("to", f"<{uri}>"),
+            ("from", f"<sip:terndrift@{host}>;tag={self.draw(6).hex()}"),
+            ("call-id", f"{self.draw(12).hex()}@{host}"),
+            ("cseq", "1 INVITE"),
+            ("contact", self.contact),
+            ("allow", ALLOW),
+            ("supported", "timer"),
+            ("content-type", "application/sdp"),
+            *[(n, str(v)) for n, v in headers],
+        ]
         if self.session:
             leg.interval = self.session
             message.headers.append(expires(self.session, "uac"))
@@ -397,8 +424,12 @@
         if Uri.read(message.uri).scheme not in ("sip", "sips"):
             return self._answer(now, transaction, 416)
         if message.method == "OPTIONS":
-            return self._answer(now, transaction, 200, [("allow", ALLOW), ("accept", "application/sdp"),
-                                                        ("supported", "timer")])
+            return self._answer(
+                now,
+                transaction,
+                200,
+                [("allow", ALLOW), ("accept", "application/sdp"), ("supported", "timer")],
+            )
         if message.method == "UPDATE" or message.method == "BYE":
             return self._answer(now, transaction, 481)
         if message.method != "INVITE":
@@ -428,8 +459,9 @@
         return self.user.wanted(now, call)
 
     def _answer(self, now, transaction, code, headers=()):
-        self.say(now, transaction, response(transaction.request, code, tag=self.draw(4).hex(),
-                                            headers=headers))
+        self.say(
+            now, transaction, response(transaction.request, code, tag=self.draw(4).hex(), headers=headers)
+        )
 
     # Sides.
 
@@ -466,4 +498,3 @@
             if alarm:
                 alarm.cancel()
         self.user.left(now, part)
-
--- a/terndrift/sip/dialog.py
+++ b/terndrift/sip/dialog.py
@@ -21,16 +21,29 @@
         contact = invite.get("contact")
         if contact is None:
             raise Bad(400, "there is none", "Contact")
-        return cls(invite.get("call-id"), local, invite.named("from"), Name.read(contact, "Contact").uri,
-                   invite.all("record-route"), 0, invite.cseq[0])
+        return cls(
+            invite.get("call-id"),
+            local,
+            invite.named("from"),
+            Name.read(contact, "Contact").uri,
+            invite.all("record-route"),
+            0,
+            invite.cseq[0],
+        )
 
     @classmethod
     def asking(cls, invite, answer):
         """Of who sent an INVITE, by an answer with a tag (12.1.2)."""
         contact = answer.get("contact")
         target = Name.read(contact, "Contact").uri if contact else Uri.read(invite.uri)
-        return cls(invite.get("call-id"), invite.named("from"), answer.named("to"), target,
-                   reversed(answer.all("record-route")), invite.cseq[0])
+        return cls(
+            invite.get("call-id"),
+            invite.named("from"),
+            answer.named("to"),
+            target,
+            reversed(answer.all("record-route")),
+            invite.cseq[0],
+        )
 
     @property
     def key(self):
@@ -42,8 +55,13 @@
             self.number += 1
             number = self.number
         out = Message(method, str(self.target))
-        out.headers = [("max-forwards", str(HOPS)), ("from", str(self.local)), ("to", str(self.remote)),
-                       ("call-id", self.call_id), ("cseq", f"{number} {method}")]
+        out.headers = [
+            ("max-forwards", str(HOPS)),
+            ("from", str(self.local)),
+            ("to", str(self.remote)),
+            ("call-id", self.call_id),
+            ("cseq", f"{number} {method}"),
+        ]
         out.headers += [("route", r) for r in self.route]
         return out
 
--- a/terndrift/sip/digest.py
+++ b/terndrift/sip/digest.py
@@ -41,8 +41,9 @@
         """The value of a WWW-Authenticate."""
         at = f"{now:x}"
         more = ", stale=true" if stale else ""
-        return (f'Digest realm="{self.realm}", nonce="{at}-{self._mark(at)}", algorithm=SHA-256, '
-                f'qop="auth"{more}')
+        return (
+            f'Digest realm="{self.realm}", nonce="{at}-{self._mark(at)}", algorithm=SHA-256, qop="auth"{more}'
+        )
 
     def check(self, now, method, values):
         """(account, None) of who answered one of the Authorization `values`, or (None, challenge)."""
@@ -77,8 +78,16 @@
             count, began = int(said.get("nc") or "", 16), int(at, 16)
         except ValueError:
             return None, False
-        wanted = answer(account, password, self.realm, method, said.get("uri") or "", nonce, count,
-                        said.get("cnonce") or "")
+        wanted = answer(
+            account,
+            password,
+            self.realm,
+            method,
+            said.get("uri") or "",
+            nonce,
+            count,
+            said.get("cnonce") or "",
+        )
         if not hmac.compare_digest(wanted, said.get("response") or ""):
             return None, False
         if now - began > LIFE or count <= self.used.get(nonce, 0):
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -57,8 +57,9 @@
             return call.decline(now, 488, reason=f"Not Acceptable Here ({wrong})"[:100])
         rates = found.rates or core.deployment.ladder.rates
         bits = offered.bits()
-        fits = [r for r in range(plan.floor, plan.top + 1)
-                if bits is None or self._bits(rates, plan, r) <= bits]
+        fits = [
+            r for r in range(plan.floor, plan.top + 1) if bits is None or self._bits(rates, plan, r) <= bits
+        ]
         if not fits:
             return call.decline(now, 488, reason="Not Acceptable Here (bandwidth under the floor)")
         source = call.transaction.peer.source
@@ -70,10 +71,14 @@
         if (seconds := call.invite.number("expires")) is not None:
             left = min(left, seconds * SECOND)
         call.offered, call.version = offered, 1
-        call.carried = self.host.do(core.want, Wanted(
-            found.plan, title, self.titles.rooms(title), fits[-1], left, found.length, found.rates, call),
+        call.carried = self.host.do(
+            core.want,
+            Wanted(
+                found.plan, title, self.titles.rooms(title), fits[-1], left, found.length, found.rates, call
+            ),
             self,
-            lambda answer: self._answered(call, answer))
+            lambda answer: self._answered(call, answer),
+        )
         return None
 
     @staticmethod
@@ -111,9 +116,16 @@
             return
         uri = Uri("sip", carried.wanted.title, *_host_port(address))
         call.leg = self.legs[carried] = self.bridge.dial(
-            now, uri, self.peer(address), self._offer(call, carried, rung), call,
-            [(PLAYBACK, f"{carried.id};try={carried.tries}"),
-             (VISIT, call.invite.named("from").uri.user or "-")])
+            now,
+            uri,
+            self.peer(address),
+            self._offer(call, carried, rung),
+            call,
+            [
+                (PLAYBACK, f"{carried.id};try={carried.tries}"),
+                (VISIT, call.invite.named("from").uri.user or "-"),
+            ],
+        )
         call.leg.carried = carried
 
     def _offer(self, call, carried, rung):
@@ -191,8 +203,14 @@
         contact = message.get("contact")
         if contact is None or not message.named("to").tag:
             return
-        made = Dialog(message.get("call-id"), message.named("from"), message.named("to"),
-                      Name.read(contact, "Contact").uri, reversed(message.all("record-route")), number)
+        made = Dialog(
+            message.get("call-id"),
+            message.named("from"),
+            message.named("to"),
+            Name.read(contact, "Contact").uri,
+            reversed(message.all("record-route")),
+            number,
+        )
         port = made.target.port or 5060
         self.bridge.refuse_stray(now, made, number, self.peer(f"{made.target.host}:{port}"))
 
--- a/terndrift/sip/message.py
+++ b/terndrift/sip/message.py
@@ -10,31 +10,123 @@
 # Bounds of one message: well over what phones and gateways send, so that nobody can make us hold more.
 LARGEST_HEAD, LARGEST_BODY, MOST_HEADERS = 16 * 1024, 64 * 1024, 128
 MAGIC = "z9hG4bK"  # branches of RFC 3261 begin so
-COMPACT = {"a": "accept-contact", "b": "referred-by", "c": "content-type", "d": "request-disposition",
-           "e": "content-encoding", "f": "from", "i": "call-id", "j": "reject-contact", "k": "supported",
-           "l": "content-length", "m": "contact", "o": "event", "r": "refer-to", "s": "subject", "t": "to",
-           "u": "allow-events", "v": "via", "x": "session-expires", "y": "identity"}
+COMPACT = {
+    "a": "accept-contact",
+    "b": "referred-by",
+    "c": "content-type",
+    "d": "request-disposition",
+    "e": "content-encoding",
+    "f": "from",
+    "i": "call-id",
+    "j": "reject-contact",
+    "k": "supported",
+    "l": "content-length",
+    "m": "contact",
+    "o": "event",
+    "r": "refer-to",
+    "s": "subject",
+    "t": "to",
+    "u": "allow-events",
+    "v": "via",
+    "x": "session-expires",
+    "y": "identity",
+}
 # Headers whose values are lists, one line or many being the same (7.3.1).
-LISTS = {"via", "route", "record-route", "contact", "supported", "require", "proxy-require", "unsupported",
-         "allow", "accept", "accept-encoding", "accept-language", "allow-events", "in-reply-to", "warning",
-         "error-info", "alert-info", "call-info", "path", "service-route", "reason"}
-ONCE = {"to", "from", "call-id", "cseq", "max-forwards", "content-length", "content-type", "expires",
-        "min-expires", "session-expires", "min-se", "rseq", "rack", "retry-after", "subject", "user-agent",
-        "server", "date", "organization", "priority", "mime-version"}
-NAMES = {"call-id": "Call-ID", "cseq": "CSeq", "www-authenticate": "WWW-Authenticate", "min-se": "Min-SE",
-         "rseq": "RSeq", "rack": "RAck", "mime-version": "MIME-Version"}
+LISTS = {
+    "via",
+    "route",
+    "record-route",
+    "contact",
+    "supported",
+    "require",
+    "proxy-require",
+    "unsupported",
+    "allow",
+    "accept",
+    "accept-encoding",
+    "accept-language",
+    "allow-events",
+    "in-reply-to",
+    "warning",
+    "error-info",
+    "alert-info",
+    "call-info",
+    "path",
+    "service-route",
+    "reason",
+}
+ONCE = {
+    "to",
+    "from",
+    "call-id",
+    "cseq",
+    "max-forwards",
+    "content-length",
+    "content-type",
+    "expires",
+    "min-expires",
+    "session-expires",
+    "min-se",
+    "rseq",
+    "rack",
+    "retry-after",
+    "subject",
+    "user-agent",
+    "server",
+    "date",
+    "organization",
+    "priority",
+    "mime-version",
+}
+NAMES = {
+    "call-id": "Call-ID",
+    "cseq": "CSeq",
+    "www-authenticate": "WWW-Authenticate",
+    "min-se": "Min-SE",
+    "rseq": "RSeq",
+    "rack": "RAck",
+    "mime-version": "MIME-Version",
+}
 REASONS = {
-    100: "Trying", 180: "Ringing", 181: "Call Is Being Forwarded", 182: "Queued", 183: "Session Progress",
-    200: "OK", 202: "Accepted", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found",
-    405: "Method Not Allowed", 406: "Not Acceptable", 407: "Proxy Authentication Required",
-    408: "Request Timeout", 413: "Request Entity Too Large", 414: "Request-URI Too Long",
-    415: "Unsupported Media Type", 416: "Unsupported URI Scheme", 420: "Bad Extension",
-    421: "Extension Required", 422: "Session Interval Too Small", 480: "Temporarily Unavailable",
-    481: "Call/Transaction Does Not Exist", 482: "Loop Detected", 483: "Too Many Hops",
-    486: "Busy Here", 487: "Request Terminated", 488: "Not Acceptable Here", 491: "Request Pending",
-    500: "Server Internal Error", 501: "Not Implemented", 503: "Service Unavailable",
-    504: "Server Time-out", 505: "Version Not Supported", 513: "Message Too Large", 600: "Busy Everywhere",
-    603: "Decline"}
+    100: "Trying",
+    180: "Ringing",
+    181: "Call Is Being Forwarded",
+    182: "Queued",
+    183: "Session Progress",
+    200: "OK",
+    202: "Accepted",
+    400: "Bad Request",
+    401: "Unauthorized",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    406: "Not Acceptable",
+    407: "Proxy Authentication Required",
+    408: "Request Timeout",
+    413: "Request Entity Too Large",
+    414: "Request-URI Too Long",
+    415: "Unsupported Media Type",
+    416: "Unsupported URI Scheme",
+    420: "Bad Extension",
+    421: "Extension Required",
+    422: "Session Interval Too Small",
+    480: "Temporarily Unavailable",
+    481: "Call/Transaction Does Not Exist",
+    482: "Loop Detected",
+    483: "Too Many Hops",
+    486: "Busy Here",
+    487: "Request Terminated",
+    488: "Not Acceptable Here",
+    491: "Request Pending",
+    500: "Server Internal Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    504: "Server Time-out",
+    505: "Version Not Supported",
+    513: "Message Too Large",
+    600: "Busy Everywhere",
+    603: "Decline",
+}
 
 TOKEN = re.compile(r"[A-Za-z0-9.!%*_+`'~-]+\Z")
 START = re.compile(r"([^ \t]+) ([^ \t]+) (SIP/[0-9]+\.[0-9]+)\Z", re.I)
@@ -88,8 +180,13 @@
     def cseq(self):
         """(number, method)"""
         parts = (self.get("cseq") or "").split()
-        if len(parts) != 2 or not parts[0].isascii() or not parts[0].isdigit() or len(parts[0]) > 10 or (
-                int(parts[0]) >= 2**31):
+        if (
+            len(parts) != 2
+            or not parts[0].isascii()
+            or not parts[0].isdigit()
+            or len(parts[0]) > 10
+            or (int(parts[0]) >= 2**31)
+        ):
             raise Bad(400, f"found {self.get('cseq')!r}, wanted a number under 2^31 and a method", "CSeq")
         return int(parts[0]), parts[1]
 
@@ -176,8 +273,10 @@
 
 def written(found):
     """Parameters as text."""
-    return "".join(f";{n}" if v is None else f";{n}={v if HOST.match(v) or TOKEN.match(v) else quote(v)}"
-                   for n, v in found.items())
+    return "".join(
+        f";{n}" if v is None else f";{n}={v if HOST.match(v) or TOKEN.match(v) else quote(v)}"
+        for n, v in found.items()
+    )
 
 
 def quote(text):
@@ -208,7 +307,7 @@
     while n < len(data):
         if data[n] == 0x25:
             try:
-                out.append(int(data[n + 1:n + 3].decode("ascii"), 16))
+                out.append(int(data[n + 1 : n + 3].decode("ascii"), 16))
             except ValueError:
                 raise Bad(400, f"found {text[:40]!r}, wanted two digits after %", where) from None
             n += 3
@@ -230,7 +329,7 @@
         scheme = SCHEME.match(text)
         if not scheme or any(c in text for c in ' \t<>"') or not text.isprintable():
             raise Bad(400, f"found {text[:60]!r}, wanted a URI", where)
-        name, rest = scheme.group()[:-1].lower(), text[scheme.end():]
+        name, rest = scheme.group()[:-1].lower(), text[scheme.end() :]
         if name not in ("sip", "sips"):
             return cls(name, rest=rest)
         before, at, after = rest.rpartition("@")
@@ -245,8 +344,12 @@
     def __str__(self):
         if self.rest:
             return f"{self.scheme}:{self.rest}"
-        user = "".join(c if c.isascii() and (c.isalnum() or c in "-_.!~*'()&=+$,;?/") else
-                       "".join(f"%{b:02X}" for b in c.encode()) for c in self.user)
+        user = "".join(
+            c
+            if c.isascii() and (c.isalnum() or c in "-_.!~*'()&=+$,;?/")
+            else "".join(f"%{b:02X}" for b in c.encode())
+            for c in self.user
+        )
         port = "" if self.port is None else f":{self.port}"
         return f"{self.scheme}:{user}{'@' if user else ''}{self.host}{port}{written(self.params)}"
 
@@ -264,7 +367,7 @@
             end = quoted(text, 0)
             if end < 0:
                 raise Bad(400, "a quoted string without its end", where)
-            display, rest = re.sub(r"\\(.)", r"\1", text[1:end - 1]), text[end:].strip()
+            display, rest = re.sub(r"\\(.)", r"\1", text[1 : end - 1]), text[end:].strip()
         else:
             display, bracket, rest = text.partition("<")
             display, rest = (display.strip(), bracket + rest) if bracket else ("", text)
@@ -352,8 +455,9 @@
     else:
         words = first.split(None, 1)
         out.method, out.uri = (words[0] if words and TOKEN.match(words[0]) else "?"), ""
-        late = Bad(400, f"found {first[:60]!r}, wanted METHOD URI SIP/2.0 or SIP/2.0 CODE REASON",
-                   "first line")
+        late = Bad(
+            400, f"found {first[:60]!r}, wanted METHOD URI SIP/2.0 or SIP/2.0 CODE REASON", "first line"
+        )
     if len(lines) > 2 * MOST_HEADERS:
         raise Bad(0, f"{len(lines)} header lines")
     folded = []
@@ -468,8 +572,8 @@
             if len(self.data) < end + 4 + length:
                 self.seen = end
                 return out
-            message.body = bytes(self.data[end + 4:end + 4 + length])
-            del self.data[:end + 4 + length]
+            message.body = bytes(self.data[end + 4 : end + 4 + length])
+            del self.data[: end + 4 + length]
             self.seen = 0
             try:
                 _checked(message, wrong)
--- a/terndrift/sip/sdp.py
+++ b/terndrift/sip/sdp.py
@@ -11,8 +11,16 @@
 DIRECTIONS = ("sendrecv", "sendonly", "recvonly", "inactive")
 REVERSED = {"sendrecv": "sendrecv", "sendonly": "recvonly", "recvonly": "sendonly", "inactive": "inactive"}
 # Codecs that RFC 3551 numbers, by which an offer may leave rtpmap out.
-STATIC = {"0": "PCMU/8000", "3": "GSM/8000", "8": "PCMA/8000", "9": "G722/8000", "18": "G729/8000",
-          "26": "JPEG/90000", "31": "H261/90000", "34": "H263/90000"}
+STATIC = {
+    "0": "PCMU/8000",
+    "3": "GSM/8000",
+    "8": "PCMA/8000",
+    "9": "G722/8000",
+    "18": "G729/8000",
+    "26": "JPEG/90000",
+    "31": "H261/90000",
+    "34": "H263/90000",
+}
 LINE = re.compile(r"([a-z])=(.*)\Z")
 # Overhead of IP, UDP and RTP beside the media, that `b=AS` counts and `b=TIAS` does not: 40 bytes a packet of
 # about 1,000 bytes of video.
--- a/terndrift/sip/service.py
+++ b/terndrift/sip/service.py
@@ -29,8 +29,15 @@
         t1, value = self.value["t1"], self.value
         host, port = await self.wire.listen(value["listen"])
         self.wire.bridge = self.front.bridge = Bridge(
-            self.front, Times(t1, 8 * t1, 10 * t1), (host, port), f"<sip:{host}:{port}>",
-            secrets.token_bytes, value["session"], self._gate, value["least_session"])
+            self.front,
+            Times(t1, 8 * t1, 10 * t1),
+            (host, port),
+            f"<sip:{host}:{port}>",
+            secrets.token_bytes,
+            value["session"],
+            self._gate,
+            value["least_session"],
+        )
         self.host.after = self.wire.flush  # what the core decided may have left something to be sent
         return f"{host}:{port}"
 
--- a/terndrift/sip/side.py
+++ b/terndrift/sip/side.py
@@ -105,8 +105,12 @@
         if offer is None or self.stands is not Stands.UP:
             return
         message = self.dialog.request("INVITE")
-        for name, value in [("contact", self.contact), ("supported", "timer"), ("allow", ALLOW),
-                            *self.session_headers()]:
+        for name, value in [
+            ("contact", self.contact),
+            ("supported", "timer"),
+            ("allow", ALLOW),
+            *self.session_headers(),
+        ]:
             message.add(name, value)
         if offer.body:
             message.add("content-type", "application/sdp")
--- a/terndrift/sip/stack.py
+++ b/terndrift/sip/stack.py
@@ -197,5 +197,3 @@
         elif (at := t.machine.next_at()) is not None:
             heapq.heappush(self.timers, (at, next(self.numbers), t))
         return events
-
-
--- a/terndrift/standin/fleet.py
+++ b/terndrift/standin/fleet.py
@@ -36,15 +36,30 @@
         deployment.check(d)
         self.value, self.ledger, self.shaper = value, Ledger(value["ledger"]), Shaper()
         made = deployment.plans(d)
-        titles = {t.name: ([r * made[t.plan].scale for r in d["ladder"]["rates"]], t.segments,
-                           d["segment"] / SECOND) for t in deployment.titles(d).values()}
+        titles = {
+            t.name: (
+                [r * made[t.plan].scale for r in d["ladder"]["rates"]],
+                t.segments,
+                d["segment"] / SECOND,
+            )
+            for t in deployment.titles(d).values()
+        }
         self.racks = {int(n): Rack(rate) for n, rate in value["uplinks"].items()}
         self.streamers = {}
         for name, row in value["streamers"].items():
             rack = self.racks.setdefault(row["rack"], Rack(d["links"]["uplink"]))
             s = self.streamers[row["id"]] = Streamer(
-                {**row, "name": name}, rack, titles, d["rules"], d["links"]["places"].get(row["kind"], 8),
-                self.shaper, self.ledger, d["segment"], d["ladder"]["rates"], d["links"]["lag"])
+                {**row, "name": name},
+                rack,
+                titles,
+                d["rules"],
+                d["links"]["places"].get(row["kind"], 8),
+                self.shaper,
+                self.ledger,
+                d["segment"],
+                d["ladder"]["rates"],
+                d["links"]["lag"],
+            )
             rack.streamers.append(s)
 
     def start(self):
@@ -87,8 +102,14 @@
     async def _fault(self, fault):
         await asyncio.sleep(max(0.0, self.value["begin"] + fault["at"] / SECOND - time.time()))
         kind, size, lasts = fault["kind"], fault["size"], fault["lasts"] / SECOND
-        self.ledger.note("fault", kind=kind, streamers=fault["streamers"], racks=fault["racks"], size=size,
-                         lasts=fault["lasts"])
+        self.ledger.note(
+            "fault",
+            kind=kind,
+            streamers=fault["streamers"],
+            racks=fault["racks"],
+            size=size,
+            lasts=fault["lasts"],
+        )
         hit = [self.streamers[i] for i in fault["streamers"] if i in self.streamers]
         racks = [self.racks[i] for i in fault["racks"] if i in self.racks]
         for s in hit:
@@ -106,8 +127,10 @@
 
     def lines(self):
         """Its streamers as a server list has them."""
-        return {s.name: {"id": s.id, "address": s.address, "rack": s.row["rack"], "kind": s.row["kind"]}
-                for s in self.streamers.values()}
+        return {
+            s.name: {"id": s.id, "address": s.address, "rack": s.row["rack"], "kind": s.row["kind"]}
+            for s in self.streamers.values()
+        }
 
     def stop(self):
         for task in self.tasks:
@@ -133,9 +156,14 @@
     started, standing = started or {}, standing or {}
     out = ["streamers: {"]
     for name, line in lines.items():
-        fields = {"id": line["id"], "address": f'"{line["address"]}"', "rack": line["rack"],
-                  "kind": f'"{line["kind"]}"', "standing": f'"{standing.get(line["id"], "ready")}"',
-                  "started": started.get(line["id"], 0)}
+        fields = {
+            "id": line["id"],
+            "address": f'"{line["address"]}"',
+            "rack": line["rack"],
+            "kind": f'"{line["kind"]}"',
+            "standing": f'"{standing.get(line["id"], "ready")}"',
+            "started": started.get(line["id"], 0),
+        }
         out.append(f'\t"{name}": {{' + ", ".join(f"{k}: {v}" for k, v in fields.items()) + "}")
     with open(path + ".part", "w", encoding="utf-8") as file:
         file.write("\n".join([*out, "}", ""]))
--- a/terndrift/standin/phone.py
+++ b/terndrift/standin/phone.py
@@ -33,10 +33,12 @@
 
 def offer(host, bits, version=1, direction="sendrecv"):
     """A description of audio and video in `bits` a second of video."""
-    return (f"v=0\r\no=- 1 {version} IN IP4 {host}\r\ns=-\r\nc=IN IP4 {host}\r\nt=0 0\r\n"
-            f"m=audio 30000 RTP/AVP 111 0\r\nb=TIAS:0\r\na=rtpmap:111 opus/48000/2\r\na={direction}\r\n"
-            f"m=video 30002 RTP/AVP 96 97\r\nb=AS:{int(bits * 1.04 / 1000)}\r\nb=TIAS:{bits}\r\n"
-            f"a=rtpmap:96 H264/90000\r\na=rtpmap:97 VP8/90000\r\na={direction}\r\n").encode()
+    return (
+        f"v=0\r\no=- 1 {version} IN IP4 {host}\r\ns=-\r\nc=IN IP4 {host}\r\nt=0 0\r\n"
+        f"m=audio 30000 RTP/AVP 111 0\r\nb=TIAS:0\r\na=rtpmap:111 opus/48000/2\r\na={direction}\r\n"
+        f"m=video 30002 RTP/AVP 96 97\r\nb=AS:{int(bits * 1.04 / 1000)}\r\nb=TIAS:{bits}\r\n"
+        f"a=rtpmap:96 H264/90000\r\na=rtpmap:97 VP8/90000\r\na={direction}\r\n"
+    ).encode()
 
 
 class Agent:
@@ -108,8 +110,9 @@
 class Caller(Agent):
     """Calls `title` at a controller once, stays `seconds` (ns), hangs up."""
 
-    def __init__(self, address, ledger, controller, title, visit, bits, abandon, seconds, t1=500 * MS,
-                 account=None):
+    def __init__(
+        self, address, ledger, controller, title, visit, bits, abandon, seconds, t1=500 * MS, account=None
+    ):
         super().__init__(address, ledger, t1)
         self.controller, self.title, self.visit, self.bits = controller, title, visit, bits
         self.abandon, self.seconds, self.account = abandon, seconds, account
@@ -120,19 +123,26 @@
 
     def _message(self, method, uri=None, number=None):
         out = Message(method, uri or f"sip:{self.title}@{self.controller}")
-        out.headers = [("max-forwards", "70"),
-                       ("from", f"<sip:{self.visit}@{self.address}>;tag={self.visit}"),
-                       ("to", self.to or f"<sip:{self.title}@{self.controller}>"), ("call-id", self.call_id),
-                       ("cseq", f"{number or self.number} {method}"),
-                       ("contact", f"<sip:{self.visit}@{self.address}>")]
+        out.headers = [
+            ("max-forwards", "70"),
+            ("from", f"<sip:{self.visit}@{self.address}>;tag={self.visit}"),
+            ("to", self.to or f"<sip:{self.title}@{self.controller}>"),
+            ("call-id", self.call_id),
+            ("cseq", f"{number or self.number} {method}"),
+            ("contact", f"<sip:{self.visit}@{self.address}>"),
+        ]
         return out
 
     def call(self, now, extra=()):
         self.state, self.number = "asking", self.number + 1
         self.until = self.until or now + self.abandon
         message = self._message("INVITE")
-        message.headers += [("expires", str(max(1, self.abandon // SECOND))), ("allow", ALLOW),
-                            ("content-type", "application/sdp"), *extra]
+        message.headers += [
+            ("expires", str(max(1, self.abandon // SECOND))),
+            ("allow", ALLOW),
+            ("content-type", "application/sdp"),
+            *extra,
+        ]
         message.body = offer(self.address.partition(":")[0], self.bits)
         self.invite = message
         self.branch = self.ask(now, message, self.controller)
@@ -164,8 +174,11 @@
             return
         if message.code >= 300:
             ack = self._message("ACK", number=number)
-            ack.headers = [("via", message.get("via")), *[(n, v) for n, v in ack.headers if n != "to"],
-                           ("to", message.get("to"))]
+            ack.headers = [
+                ("via", message.get("via")),
+                *[(n, v) for n, v in ack.headers if n != "to"],
+                ("to", message.get("to")),
+            ]
             self.say(self.controller, ack)
             if self.state in ("asking", "cancelling"):
                 self._told(now, message)
@@ -215,11 +228,24 @@
         elif message.method == "INVITE" and self.state == "up":
             found = sdp.read(message.body)
             self.offers.append(found.bits())
-            body = sdp.answer(found, ABLE, "- 2 2 IN IP4 h", (self.address.partition(":")[0],
-                                                              {"audio": 30000, "video": 30002}))
-            self.say(source, response(message, 200, headers=[
-                ("contact", f"<sip:{self.visit}@{self.address}>"), ("content-type", "application/sdp")],
-                body=body.encode()))
+            body = sdp.answer(
+                found,
+                ABLE,
+                "- 2 2 IN IP4 h",
+                (self.address.partition(":")[0], {"audio": 30000, "video": 30002}),
+            )
+            self.say(
+                source,
+                response(
+                    message,
+                    200,
+                    headers=[
+                        ("contact", f"<sip:{self.visit}@{self.address}>"),
+                        ("content-type", "application/sdp"),
+                    ],
+                    body=body.encode(),
+                ),
+            )
         elif message.method != "ACK":
             self.say(source, response(message, 481 if self.state == "over" else 405))
 
@@ -286,8 +312,9 @@
 
     def _over(self, now, leg, call, code, ran):
         self.legs.pop(call, None)
-        self.ledger.note("try end", streamer=self.id, pb=leg.pb, number=leg.number, code=code, ran=ran,
-                         at=now)
+        self.ledger.note(
+            "try end", streamer=self.id, pb=leg.pb, number=leg.number, code=code, ran=ran, at=now
+        )
 
     def _invited(self, now, message, source, branch):
         self.count += 1
@@ -297,8 +324,16 @@
         leg.bits = sdp.read(message.body).bits() or 0
         title = message.uri.partition(":")[2].partition("@")[0]
         self.rungs.append((now, call, leg.bits))
-        self.ledger.note("try", streamer=self.id, pb=pb, number=leg.number, title=title, br=leg.bits // 1000,
-                         sid=message.get("terndrift-visit"), at=now)
+        self.ledger.note(
+            "try",
+            streamer=self.id,
+            pb=pb,
+            number=leg.number,
+            title=title,
+            br=leg.bits // 1000,
+            sid=message.get("terndrift-visit"),
+            at=now,
+        )
         self.known[branch] = None
         if "still" in self.faults:
             return
@@ -323,8 +358,13 @@
         if self.legs.get(call) is not leg or leg.state != "asked":
             return
         host = self.address.partition(":")[0]
-        body = sdp.answer(sdp.read(message.body), ABLE, f"- {leg.tag[5:]} 1 IN IP4 {host}",
-                          (host, {"audio": 40000, "video": 40002}), leg.bits)
+        body = sdp.answer(
+            sdp.read(message.body),
+            ABLE,
+            f"- {leg.tag[5:]} 1 IN IP4 {host}",
+            (host, {"audio": 40000, "video": 40002}),
+            leg.bits,
+        )
         headers = [("contact", f"<sip:{self.id}@{self.address}>"), ("content-type", "application/sdp")]
         if (asked := message.get("session-expires")) and "refresher=uac" in asked:
             headers.append(("session-expires", asked))
@@ -334,8 +374,9 @@
         leg.ok = response(message, 200, tag=leg.tag, headers=headers, body=body.encode() if body else b"")
         leg.state, leg.wait = "answered", self.t1
         self.ledger.note("ran", streamer=self.id, pb=leg.pb, number=leg.number, at=now)
-        self.ledger.note("try end", streamer=self.id, pb=leg.pb, number=leg.number, code=200, ran=True,
-                         at=now)
+        self.ledger.note(
+            "try end", streamer=self.id, pb=leg.pb, number=leg.number, code=200, ran=True, at=now
+        )
         self._final(source, leg, branch, leg.ok)
         self.at(now + leg.wait, lambda at: self._ok_again(at, source, leg, call, now + 64 * self.t1))
 
@@ -385,8 +426,13 @@
             return
         invite = leg.invite
         out = Message("BYE", str(Name.read(invite.get("contact")).uri))
-        out.headers = [("max-forwards", "70"), ("from", f"{invite.get('to')};tag={leg.tag}"),
-                       ("to", invite.get("from")), ("call-id", call), ("cseq", "1 BYE")]
+        out.headers = [
+            ("max-forwards", "70"),
+            ("from", f"{invite.get('to')};tag={leg.tag}"),
+            ("to", invite.get("from")),
+            ("call-id", call),
+            ("cseq", "1 BYE"),
+        ]
         contact = Name.read(invite.get("contact")).uri
         self.ledger.note("hung up", streamer=self.id, pb=leg.pb, at=now)
         self.ask(now, out, f"{contact.host}:{contact.port}")
--- a/terndrift/standin/player.py
+++ b/terndrift/standin/player.py
@@ -23,8 +23,21 @@
 class Player:
     """One viewer. `choose()` gives the address of a controller, anew for each set-up."""
 
-    def __init__(self, choose, title, ledger, pool=None, visit="", plan="", abandon=3.0, top=None,
-                 seconds=None, patience=2.0, hints=None, pause=lambda: 1.0):
+    def __init__(
+        self,
+        choose,
+        title,
+        ledger,
+        pool=None,
+        visit="",
+        plan="",
+        abandon=3.0,
+        top=None,
+        seconds=None,
+        patience=2.0,
+        hints=None,
+        pause=lambda: 1.0,
+    ):
         self.choose, self.title, self.ledger = choose, title, ledger
         self.pool, self.visit, self.plan = pool or Pool(), visit or f"v{time.monotonic_ns():x}", plan
         self.abandon, self.top, self.seconds = abandon, top, seconds
@@ -32,15 +45,25 @@
         self.asks = 0
 
     def said(self, **more):
-        return cmcd.headers({"sid": self.visit, "cid": self.title[:64], "sf": "h", "st": "v",
-                             **({"tb": self.top} if self.top else {}), **self.hints, **more})
+        return cmcd.headers(
+            {
+                "sid": self.visit,
+                "cid": self.title[:64],
+                "sf": "h",
+                "st": "v",
+                **({"tb": self.top} if self.top else {}),
+                **self.hints,
+                **more,
+            }
+        )
 
     async def watch(self):
         """Asks, plays, and comes again after a break or a rejection while the viewer still wants it.
         Returns the seconds seen."""
         until = time.monotonic() + (self.seconds or 60.0)
-        self.ledger.note("visit", visit=self.visit, title=self.title, plan=self.plan, top=self.top,
-                         seconds=self.seconds)
+        self.ledger.note(
+            "visit", visit=self.visit, title=self.title, plan=self.plan, top=self.top, seconds=self.seconds
+        )
         seen = 0.0
         while True:
             wait = self.pause()
@@ -63,22 +86,43 @@
         self.asks += 1
         address, ask = self.choose(), f"{self.visit}/{self.asks}"
         begun = time.monotonic()
-        self.ledger.note("ask", ask=ask, visit=self.visit, title=self.title, plan=self.plan,
-                         controller=address, until=time.monotonic_ns() + int(self.abandon * SECOND))
+        self.ledger.note(
+            "ask",
+            ask=ask,
+            visit=self.visit,
+            title=self.title,
+            plan=self.plan,
+            controller=address,
+            until=time.monotonic_ns() + int(self.abandon * SECOND),
+        )
         path = f"/v/{self.title}/main.m3u8"
         try:
             # on a connection of its own: one that was idle may be closing just then (the controller does so
             # after its `header_time`); the request is never taken then, and would be judged lost
             code, headers, body = await fetch(
-                self.pool, address, "GET", path, self.said(ot="m", su=True), connect=1.0,
-                within=self.abandon + 1.0, fresh=True)
+                self.pool,
+                address,
+                "GET",
+                path,
+                self.said(ot="m", su=True),
+                connect=1.0,
+                within=self.abandon + 1.0,
+                fresh=True,
+            )
             if code == 307:
                 address, path = sent_on(headers["Location"])
                 self.ledger.note("sent on", ask=ask, controller=address)
                 left = self.abandon - (time.monotonic() - begun)
                 code, headers, body = await fetch(
-                    self.pool, address, "GET", path, self.said(ot="m", su=True), connect=1.0,
-                    within=left + 1.0, fresh=True)
+                    self.pool,
+                    address,
+                    "GET",
+                    path,
+                    self.said(ot="m", su=True),
+                    connect=1.0,
+                    within=left + 1.0,
+                    fresh=True,
+                )
         except (Unreached, Broken) as wrong:
             self.ledger.note("no answer", ask=ask, why=type(wrong).__name__)
             return 0.0
@@ -114,9 +158,15 @@
             if left > (BUFFER - 1) * segment.duration:
                 await asyncio.sleep(left - (BUFFER - 1) * segment.duration)
             asked = time.monotonic()
-            got = await self.get(address, path.rpartition("/")[0] + "/" + segment.uri, ot="av",
-                                 bl=max(0, int(left * 1000)), bs=stalled > 0 or None,
-                                 br=variant.stream_info.bandwidth // 1000, d=int(segment.duration * 1000))
+            got = await self.get(
+                address,
+                path.rpartition("/")[0] + "/" + segment.uri,
+                ot="av",
+                bl=max(0, int(left * 1000)),
+                bs=stalled > 0 or None,
+                br=variant.stream_info.bandwidth // 1000,
+                d=int(segment.duration * 1000),
+            )
             if got is None:
                 return seen, False
             now = time.monotonic()
@@ -126,8 +176,15 @@
             begun += dry  # the picture stood so long
             stalled = dry
             br = cmsd.parse({cmsd.STATIC: got[1].get(cmsd.STATIC, "")}).static.get("br", 0)
-            self.ledger.note("segment", visit=self.visit, br=br, size=len(got[2]), dry=round(dry, 3),
-                             took=round(now - asked, 3), seconds=segment.duration)
+            self.ledger.note(
+                "segment",
+                visit=self.visit,
+                br=br,
+                size=len(got[2]),
+                dry=round(dry, 3),
+                took=round(now - asked, 3),
+                seconds=segment.duration,
+            )
             ahead += segment.duration
             seen += segment.duration
             most = self.most(got[1])
@@ -147,7 +204,8 @@
         try:
             await call.open(1.0)
             code = await asyncio.wait_for(
-                call.run("GET", path, self.said(**hints), on_chunk=body.extend), 12.0)
+                call.run("GET", path, self.said(**hints), on_chunk=body.extend), 12.0
+            )
         except (Unreached, Broken, TimeoutError):
             call.close()
             return None
--- a/terndrift/standin/rooms.py
+++ b/terndrift/standin/rooms.py
@@ -23,9 +23,15 @@
     async def start(self):
         for row in self.value["rooms"]:
             await self._open(row["id"], "127.0.0.1:0", False)
-        lines = {f"room-{id}": {"id": id, "address": s.agent.address, "kind": "room",
-                                "rack": next(r["rack"] for r in self.value["rooms"] if r["id"] == id)}
-                 for id, s in self.sockets.items()}
+        lines = {
+            f"room-{id}": {
+                "id": id,
+                "address": s.agent.address,
+                "kind": "room",
+                "rack": next(r["rack"] for r in self.value["rooms"] if r["id"] == id),
+            }
+            for id, s in self.sockets.items()
+        }
         with open(self.value["ready"] + ".part", "wb") as file:
             file.write(msgspec.json.encode(lines))
         os.replace(self.value["ready"] + ".part", self.value["ready"])
--- a/terndrift/standin/sockets.py
+++ b/terndrift/standin/sockets.py
@@ -40,7 +40,8 @@
             for _ in range(1 + (self.chance.random() < self.double)):
                 if self.chance.random() < self.late:
                     asyncio.get_running_loop().call_later(
-                        self.chance.uniform(0.0, 0.05), self.transport.sendto, data, (host, int(port)))
+                        self.chance.uniform(0.0, 0.05), self.transport.sendto, data, (host, int(port))
+                    )
                 else:
                     self.transport.sendto(data, (host, int(port)))
         self.agent.out.clear()
--- a/terndrift/standin/streamer.py
+++ b/terndrift/standin/streamer.py
@@ -43,8 +43,13 @@
         self.started = time.monotonic_ns() if cold else 0
         self.streams.clear()
         self.recent.clear()
-        self.server = Server(self.handle, connections=2000, stall=20.0, header_time=60.0,
-                             fault=lambda e, fault: self.ledger.note("bug", fault=repr(fault)))
+        self.server = Server(
+            self.handle,
+            connections=2000,
+            stall=20.0,
+            header_time=60.0,
+            fault=lambda e, fault: self.ledger.note("bug", fault=repr(fault)),
+        )
         self.address = self.server.listen_on(self.address)
         self.ledger.note("up", streamer=self.id, cold=cold, address=self.address, kind=self.row["kind"])
 
@@ -89,8 +94,11 @@
 
     def said(self, fresh, static, **more):
         link, uplink = self.use() if fresh else self.late_use[0][1:]
-        figures = {LINK: round(min(link, 99.0), 3), UPLINK: round(min(uplink, 99.0), 3),
-                   STREAMS: len(self.streams) + self.busy}
+        figures = {
+            LINK: round(min(link, 99.0), 3),
+            UPLINK: round(min(uplink, 99.0), 3),
+            STREAMS: len(self.streams) + self.busy,
+        }
         out = {cmsd.DYNAMIC: cmsd.dynamic_header([(f"streamer-{self.id}", figures | more)])}
         return out | ({cmsd.STATIC: cmsd.static_header(static)} if static else {})
 
@@ -130,8 +138,15 @@
 
     async def set_up(self, exchange, pb, title, hints):
         now, number = time.monotonic_ns(), hints.custom.get(NUMBER, (None, 0))[1]
-        self.ledger.note("try", streamer=self.id, pb=pb, number=number, title=title, br=hints.get("br"),
-                         sid=hints.get("sid"))
+        self.ledger.note(
+            "try",
+            streamer=self.id,
+            pb=pb,
+            number=number,
+            title=title,
+            br=hints.get("br"),
+            sid=hints.get("sid"),
+        )
         exchange.on_gone = lambda: self.ledger.note("try gone", streamer=self.id, pb=pb, number=number)
         if exchange.gone:  # between its request and this task's turn, as when this streamer dies just then
             return exchange.on_gone()
@@ -181,7 +196,7 @@
             if exchange.gone:
                 raise Gone
             for start in range(0, count, len(MEDIA)):
-                await exchange.took(exchange.connection.write(MEDIA[:min(len(MEDIA), count - start)]))
+                await exchange.took(exchange.connection.write(MEDIA[: min(len(MEDIA), count - start)]))
 
         pace = (hints.get("rtp") or kbit(rate)) * 125.0
         await self.shaper.send(self.link, self.rack.uplink, pace, size, write)
--- a/terndrift/standin/xds.py
+++ b/terndrift/standin/xds.py
@@ -197,8 +197,10 @@
                 members[name] = {line.id: line.standing for line in lines}
                 touched |= members[name].keys()
         out = {id: worst(m[id] for m in members.values() if id in m) for id in touched}
-        return ({id: s for id, s in out.items() if s == "ready"},
-                {id: s for id, s in out.items() if s != "ready"})
+        return (
+            {id: s for id, s in out.items() if s == "ready"},
+            {id: s for id, s in out.items() if s != "ready"},
+        )
 
     def told(self, node, at, standings):
         if standings:
@@ -232,7 +234,7 @@
         lines = list(self.clusters[name].values())
         message = codec.ClusterLoadAssignment.FromString(codec.assignment_bytes(name, lines, float))
         for place in message.endpoints:
-            for one in list(place.lb_endpoints)[len(place.lb_endpoints) // 2:]:
+            for one in list(place.lb_endpoints)[len(place.lb_endpoints) // 2 :]:
                 one.endpoint.address.socket_address.port_value = 0
         self.raw(ENDPOINT, [(name, "bad", message.SerializeToString())])
 
--- a/terndrift/store/frames.py
+++ b/terndrift/store/frames.py
@@ -16,7 +16,8 @@
 def frame(value):
     # a compressor of its own: one is not for two threads at once
     return zstandard.ZstdCompressor(level=LEVEL, write_checksum=True, write_content_size=True).compress(
-        _encoder.encode(value))
+        _encoder.encode(value)
+    )
 
 
 class Bad(Exception):
@@ -29,8 +30,8 @@
 
 def one(data, offset):
     """(value, where the next frame begins). Raises Bad."""
-    head = data[offset:offset + 18]
-    if not head.startswith(MAGIC[:len(head)]):
+    head = data[offset : offset + 18]
+    if not head.startswith(MAGIC[: len(head)]):
         raise Bad("no frame begins here", False)
     try:
         size = zstandard.frame_content_size(head) if len(head) == 18 or len(head) > 5 else None
--- a/terndrift/store/store.py
+++ b/terndrift/store/store.py
@@ -121,8 +121,9 @@
         if name in self.files.names():
             self.files.remove(name)  # begun before and given up: it has no record that was acknowledged
         handle = self.files.create(name)
-        head = frames.frame({"kind": "log", "format": recovery.FORMAT, "first": first,
-                             "at": int(self.clock())})
+        head = frames.frame(
+            {"kind": "log", "format": recovery.FORMAT, "first": first, "at": int(self.clock())}
+        )
         try:
             self._write(handle, head)
             self.files.sync(handle)
@@ -214,14 +215,20 @@
 
     def _tidy(self):
         """Keeps two snapshots, and the logs since the older."""
-        numbers = sorted(n for name in self.files.names()
-                         if name.startswith("snap-") and (n := recovery.number(name)) is not None)
+        numbers = sorted(
+            n
+            for name in self.files.names()
+            if name.startswith("snap-") and (n := recovery.number(name)) is not None
+        )
         keep = numbers[-2:]
         for n in numbers[:-2]:
             self.files.remove(f"snap-{n:016d}")
             yield 0
-        logs = sorted(n for name in self.files.names()
-                      if name.startswith("log-") and (n := recovery.number(name)) is not None)
+        logs = sorted(
+            n
+            for name in self.files.names()
+            if name.startswith("log-") and (n := recovery.number(name)) is not None
+        )
         for n, following in zip(logs, logs[1:], strict=False):
             if len(keep) == 2 and following <= keep[0] + 1:
                 self.files.remove(f"log-{n:016d}")
--- a/terndrift/terms.py
+++ b/terndrift/terms.py
@@ -77,18 +77,59 @@
 
 
 # Names that the pages have (WIRE, "The settings") and that nothing here needs, or not always; * is any place.
-UNNEEDED = frozenset([
-    "areas", "counted_by", "kind_of_service", "over_share_worth", "profiles", "registry_mode", "tenants",
-    "tick_ns", "tier", "tiers", "weights", "zone", "ceilings.cancel", "ceilings.connect_timeout_ns",
-    "ceilings.cpu_us_per_request", "ceilings.cpu_us_per_s", "ceilings.keepalive_ns", "ceilings.max_open",
-    "ceilings.max_retry_after_ns", "ceilings.max_streams", "ceilings.second_copies", "clients.marks_retry",
-    "family_info.fleet_kb", "family_info.reports_every_ns", "goal.whole", "goal.worst_class",
-    "goal.worst_tenant", "goal.worst_window", "prices.connection", "prices.cross_zone", "prices.handshake",
-    "prices.late_fail", "prices.moves", "prices.origin", "prices.peer", "prices.probe",
-    "prices.registry_mode", "prices.waste", "profiles.*.aim_stretch", "profiles.*.key_scope",
-    "profiles.*.late_worth", "profiles.*.stream", "profiles.*.window_ns", "rules.ask_within_ns",
-    "rules.drain_grace_ns", "tenants.count", "tenants.*.name", "tenants.*.quota_rps", "tenants.*.share"
-])
+UNNEEDED = frozenset(
+    [
+        "areas",
+        "counted_by",
+        "kind_of_service",
+        "over_share_worth",
+        "profiles",
+        "registry_mode",
+        "tenants",
+        "tick_ns",
+        "tier",
+        "tiers",
+        "weights",
+        "zone",
+        "ceilings.cancel",
+        "ceilings.connect_timeout_ns",
+        "ceilings.cpu_us_per_request",
+        "ceilings.cpu_us_per_s",
+        "ceilings.keepalive_ns",
+        "ceilings.max_open",
+        "ceilings.max_retry_after_ns",
+        "ceilings.max_streams",
+        "ceilings.second_copies",
+        "clients.marks_retry",
+        "family_info.fleet_kb",
+        "family_info.reports_every_ns",
+        "goal.whole",
+        "goal.worst_class",
+        "goal.worst_tenant",
+        "goal.worst_window",
+        "prices.connection",
+        "prices.cross_zone",
+        "prices.handshake",
+        "prices.late_fail",
+        "prices.moves",
+        "prices.origin",
+        "prices.peer",
+        "prices.probe",
+        "prices.registry_mode",
+        "prices.waste",
+        "profiles.*.aim_stretch",
+        "profiles.*.key_scope",
+        "profiles.*.late_worth",
+        "profiles.*.stream",
+        "profiles.*.window_ns",
+        "rules.ask_within_ns",
+        "rules.drain_grace_ns",
+        "tenants.count",
+        "tenants.*.name",
+        "tenants.*.quota_rps",
+        "tenants.*.share",
+    ]
+)
 
 
 class Read(dict):
@@ -104,8 +145,13 @@
 
     def unknown(self):
         """Names that nothing asked for and no page has: misspelt ones show up here."""
-        return sorted({".".join("*" if part.isdecimal() else part for part in key.split("."))
-                       for key in self.keys() - self.used} - UNNEEDED)
+        return sorted(
+            {
+                ".".join("*" if part.isdecimal() else part for part in key.split("."))
+                for key in self.keys() - self.used
+            }
+            - UNNEEDED
+        )
 
 
 def flat(value, path="", out=None):
@@ -152,8 +198,10 @@
 
 def deadlines(f):
     """Plan -> ns after which its viewers give up at the latest."""
-    return {text(f, f"profiles.{n}.name"): whole(f, f"profiles.{n}.deadline_ns", 0, 0)
-            for n in range(_count(f, "profiles"))}
+    return {
+        text(f, f"profiles.{n}.name"): whole(f, f"profiles.{n}.deadline_ns", 0, 0)
+        for n in range(_count(f, "profiles"))
+    }
 
 
 def _plans(f, rungs):
@@ -229,8 +277,8 @@
             places={kind: n for kind, n in zip(kinds, places, strict=True) if n},
             lag=whole(f, "family_info.see_ns", 0, 0),
             refuses_from=number(f, "family_info.refuses_from", 0, 0),
-            told=f.get("load_report.how", "answers") == "answers" and any(
-                REPORTED.get(name) == "link" for name in fields),
+            told=f.get("load_report.how", "answers") == "answers"
+            and any(REPORTED.get(name) == "link" for name in fields),
         ),
         rules=Rules(
             answer_slack=whole(f, "rules.grace_to_answer_ns", 0, 0),
--- a/terndrift/xds/client.py
+++ b/terndrift/xds/client.py
@@ -10,8 +10,12 @@
 
 SECOND = 1_000_000_000
 # A source that answers no ping for 20 to 30 s is gone, whatever its connection says.
-KEEPALIVE = [("grpc.keepalive_time_ms", 20_000), ("grpc.keepalive_timeout_ms", 10_000),
-             ("grpc.keepalive_permit_without_calls", 1), ("grpc.http2.max_pings_without_data", 0)]
+KEEPALIVE = [
+    ("grpc.keepalive_time_ms", 20_000),
+    ("grpc.keepalive_timeout_ms", 10_000),
+    ("grpc.keepalive_permit_without_calls", 1),
+    ("grpc.http2.max_pings_without_data", 0),
+]
 
 
 def credentials(value):
@@ -36,9 +40,13 @@
         self.patience, self.tls = Patience(seed), credentials(value)
 
     def channel(self):
-        options = [("grpc.max_receive_message_length", int(self.value["largest"])),
-                   # channels of a process share their connections and back-offs else; ours are in `patience`
-                   ("grpc.use_local_subchannel_pool", 1), ("grpc.enable_retries", 0), *KEEPALIVE]
+        options = [
+            ("grpc.max_receive_message_length", int(self.value["largest"])),
+            # channels of a process share their connections and back-offs else; ours are in `patience`
+            ("grpc.use_local_subchannel_pool", 1),
+            ("grpc.enable_retries", 0),
+            *KEEPALIVE,
+        ]
         if self.tls:
             return grpc.aio.secure_channel(self.value["source"], self.tls, options)
         return grpc.aio.insecure_channel(self.value["source"], options)
--- a/terndrift/xds/codec.py
+++ b/terndrift/xds/codec.py
@@ -36,11 +36,13 @@
 
 # The client's side.
 
+
 def request(send, form, who=None):
     """Bytes of a session.Send; `who`: a Node, in the first of a stream."""
     delta = form == "delta"
     out = (wire.DeltaDiscoveryRequest if delta else wire.DiscoveryRequest)(
-        type_url=send.type_url, response_nonce=send.nonce)
+        type_url=send.type_url, response_nonce=send.nonce
+    )
     if who is not None:
         out.node.CopyFrom(who)
     if send.error:
@@ -86,8 +88,10 @@
         return out, versions, faults
     for n, (named, version, packed) in enumerate(found.packed):
         if packed.type_url != found.type_url:
-            faults.append(f"resource {named or n}: a {packed.type_url or 'resource of no type'} in a "
-                          f"response of {found.type_url}")
+            faults.append(
+                f"resource {named or n}: a {packed.type_url or 'resource of no type'} in a "
+                f"response of {found.type_url}"
+            )
             continue
         try:
             message = MESSAGES[found.type_url].FromString(packed.value)
@@ -127,6 +131,7 @@
 
 # The server's side.
 
+
 class Asked:
     """A request as a server reads it."""
 
@@ -139,14 +144,31 @@
     try:
         if form == "delta":
             m = wire.DeltaDiscoveryRequest.FromString(data)
-            return Asked(m.type_url, m.node.id, "", m.response_nonce, m.error_detail.message,
-                         (), tuple(m.resource_names_subscribe), tuple(m.resource_names_unsubscribe),
-                         dict(m.initial_resource_versions))
+            return Asked(
+                m.type_url,
+                m.node.id,
+                "",
+                m.response_nonce,
+                m.error_detail.message,
+                (),
+                tuple(m.resource_names_subscribe),
+                tuple(m.resource_names_unsubscribe),
+                dict(m.initial_resource_versions),
+            )
         m = wire.DiscoveryRequest.FromString(data)
     except DecodeError as wrong:
         raise Unreadable(f"no discovery request: {wrong}") from None
-    return Asked(m.type_url, m.node.id, m.version_info, m.response_nonce, m.error_detail.message,
-                 tuple(m.resource_names), (), (), {})
+    return Asked(
+        m.type_url,
+        m.node.id,
+        m.version_info,
+        m.response_nonce,
+        m.error_detail.message,
+        tuple(m.resource_names),
+        (),
+        (),
+        {},
+    )
 
 
 def answer(form, type_url, version, nonce, resources, removed=(), source=""):
--- a/terndrift/xds/follow.py
+++ b/terndrift/xds/follow.py
@@ -17,12 +17,19 @@
         names = ("file", *value["xds"]) if value["list"] else tuple(value["xds"])
         names += (WORK,) if value["fleet"]["work"] else ()
         self.listing = Listing(clock, hand, log, names, seed, at)
-        self.file = Followed(value["list"], value["list_poll"] / SECOND, clock.of_wall,
-                             lambda lines: self.listing.whole("file", lines), log)
+        self.file = Followed(
+            value["list"],
+            value["list_poll"] / SECOND,
+            clock.of_wall,
+            lambda lines: self.listing.whole("file", lines),
+            log,
+        )
         if value["xds"]:
             from terndrift.xds.sources import source  # gRPC and Envoy's messages: a list in a file needs none
-        self.xds = {name: source(name, xds, value["controller"], self.listing, clock, seed, log)
-                    for name, xds in value["xds"].items()}
+        self.xds = {
+            name: source(name, xds, value["controller"], self.listing, clock, seed, log)
+            for name, xds in value["xds"].items()
+        }
 
     async def start(self, committer=None):
         """With what an earlier run kept; then a file, which must be sound without that, and whatever else."""
--- a/terndrift/xds/load.py
+++ b/terndrift/xds/load.py
@@ -83,8 +83,11 @@
                 whole.total_successful_requests += one.well
                 whole.total_error_requests += one.erred
                 whole.total_requests_in_progress += playing(id)
-                metric = (whole.load_metric_stats[0] if whole.load_metric_stats else
-                          whole.load_metric_stats.add(metric_name=METRIC))
+                metric = (
+                    whole.load_metric_stats[0]
+                    if whole.load_metric_stats
+                    else whole.load_metric_stats.add(metric_name=METRIC)
+                )
                 metric.num_requests_finished_with_metric += one.pieces
                 metric.total_metric_value += one.bytes
     return [out[name] for name in sorted(out)]
@@ -109,6 +112,7 @@
 
 # The server's side.
 
+
 def answer(interval):
     out = wire.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
     out.load_reporting_interval.FromNanoseconds(interval)
@@ -137,6 +141,10 @@
 
 def _plain(m, seconds):
     passed = sum(x.total_metric_value for x in m.load_metric_stats if x.metric_name == METRIC)
-    return {"tries": m.total_issued_requests, "played": m.total_successful_requests,
-            "erred": m.total_error_requests, "in_progress": m.total_requests_in_progress,
-            "bytes_a_second": round(passed / seconds) if seconds else 0}
+    return {
+        "tries": m.total_issued_requests,
+        "played": m.total_successful_requests,
+        "erred": m.total_error_requests,
+        "in_progress": m.total_requests_in_progress,
+        "bytes_a_second": round(passed / seconds) if seconds else 0,
+    }
--- a/terndrift/xds/meaning.py
+++ b/terndrift/xds/meaning.py
@@ -144,8 +144,17 @@
     said = replace(said, weight=weight)
     host = f"[{socket.address}]" if ":" in socket.address else socket.address
     address = f"{host}:{socket.port_value}"
-    line = Line(one.endpoint.hostname or address, said.id, address, said.rack or 0, said.kind or "", zone,
-                STANDING[one.health_status], said.weight or 1.0, of_wall(said.started))
+    line = Line(
+        one.endpoint.hostname or address,
+        said.id,
+        address,
+        said.rack or 0,
+        said.kind or "",
+        zone,
+        STANDING[one.health_status],
+        said.weight or 1.0,
+        of_wall(said.started),
+    )
     return line, priority, said
 
 
--- a/terndrift/xds/offer.py
+++ b/terndrift/xds/offer.py
@@ -81,8 +81,9 @@
             if type_url == CLUSTER:
                 data = cluster_bytes(name)
             else:
-                lines = [line if line.id is not None else self._numbered(line)
-                         for _, line in sorted(lines.items())]
+                lines = [
+                    line if line.id is not None else self._numbered(line) for _, line in sorted(lines.items())
+                ]
                 data = assignment_bytes(name, lines, self.wall, self.region)
             made = self.made[type_url][name] = mark(data), data
         return made
@@ -175,8 +176,13 @@
 
     def _world(self, asked, of, offer):
         names = set(asked.names) - {"*"}
-        every = "*" in asked.names or not of.asked and not names and asked.type_url == CLUSTER or (
-            of.all and not names)
+        every = (
+            "*" in asked.names
+            or not of.asked
+            and not names
+            and asked.type_url == CLUSTER
+            or (of.all and not names)
+        )
         fresh = not of.asked or every != of.all or names != of.names
         of.all, of.names = every, names
         if not fresh:
@@ -224,8 +230,11 @@
         of.known.update((name, version) for name, version, _ in differs)
         if self.form == "sotw":
             if type_url == CLUSTER:  # always whole: what is left out is gone
-                differs = [(n, *offer.resource(type_url, n)) for n in sorted(self._wanted(of, offer))
-                           if n in offer.names()]
+                differs = [
+                    (n, *offer.resource(type_url, n))
+                    for n in sorted(self._wanted(of, offer))
+                    if n in offer.names()
+                ]
             elif not differs:
                 return None  # endpoints left out say nothing: the cluster's going says it
         self.nonces += 1
--- a/terndrift/xds/poll.py
+++ b/terndrift/xds/poll.py
@@ -60,8 +60,15 @@
         headers = {"Content-Type": "application/json", "Content-Length": str(len(body))}
         try:
             code, _, data = await fetch(
-                self.pool, self.address, "POST", PATHS[send.type_url], headers, body=body,
-                most=int(self.value["largest"]), within=self.value["first"] / SECOND)
+                self.pool,
+                self.address,
+                "POST",
+                PATHS[send.type_url],
+                headers,
+                body=body,
+                most=int(self.value["largest"]),
+                within=self.value["first"] / SECOND,
+            )
         except (Unreached, Broken, TimeoutError) as wrong:
             return str(wrong) or type(wrong).__name__
         if code == 304:
--- a/terndrift/xds/reader.py
+++ b/terndrift/xds/reader.py
@@ -26,14 +26,21 @@
         resources, versions, faults = await sliced(codec.decoded(found, self.clock.of_wall, before))
         if self.form == "delta":
             sends, accepted = self.session.answered(
-                found.type_url, found.version, found.nonce, resources, faults, versions, found.removed)
+                found.type_url, found.version, found.nonce, resources, faults, versions, found.removed
+            )
         else:
             sends, accepted = self.session.answered(
-                found.type_url, found.version, found.nonce, resources, faults)
+                found.type_url, found.version, found.nonce, resources, faults
+            )
         if accepted is None:
             self.refused += 1
-            self.log.error("update refused, the last one stays in force", source=self.name,
-                           kind=found.type_url, version=found.version, why=sends[0].error)
+            self.log.error(
+                "update refused, the last one stays in force",
+                source=self.name,
+                kind=found.type_url,
+                version=found.version,
+                why=sends[0].error,
+            )
             return sends
         self.taken += 1
         await self.accept(accepted)
@@ -54,8 +61,10 @@
         stated = self.view.limits()
         if stated or self.stated:
             self.stated = stated
-            self.listing.limits(self.name, {
-                name: (drop, most, self.view.members(name)) for name, (drop, most) in stated.items()})
+            self.listing.limits(
+                self.name,
+                {name: (drop, most, self.view.members(name)) for name, (drop, most) in stated.items()},
+            )
 
     async def settle(self):
         """All that will come has come: what it does not name is no longer there."""
--- a/terndrift/xds/server.py
+++ b/terndrift/xds/server.py
@@ -35,8 +35,9 @@
         self.streams, self.server, self.reports = {}, None, {}  # Subscriber -> Event; node -> its last report
 
     async def start(self, listen):
-        self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0),
-                                               ("grpc.max_receive_message_length", REQUEST)])
+        self.server = grpc.aio.server(
+            options=[("grpc.so_reuseport", 0), ("grpc.max_receive_message_length", REQUEST)]
+        )
         self.server.add_generic_rpc_handlers([self])
         host, _, _ = listen.rpartition(":")
         port = self.server.add_insecure_port(listen)
@@ -82,8 +83,17 @@
                 event.clear()
                 await sliced(self.offer.making())
                 for due in subscriber.due(self.offer):
-                    await context.write(codec.answer(form, due.type_url, due.version, due.nonce,
-                                                     due.resources, due.removed, "terndrift"))
+                    await context.write(
+                        codec.answer(
+                            form,
+                            due.type_url,
+                            due.version,
+                            due.nonce,
+                            due.resources,
+                            due.removed,
+                            "terndrift",
+                        )
+                    )
             why = reader.result()
             if why:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, why)
--- a/terndrift/xds/session.py
+++ b/terndrift/xds/session.py
@@ -96,8 +96,10 @@
             return [Send(type_url, names, self.version[type_url], nonce, reasons(broken))], None
         self.last.pop(type_url, None)
         self.version[type_url] = version
-        return ([Send(type_url, names, version, nonce)],
-                Accepted(type_url, resources, (), type_url == CLUSTER, version))
+        return (
+            [Send(type_url, names, version, nonce)],
+            Accepted(type_url, resources, (), type_url == CLUSTER, version),
+        )
 
 
 class Delta:
--- a/tests/cases.py
+++ b/tests/cases.py
@@ -40,6 +40,7 @@
 
     def outcomes(self):
         """name of a case -> None, or what it raised."""
+
         async def every():
             gate = Gate()
             runs = (self._one(*of, gate) for of in self.values())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -42,8 +42,12 @@
     """The entries that name no test, of those whose file was collected or does not exist."""
     tests = {item.nodeid for item in items}
     files = {test.partition("::")[0] for test in tests}
-    return [entry.test for entry in entries if entry.test not in tests and (
-        entry.test.partition("::")[0] in files or not (root / entry.test.partition("::")[0]).is_file())]
+    return [
+        entry.test
+        for entry in entries
+        if entry.test not in tests
+        and (entry.test.partition("::")[0] in files or not (root / entry.test.partition("::")[0]).is_file())
+    ]
 
 
 def pytest_configure(config):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,9 +16,20 @@
         "paid": Plan("paid", 2.0, 1.0, 1, 3, 2, S, False),
         "live": Plan("live", 1.0, 1.0, 0, 3, 0, S, True, adds=0.25),
     }
-    base = dict(answer_slack=40 * MS, cold_for=10 * S, cold_share=0.4, fall_multiple=3.0, fall_window=2 * S,
-                try_limit=4, extra_tries=2, extra_share=0.1, extra_window=10 * S, longest_advice=S,
-                probes=False, peers=False)
+    base = dict(
+        answer_slack=40 * MS,
+        cold_for=10 * S,
+        cold_share=0.4,
+        fall_multiple=3.0,
+        fall_window=2 * S,
+        try_limit=4,
+        extra_tries=2,
+        extra_share=0.1,
+        extra_window=10 * S,
+        longest_advice=S,
+        probes=False,
+        peers=False,
+    )
     ladder = Ladder((100.0, 200.0, 400.0, 800.0), (0.25, 0.5, 0.75, 1.0), 6.0, S // 2)
     links = Links(2000.0, 9000.0, {"box": 20}, S, 0.0, told)
     return Deployment(7, rank, controllers, "here", plans, ladder, links, Rules(**{**base, **rules}))
@@ -59,8 +70,9 @@
 
     def end(self, pb, ending, finished=False, report=None):
         self.model.ended(pb, ending)
-        return self._seen(self.c.try_ended(
-            self.now, pb.id, ending, 50 * MS, finished, pb.streamer.listed.id, report or {}))
+        return self._seen(
+            self.c.try_ended(self.now, pb.id, ending, 50 * MS, finished, pb.streamer.listed.id, report or {})
+        )
 
     def use(self, streamer, link=None, uplink=None):
         return self._seen(self.c.told_use(self.now, "", streamer, link, uplink))
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -17,22 +17,52 @@
 
 MS = 1_000_000
 SETTINGS = {
-    "rank": 0, "replicas_of_me": 1, "zone": "here", "host_types": ["box"],
-    "profiles": [{"name": name, "worth": revenue, "slo_ns": 600 * MS, "deadline_ns": 3000 * MS,
-                  "effect": effect}
-                 for name, revenue, effect in (("free", 1.0, "idempotent"), ("paid", 2.0, "at_most_once"))],
+    "rank": 0,
+    "replicas_of_me": 1,
+    "zone": "here",
+    "host_types": ["box"],
+    "profiles": [
+        {"name": name, "worth": revenue, "slo_ns": 600 * MS, "deadline_ns": 3000 * MS, "effect": effect}
+        for name, revenue, effect in (("free", 1.0, "idempotent"), ("paid", 2.0, "at_most_once"))
+    ],
     "family_info": {
-        "rung_kb": [100.0, 200.0, 400.0], "worth_by_rung": [0.3, 0.6, 1.0], "lowest_rung": [0, 1],
-        "top_by_class": [2, 2], "class_seats": [0, 0], "scale_by_class": [1.0, 1.0], "places": 4, "racks": 2,
-        "places_by_kind": [20], "link_unit_kb": 8000.0, "rack_kb": 16000.0, "see_ns": 300 * MS,
-        "reports_every_ns": 3000 * MS, "switch_cost_s": 0.5, "shortfall_cost": 6.0,
-        "class_live": [False, False], "shared_adds": 1.0},
+        "rung_kb": [100.0, 200.0, 400.0],
+        "worth_by_rung": [0.3, 0.6, 1.0],
+        "lowest_rung": [0, 1],
+        "top_by_class": [2, 2],
+        "class_seats": [0, 0],
+        "scale_by_class": [1.0, 1.0],
+        "places": 4,
+        "racks": 2,
+        "places_by_kind": [20],
+        "link_unit_kb": 8000.0,
+        "rack_kb": 16000.0,
+        "see_ns": 300 * MS,
+        "reports_every_ns": 3000 * MS,
+        "switch_cost_s": 0.5,
+        "shortfall_cost": 6.0,
+        "class_live": [False, False],
+        "shared_adds": 1.0,
+    },
     "load_report": {"how": "answers", "fields": ["active", "x0", "x1"]},
-    "ceilings": {"try_limit": 5, "retry_after": True, "max_retry_after_ns": 500 * MS,
-                 "connect_timeout_ns": 250 * MS, "keepalive_ns": 30_000 * MS, "probes": False},
-    "rules": {"cold_ns": 2000 * MS, "start_capacity": 0.5, "tip_multiple": 2.5, "overload_for_ns": 1000 * MS,
-              "free_resends": 20, "repeat_ratio": 0.1, "budget_span_ns": 10_000 * MS,
-              "drain_grace_ns": 250 * MS},
+    "ceilings": {
+        "try_limit": 5,
+        "retry_after": True,
+        "max_retry_after_ns": 500 * MS,
+        "connect_timeout_ns": 250 * MS,
+        "keepalive_ns": 30_000 * MS,
+        "probes": False,
+    },
+    "rules": {
+        "cold_ns": 2000 * MS,
+        "start_capacity": 0.5,
+        "tip_multiple": 2.5,
+        "overload_for_ns": 1000 * MS,
+        "free_resends": 20,
+        "repeat_ratio": 0.1,
+        "budget_span_ns": 10_000 * MS,
+        "drain_grace_ns": 250 * MS,
+    },
 }
 
 
@@ -48,8 +78,16 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def row(self, health="up", born=0):
-        return {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "here", "class": "box",
-                "block": self.cell, "health": health, "share": 1, "born_ms": born}
+        return {
+            "host": self.name,
+            "dial": f"127.0.0.1:{self.port}",
+            "site": "here",
+            "class": "box",
+            "block": self.cell,
+            "health": health,
+            "share": 1,
+            "born_ms": born,
+        }
 
     async def _serve(self, reader, writer):
         buffer = bytearray()
@@ -108,8 +146,12 @@
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def tell(self, *rows, whole=False):
-        self.events.append({"n": len(self.events) + 1, "members": {
-            "seq": len(self.events) + 1, "whole": whole, "hosts": list(rows)}})
+        self.events.append(
+            {
+                "n": len(self.events) + 1,
+                "members": {"seq": len(self.events) + 1, "whole": whole, "hosts": list(rows)},
+            }
+        )
         self.changed.set()
 
     async def _serve(self, reader, writer):
@@ -160,11 +202,29 @@
             self.heard.extend(messages(self.buffer))
         return self.heard.popleft()
 
-    def ask(self, id=None, plan="free", wait="3000", title="00112233aabbccdd", hint="9000.0",
-            figures="home:0;copies:4;top:2;viewer:00000000b4d65521", description=b"what I can play"):
+    def ask(
+        self,
+        id=None,
+        plan="free",
+        wait="3000",
+        title="00112233aabbccdd",
+        hint="9000.0",
+        figures="home:0;copies:4;top:2;viewer:00000000b4d65521",
+        description=b"what I can play",
+    ):
         id = id or self.world.id()
-        self.send(encode(m.SET_UP, id, (m.PLAN, plan), (m.WAIT, wait), (m.TITLE, title), (m.HINT, hint),
-                         (m.FIGURES, figures), (m.DESCRIPTION, description)))
+        self.send(
+            encode(
+                m.SET_UP,
+                id,
+                (m.PLAN, plan),
+                (m.WAIT, wait),
+                (m.TITLE, title),
+                (m.HINT, hint),
+                (m.FIGURES, figures),
+                (m.DESCRIPTION, description),
+            )
+        )
         return id
 
 
@@ -181,10 +241,15 @@
         return self.count.to_bytes(8, "big")
 
     def write(self):
-        value = {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 128}, "feed": self.feed.address,
-                 "known": {"n": len(self.feed.events), "events": list(self.feed.events)},
-                 "settings": SETTINGS}
+        value = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 128},
+            "feed": self.feed.address,
+            "known": {"n": len(self.feed.events), "events": list(self.feed.events)},
+            "settings": SETTINGS,
+        }
         with open(self.path, "w", encoding="utf-8") as file:
             json.dump(value, file)
 
--- a/tests/sipnet.py
+++ b/tests/sipnet.py
@@ -37,8 +37,9 @@
     def __init__(self, address, user, session=0, gate=lambda now, t: None, least=0):
         self.address = address
         host, port = address.split(":")
-        self.bridge = Bridge(user, TIMES, (host, int(port)), f"<sip:{address}>", drawing(), session, gate,
-                             least)
+        self.bridge = Bridge(
+            user, TIMES, (host, int(port)), f"<sip:{address}>", drawing(), session, gate, least
+        )
 
     @property
     def out(self):
@@ -80,10 +81,12 @@
                 for _ in range(times):
                     if self.drop(agent.address, target, data) or self.chance.random() < self.loss:
                         continue
-                    wait = 2 * MS + (int(self.chance.uniform(0, 250 * MS))
-                                     if self.chance.random() < self.late else 0)
-                    heapq.heappush(self.flying, (self.now + wait, next(self.numbers), agent.address, target,
-                                                 data))
+                    wait = 2 * MS + (
+                        int(self.chance.uniform(0, 250 * MS)) if self.chance.random() < self.late else 0
+                    )
+                    heapq.heappush(
+                        self.flying, (self.now + wait, next(self.numbers), agent.address, target, data)
+                    )
             agent.taken() if hasattr(agent, "taken") else agent.out.clear()
 
     def step(self, until):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -36,8 +36,12 @@
 
 
 def test_a_request_is_relayed_once_and_its_answer_taken():
-    wrong, out = talk(ENLIST, ASK, "sync now_ns=2100000000\nswitch_to who=3\n"
-                      "done corr=r-a go=0 settled=0 rc=saturated took_ns=9 streamer=51 telemetry=7,x,1\ngo\n")
+    wrong, out = talk(
+        ENLIST,
+        ASK,
+        "sync now_ns=2100000000\nswitch_to who=3\n"
+        "done corr=r-a go=0 settled=0 rc=saturated took_ns=9 streamer=51 telemetry=7,x,1\ngo\n",
+    )
     assert wrong is None
     assert out.count("relay corr=r-a streamer=51") == 1
     assert "quality corr=r-a tier_no=1" in out and "quality corr=r-old" not in out
@@ -51,11 +55,17 @@
     assert wrong is None and out.count("end\n") == 4 and "relay corr=r-a" in out
 
 
-@pytest.mark.parametrize("line", [
-    "sync now_ns=x\n", "hello\n", "sync now_ns=1\nswitch_to who=3\nnonsense a=1\ngo\n",
-    "sync now_ns=1\nswitch_to who=3\nnew_request\n", "sync now_ns=1\nring handle=1\ngo\n",
-    ENLIST + "sync now_ns=2000000000\nswitch_to who=3\ndone corr=r-a rc=what streamer=1\ngo\n",
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "sync now_ns=x\n",
+        "hello\n",
+        "sync now_ns=1\nswitch_to who=3\nnonsense a=1\ngo\n",
+        "sync now_ns=1\nswitch_to who=3\nnew_request\n",
+        "sync now_ns=1\nring handle=1\ngo\n",
+        ENLIST + "sync now_ns=2000000000\nswitch_to who=3\ndone corr=r-a rc=what streamer=1\ngo\n",
+    ],
+)
 def test_a_malformed_line_is_named(line):
     wrong, _ = talk(line)
     assert wrong and wrong.startswith("terndrift: line ")
@@ -69,7 +79,8 @@
 
 def test_a_list_that_must_be_asked_for_is_subscribed_to_and_again_after_a_failure():
     asked = ENLIST.replace(
-        "profiles.count", "registry_mode=subscribe rules.ask_within_ns=8000000000 profiles.count")
+        "profiles.count", "registry_mode=subscribe rules.ask_within_ns=8000000000 profiles.count"
+    )
     failed = "sync now_ns=1100000000\nswitch_to who=3\nendpoints how=3 index=0 table=0\ngo\n"
     later = "sync now_ns=4000000000\nswitch_to who=3\nring handle=1\ngo\n"
     wrong, out = talk(asked, failed, later)
@@ -79,17 +90,27 @@
 
 
 def test_what_a_further_viewer_of_a_live_plan_adds_is_read_by_plan():
-    base = {"profiles.count": "2", "profiles.0.name": "match", "profiles.1.name": "film",
-            "family_info.rung_kb": "100", "family_info.worth_by_rung": "1", "family_info.shared_adds": "0.2"}
+    base = {
+        "profiles.count": "2",
+        "profiles.0.name": "match",
+        "profiles.1.name": "film",
+        "family_info.rung_kb": "100",
+        "family_info.worth_by_rung": "1",
+        "family_info.shared_adds": "0.2",
+    }
     for live, adds in (("true,false", [0.2, 1.0]), ("", [1.0, 1.0])):
         made, _, _ = terms.deployment({**base, "family_info.class_live": live})
         assert [plan.adds for plan in made.plans.values()] == adds
 
 
 def test_the_link_is_read_from_whatever_tells_most_of_it():
-    for fields, said, want in (("cpu,x0", "0.9,1.4", 1.4), ("x0,cpu", "1.4,0.9", 1.4),
-                               ("waiting,cpu", "3,0.9", 0.9), ("waiting,rps", "3,9", None),
-                               ("x0", "?", None)):
+    for fields, said, want in (
+        ("cpu,x0", "0.9,1.4", 1.4),
+        ("x0,cpu", "1.4,0.9", 1.4),
+        ("waiting,cpu", "3,0.9", 0.9),
+        ("waiting,rps", "3,9", None),
+        ("x0", "?", None),
+    ):
         assert codec.report({"telemetry": said}, fields.split(",")).get("link") == want
         links = terms.deployment({"family_info.rung_kb": "100", "load_report.fields": fields})[0].links
         assert links.told == (fields != "waiting,rps")
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -192,8 +192,11 @@
     world.service.titles.find = stale.get
     for n, holders in enumerate([[2], None]):
         world.note("swap", controller="c0", number=n, title="first", holders=holders)
-        change = Change(f"m{n}", put={"first": Title("free", 2, holders=(2,))}) if holders else Change(
-            f"m{n}", drop=("first",))
+        change = (
+            Change(f"m{n}", put={"first": Title("free", 2, holders=(2,))})
+            if holders
+            else Change(f"m{n}", drop=("first",))
+        )
         await world.service.catalogue.apply(change)
         world.note("swapped", controller="c0", number=n, code=200)
         await asyncio.sleep(0.15)  # within the auditor's own doubt either state counts
@@ -207,11 +210,14 @@
     """Datagrams outlive the controller that they were sent to; late by that clock is late."""
     deployment = {"rules": {}, "titles": {}, "plans": {}}
     for answered, breaks in ((9, 0), (12, 1)):
-        viewers = [{"what": "ask", "ask": "a", "visit": "v", "title": "t", "controller": "h", "t": 3,
-                    "until": 7},
-                   {"what": "answer", "ask": "a", "t": answered, "code": 200}]
-        runner = [{"what": "controller down", "t": 1, "name": "c", "address": "h"},
-                  {"what": "controller up", "t": 6, "name": "c", "address": "h"}]
+        viewers = [
+            {"what": "ask", "ask": "a", "visit": "v", "title": "t", "controller": "h", "t": 3, "until": 7},
+            {"what": "answer", "ask": "a", "t": answered, "code": 200},
+        ]
+        runner = [
+            {"what": "controller down", "t": 1, "name": "c", "address": "h"},
+            {"what": "controller up", "t": 6, "name": "c", "address": "h"},
+        ]
         facts = Facts(deployment, {"viewers": viewers, "runner": runner, "streamers": []}, 0.0)
         assert len(list(judge.answers(facts))) == breaks
     runner.clear()
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -35,8 +35,12 @@
 
 
 NAMES = [f"t{n}" for n in range(5)]
-steps = st.tuples(st.sampled_from(["put", "put", "drop", "both", "again", "publish", "fail", "back"]),
-                  st.integers(0, 4), st.integers(0, 6), st.integers(1, 9))
+steps = st.tuples(
+    st.sampled_from(["put", "put", "drop", "both", "again", "publish", "fail", "back"]),
+    st.integers(0, 4),
+    st.integers(0, 6),
+    st.integers(1, 9),
+)
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=200)
@@ -47,8 +51,11 @@
 
     def make(change):
         staged = dict(whole[-1])
-        lost = [name for name in [*change.put, *change.drop] if change.base is not None
-                and changed[-1].get(name, 0) > change.base]
+        lost = [
+            name
+            for name in [*change.put, *change.drop]
+            if change.base is not None and changed[-1].get(name, 0) > change.base
+        ]
         gone = [name for name in change.drop if name not in staged]
         bad = change.base is not None and change.base > len(whole) - 1
         try:
@@ -83,7 +90,7 @@
             v.publish(waiting.pop(0))
         elif what == "fail":
             v.withdraw()
-            del whole[v.visible + 1:], changed[v.visible + 1:]
+            del whole[v.visible + 1 :], changed[v.visible + 1 :]
             waiting.clear()
         elif what == "back" and not waiting and v.visible:
             to = v.visible - 1 - b % v.visible
@@ -99,20 +106,44 @@
 
 def test_a_change_that_is_not_sound_is_told_whole_and_nothing_of_it_stands():
     v = versions()
-    bad = {"a": Title("none", 0), "b": Title("paid", 5, rates=(1.0,)), "c": Title("free", 5, holders=(1, 1)),
-           "d": Title("free", 5, nowhere=True, holders=(1,)), "e": Title("free", 5, rates=(5.0, None, 4.0)),
-           "f/g": Title("free", 5), "h": Title("free", 5, valid_from=9.0, valid_until=3.0),
-           "i": Title("free", 5, rates=(1.0,) * 9), "good": Title("free", 5)}
+    bad = {
+        "a": Title("none", 0),
+        "b": Title("paid", 5, rates=(1.0,)),
+        "c": Title("free", 5, holders=(1, 1)),
+        "d": Title("free", 5, nowhere=True, holders=(1,)),
+        "e": Title("free", 5, rates=(5.0, None, 4.0)),
+        "f/g": Title("free", 5),
+        "h": Title("free", 5, valid_from=9.0, valid_until=3.0),
+        "i": Title("free", 5, rates=(1.0,) * 9),
+        "good": Title("free", 5),
+    }
     with pytest.raises(Fault) as wrong:
         v.stage(Change("x", put=bad, drop=("good",)))
     paths = {path for path, _ in wrong.value.found}
-    assert {"put.a.plan", "put.a.seconds", "put.b.rates", "put.c.holders", "put.d.nowhere", "put.e.rates",
-            "put.f/g", "put.h.valid_until", "put.i.rates", "drop.good"} <= paths
+    assert {
+        "put.a.plan",
+        "put.a.seconds",
+        "put.b.rates",
+        "put.c.holders",
+        "put.d.nowhere",
+        "put.e.rates",
+        "put.f/g",
+        "put.h.valid_until",
+        "put.i.rates",
+        "drop.good",
+    } <= paths
     assert v.newest == 0 and not v.titles
-    for value in (None, [], {"id": 3}, {"id": "x", "put": [1]}, {"id": "x", "more": 1},
-                  {"id": "x", "put": {"t": {"plan": "free"}}}, {"id": "x", "drop": "t"},
-                  {"id": "x", "base": "1"},
-                  {"id": "x", "put": {"t": {"plan": "free", "seconds": 1, "colour": 2}}}):
+    for value in (
+        None,
+        [],
+        {"id": 3},
+        {"id": "x", "put": [1]},
+        {"id": "x", "more": 1},
+        {"id": "x", "put": {"t": {"plan": "free"}}},
+        {"id": "x", "drop": "t"},
+        {"id": "x", "base": "1"},
+        {"id": "x", "put": {"t": {"plan": "free", "seconds": 1, "colour": 2}}},
+    ):
         with pytest.raises(Fault):
             change_of(value, "", 0.0)
 
@@ -181,7 +212,8 @@
     assert again.visible == was.visible and sorted(again.names()) == sorted(was.names())
     assert all(again.get(n) == was.get(n) for n in was.names())
     assert [(p.version, p.id, p.by, p.before) for p in again.past] == [
-        (p.version, p.id, p.by, p.before) for p in was.past]
+        (p.version, p.id, p.by, p.before) for p in was.past
+    ]
     assert back.put == {"t0": Title("free", 15)}
 
 
@@ -195,8 +227,10 @@
             raise OSError(28, "no space")
 
         c.committer.store.append, append = no_space, c.committer.store.append
-        results = await asyncio.gather(*(c.apply(Change(f"b{n}", put={"t": Title("free", n + 2)}))
-                                         for n in range(5)), return_exceptions=True)
+        results = await asyncio.gather(
+            *(c.apply(Change(f"b{n}", put={"t": Title("free", n + 2)})) for n in range(5)),
+            return_exceptions=True,
+        )
         assert all(isinstance(r, OSError) for r in results)
         assert c.versions.get("t").seconds == 1 and c.versions.newest == 1
         c.committer.store.append = append
@@ -237,11 +271,14 @@
     assert (await admin(world, "POST", "/catalogue/changes", change))[2] == {"version": 3, "new": True}
     assert (await admin(world, "POST", "/catalogue/changes", change))[2] == {"version": 3, "new": False}
     assert (await world.ask("b"))[0] == 503, "known, but it lies nowhere yet"
-    for method, path, data, code in (("POST", "/catalogue", None, 405), ("GET", "/other", None, 404),
-                                     ("POST", "/catalogue/changes", "x", 422),
-                                     ("GET", "/catalogue/diff", None, 400),
-                                     ("GET", "/catalogue/titles/none", None, 404),
-                                     ("POST", "/catalogue/rollback", {"version": 9}, 409)):
+    for method, path, data, code in (
+        ("POST", "/catalogue", None, 405),
+        ("GET", "/other", None, 404),
+        ("POST", "/catalogue/changes", "x", 422),
+        ("GET", "/catalogue/diff", None, 400),
+        ("GET", "/catalogue/titles/none", None, 404),
+        ("POST", "/catalogue/rollback", {"version": 9}, 409),
+    ):
         assert (await admin(world, method, path, data))[0] == code, path
     assert (await admin(world, "PUT", "/catalogue/titles/x", new, **{"If-Match": "x"}))[0] == 400
     found = (await admin(world, "GET", "/catalogue/diff?from=1&to=3"))[2]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,15 +21,21 @@
 
 
 def start(*args):
-    return subprocess.Popen([sys.executable, "-m", "terndrift", *args], stdout=subprocess.PIPE,
-                            stderr=subprocess.PIPE, text=True)
+    return subprocess.Popen(
+        [sys.executable, "-m", "terndrift", *args], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+    )
 
 
 def test_every_command_has_help_and_bad_use_exits_2_with_a_line():
     for name in ("check", "serve", "streamer", "play", "demo", "rehearse", "hints"):
         assert run(name, "--help").exit_code == 0
-    for args in (["check"], ["nothing"], ["play", "ftp://x"], ["rehearse", "bad-day", "--seconds", "x"],
-                 ["serve", "f", "--policy", "none"]):
+    for args in (
+        ["check"],
+        ["nothing"],
+        ["play", "ftp://x"],
+        ["rehearse", "bad-day", "--seconds", "x"],
+        ["serve", "f", "--policy", "none"],
+    ):
         out = run(*args)
         assert out.exit_code == 2 and out.stderr.strip()
 
@@ -64,7 +70,8 @@
     streamer = start("streamer", str(tmp_path / "fleet.rec"))
     assert streamer.stdout.readline().startswith("a 127.0.0.1:")
     (tmp_path / "front.rec").write_text(
-        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 200ms\n')
+        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 200ms\n'
+    )
     assert "nothing amiss" in run("check", str(tmp_path / "front.rec")).stdout
     serve = start("serve", str(tmp_path / "front.rec"))
     line = json.loads(next(x for x in iter(serve.stderr.readline, "") if "listening" in x))
@@ -83,7 +90,8 @@
 def test_a_second_sigterm_ends_it_at_once(tmp_path):
     (tmp_path / "list.rec").write_text('streamers: a: {id: 1, address: "127.0.0.1:1", rack: 0, kind: "box"}')
     (tmp_path / "front.rec").write_text(
-        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 60s\n')
+        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 60s\n'
+    )
     serve = start("serve", str(tmp_path / "front.rec"))
     line = json.loads(next(x for x in iter(serve.stderr.readline, "") if "listening" in x))
     player = start("play", f"http://{line['address']}/v/lesson/main.m3u8", "--seconds", "9")
@@ -99,8 +107,9 @@
 
 
 def test_the_demo_plays_its_title():
-    out = subprocess.run([sys.executable, "-m", "terndrift", "demo", "--try"], capture_output=True, text=True,
-                         timeout=60)
+    out = subprocess.run(
+        [sys.executable, "-m", "terndrift", "demo", "--try"], capture_output=True, text=True, timeout=60
+    )
     assert out.returncode == 0 and "a player saw 10 s" in out.stdout
 
 
@@ -112,8 +121,13 @@
             text = re.sub(r"seconds: [0-9]+", "seconds: 3", file.read())
         (tmp_path / name.replace("bad-day", "short")).write_text(text)
     args = f"rehearse {day} --seconds 8 --seed 5 --controllers 2 --streamers 6 --report"
-    out = subprocess.run([sys.executable, "-m", "terndrift", *args.split(), str(report)],
-                         capture_output=True, text=True, timeout=120, env=os.environ)
+    out = subprocess.run(
+        [sys.executable, "-m", "terndrift", *args.split(), str(report)],
+        capture_output=True,
+        text=True,
+        timeout=120,
+        env=os.environ,
+    )
     found = json.loads(report.read_text())
     assert out.returncode == 0, found["breaks"] or out.stderr
     assert set(found["rules"].values()) == {0} and found["answers"]["plays"] > 0
@@ -123,8 +137,10 @@
 def test_the_catalogue_by_command_line_and_its_folder(tmp_path):
     (tmp_path / "list.rec").write_text('streamers: a: {id: 1, address: "127.0.0.1:1", rack: 0, kind: "box"}')
     front = tmp_path / "front.rec"
-    front.write_text(DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\n'
-                     'catalogue: {store: "cat", admin: "127.0.0.1:0"}\nhttp: drain: 0s\n')
+    front.write_text(
+        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\n'
+        'catalogue: {store: "cat", admin: "127.0.0.1:0"}\nhttp: drain: 0s\n'
+    )
     many = tmp_path / "many.jsonl"
     rows = [{"name": f"t{n}", "plan": "free", "seconds": 9} for n in range(300)]
     many.write_text("".join(json.dumps(row) + "\n" for row in rows))
@@ -178,8 +194,11 @@
     assert run("store", "check", whole).exit_code == 0
     assert run("store", "import", str(file), whole).exit_code == 2, "it is not empty"
     lines = file.read_bytes().splitlines(keepends=True)
-    for name, text, why in (("torn", b"".join(lines[:-3]), "not whole"), ("odd", b'{"a": 1}\n', "odd:1"),
-                            ("bad", lines[0] + b"{]\n" + b"".join(lines[2:]), "bad:2")):
+    for name, text, why in (
+        ("torn", b"".join(lines[:-3]), "not whole"),
+        ("odd", b'{"a": 1}\n', "odd:1"),
+        ("bad", lines[0] + b"{]\n" + b"".join(lines[2:]), "bad:2"),
+    ):
         (tmp_path / name).write_bytes(text)
         out = run("store", "import", str(tmp_path / name), str(tmp_path / "other"))
         assert out.exit_code == 2 and why in out.stderr and not os.path.exists(tmp_path / "other"), out.stderr
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -62,7 +62,8 @@
             self.count += 1
             id, title = f"pb{self.count}", f"t{self.count % 50}"
             changed += self.controllers[rank].wanted(
-                self.now, id, "free", title, frozenset([0]), 3, 4 * S, 0, False)
+                self.now, id, "free", title, frozenset([0]), 3, 4 * S, 0, False
+            )
         return changed
 
     def _did(self, changed, rank):
@@ -83,10 +84,16 @@
 
 
 @pytest.mark.parametrize("size", [20, 30])
-@pytest.mark.parametrize("load", [
-    dict(rate=20, wave=60, restarts=0, idle=0), dict(rate=20, wave=60, restarts=15, idle=0),
-    dict(rate=3, wave=60, restarts=10, idle=30), dict(rate=0, wave=60, restarts=0, idle=120)],
-    ids=["wave", "wave and restarts", "wave after thin traffic", "wave after two idle minutes"])
+@pytest.mark.parametrize(
+    "load",
+    [
+        dict(rate=20, wave=60, restarts=0, idle=0),
+        dict(rate=20, wave=60, restarts=15, idle=0),
+        dict(rate=3, wave=60, restarts=10, idle=30),
+        dict(rate=0, wave=60, restarts=0, idle=120),
+    ],
+    ids=["wave", "wave and restarts", "wave after thin traffic", "wave after two idle minutes"],
+)
 def test_a_cold_streamer_gets_what_the_settings_allow_and_chance_adds_from_all_together(size, load):
     """Beyond their budget of N set-ups in a window 2 roots of N and 2 are put down to chance. N is reckoned
     with the least warmth that the settings tell, all along."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -94,7 +94,7 @@
     b = Bench()
     pb = b.want("paid", left=2 * S)
     b.wait(1990 * MS)
-    (at, answer), = b.answers[pb]
+    ((at, answer),) = b.answers[pb]
     assert answer.kind is Kind.ABORTED and at < T0 + 2 * S and pb in b.carrier.calling_off
     b.end(pb, Ending.CALLED_OFF)
     b.wait(5 * S)
@@ -141,7 +141,7 @@
     b.core.controller.wanted = lambda *_: 1 / 0
     pb = b.want("paid", left=2 * S)
     b.wait(2 * S)
-    (at, answer), = b.answers[pb]
+    ((at, answer),) = b.answers[pb]
     assert answer.kind is Kind.REJECTED and at <= T0 + 2 * S and b.core.faults == 1, "it was never sent"
     assert 0 < answer.come_back <= b.core.deployment.rules.longest_advice
     assert ("fault", pb) in b.seen
@@ -180,8 +180,11 @@
     assert nowhere.stage is Stage.OVER and nowhere.id not in b.core.held
 
 
-steps = st.tuples(st.sampled_from(["want", "want", "play", "end", "left", "over", "list", "share", "wait"]),
-                  st.integers(0, 999), st.integers(0, 5))
+steps = st.tuples(
+    st.sampled_from(["want", "want", "play", "end", "left", "over", "list", "share", "wait"]),
+    st.integers(0, 999),
+    st.integers(0, 5),
+)
 BAD = [Ending.FULL, Ending.ERRED, Ending.UNREACHED, Ending.BROKEN, Ending.NEVER_SENT]
 
 
@@ -314,5 +317,5 @@
     b = Bench()
     pb = b.want("paid", left=4 * S)
     b.wait(4 * S)
-    (at, answer), = b.answers[pb]
+    ((at, answer),) = b.answers[pb]
     assert answer.kind is Kind.ABORTED and T0 + 3 * S < at <= T0 + 3700 * MS
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,8 +36,15 @@
 
 
 def set_up(id, plan="free", figures=EVERYWHERE, title="00112233aabbccdd"):
-    return encode(m.SET_UP, id, (m.PLAN, plan), (m.WAIT, "3000"), (m.TITLE, title), (m.FIGURES, figures),
-                  (m.DESCRIPTION, b"what I can play"))
+    return encode(
+        m.SET_UP,
+        id,
+        (m.PLAN, plan),
+        (m.WAIT, "3000"),
+        (m.TITLE, title),
+        (m.FIGURES, figures),
+        (m.DESCRIPTION, b"what I can play"),
+    )
 
 
 def raw(world):
@@ -119,10 +126,13 @@
 # States.
 
 
-@pytest.mark.parametrize("ways, make, turn", [
-    (ATTEMPT_WAYS, lambda state: made(Attempt, state), Attempt.turn),
-    (CONNECTION_WAYS, lambda state: made(Connection, state), Connection._turn),
-])
+@pytest.mark.parametrize(
+    "ways, make, turn",
+    [
+        (ATTEMPT_WAYS, lambda state: made(Attempt, state), Attempt.turn),
+        (CONNECTION_WAYS, lambda state: made(Connection, state), Connection._turn),
+    ],
+)
 def test_only_the_stated_changes_of_state_are_possible(ways, make, turn):
     for state, allowed in ways.items():
         for to in ways:
@@ -288,11 +298,22 @@
     """A controller that reads its configuration from a pipe: it can do nothing until that is written."""
     path = str(tmp_path / "config.json")
     os.mkfifo(path)
-    value = json.dumps({
-        "name": "n3", "listen": "127.0.0.1:0", "feed": feed, "known": {"n": 0, "events": []},
-        "limits": {"sockets": 64}, "settings": SETTINGS})
-    run = subprocess.Popen([sys.executable, "-B", "-m", "terndrift.platform"], stderr=subprocess.PIPE,
-                           text=True, env={**os.environ, "LB_CONFIG": path})
+    value = json.dumps(
+        {
+            "name": "n3",
+            "listen": "127.0.0.1:0",
+            "feed": feed,
+            "known": {"n": 0, "events": []},
+            "limits": {"sockets": 64},
+            "settings": SETTINGS,
+        }
+    )
+    run = subprocess.Popen(
+        [sys.executable, "-B", "-m", "terndrift.platform"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "LB_CONFIG": path},
+    )
     return run, path, value
 
 
@@ -647,13 +668,24 @@
     await until(lambda: not world.carrier.connections())
 
 
-@pytest.mark.parametrize("keepalive, connect, after", [
-    (30_000, 250, 29_500), (6_000, 150, 5_600), (400, 250, 200), (1, 250, 0)])
+@pytest.mark.parametrize(
+    "keepalive, connect, after", [(30_000, 250, 29_500), (6_000, 150, 5_600), (400, 250, 200), (1, 250, 0)]
+)
 def test_a_connection_is_out_of_use_before_the_time_that_the_settings_tell(keepalive, connect, after):
-    told = {"name": "n", "listen": "127.0.0.1:0", "feed": "127.0.0.1:1", "known": {"events": []},
-            "settings": {**SETTINGS, "ceilings": {
-                **SETTINGS["ceilings"], "keepalive_ns": keepalive * 10**6,
-                "connect_timeout_ns": connect * 10**6}}}
+    told = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "feed": "127.0.0.1:1",
+        "known": {"events": []},
+        "settings": {
+            **SETTINGS,
+            "ceilings": {
+                **SETTINGS["ceilings"],
+                "keepalive_ns": keepalive * 10**6,
+                "connect_timeout_ns": connect * 10**6,
+            },
+        },
+    }
     made = carriers.Carrier(None, settings.configuration(told), Log([]))
     assert made.stale_after // 10**6 == after
 
@@ -820,7 +852,8 @@
         json.dump(value, file)
     world.service.reread()
     assert [facts["names"] for level, _, facts in world.said if level == "warning"] == [
-        ["limits.sockets", "settings.rules.drain_grace_ns"]]
+        ["limits.sockets", "settings.rules.drain_grace_ns"]
+    ]
     assert world.service.feed.address == "127.0.0.1:1"
     assert world.core.drain_grace == world.service.configuration.drain_grace == 250_000_000
 
