--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -15,6 +15,7 @@
 
 def following(got, said=None, held=0, unreadable=()):
     """A feed that keeps what it hands on; of the events numbered in `unreadable` something can't be read."""
+
     def apply(event, complete):
         got.append((event["n"], complete))
         return "a row of the list" if event["n"] in unreadable else None
@@ -152,13 +153,14 @@
 def http(value, cut=0):
     body = value if isinstance(value, bytes) else json.dumps(value).encode()
     data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    return data[:len(data) - cut]
+    return data[: len(data) - cut]
 
 
 def broken_off(value, cut):
     async def write(_, writer):
         writer.write(http(value, cut))
         return False
+
     return write
 
 
@@ -182,9 +184,15 @@
     async def inside():
         got, said = [], []
         async with Scripted(
-                broken_off(reply(1), 5), http(b"{"), http(deep), http(b"\xff\xfe"), http([1]),
-                b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", broken_off({}, 40),
-                http(reply(1, 2))) as server:
+            broken_off(reply(1), 5),
+            http(b"{"),
+            http(deep),
+            http(b"\xff\xfe"),
+            http([1]),
+            b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+            broken_off({}, 40),
+            http(reply(1, 2)),
+        ) as server:
             async with followed(following(got, said), server) as feed:
                 await until(lambda: feed.held == 2)
             assert [n for n, _ in got] == [1, 2]
@@ -195,8 +203,7 @@
 
 def test_a_call_given_up_leaves_no_connection_behind():
     async def inside():
-        async with (Scripted() as old, Scripted(http(reply(1))) as new,
-                    followed(following([]), old) as feed):
+        async with Scripted() as old, Scripted(http(reply(1))) as new, followed(following([]), old) as feed:
             await until(lambda: old.asked)
             feed.move(new.address)
             await until(lambda: feed.held == 1)
@@ -242,8 +249,7 @@
 
 def test_a_feed_at_a_dead_address_is_left_for_the_next_one():
     async def inside():
-        async with (Scripted() as old, Scripted(http(reply(1))) as new,
-                    followed(following([]), old) as feed):
+        async with Scripted() as old, Scripted(http(reply(1))) as new, followed(following([]), old) as feed:
             await until(lambda: old.asked)
             feed.move("127.0.0.1:1")
             await until(lambda: feed.broken)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -217,8 +217,9 @@
     arena.start("c7")
     arena.cut = lambda a, b: False
     healed = arena.until(arena.settled, 30)
-    assert healed is not None and all(c.members.members["c7"].run == arena.up["c7"].members.run
-                                      for n, c in arena.up.items() if n != "c7")
+    assert healed is not None and all(
+        c.members.members["c7"].run == arena.up["c7"].members.run for n, c in arena.up.items() if n != "c7"
+    )
 
 
 def test_a_proposal_sent_again_through_another_while_the_leader_changes_is_agreed_once():
@@ -323,14 +324,20 @@
 
 
 def test_a_vote_sent_before_it_is_kept_is_found_by_the_shortest_way(one_by_one):
-    found = Checker(small(budget=Budget(crashes=1, proposals=0, passes=0, standers=frozenset("ab"))),
-                    "vote not durable", 20_000).run()
+    found = Checker(
+        small(budget=Budget(crashes=1, proposals=0, passes=0, standers=frozenset("ab"))),
+        "vote not durable",
+        20_000,
+    ).run()
     assert found is not None and "two leaders" in found[1] and len(found[0]) == 7
 
 
 def test_an_entry_of_an_older_term_that_is_counted_is_found(one_by_one):
-    start = small({"a": [entry(1, "x")], "b": [entry(2, "y")]}, {n: (2, "b/1") for n in "abc"},
-                  Budget(crashes=0, proposals=0, passes=0, standers=frozenset("ab")))
+    start = small(
+        {"a": [entry(1, "x")], "b": [entry(2, "y")]},
+        {n: (2, "b/1") for n in "abc"},
+        Budget(crashes=0, proposals=0, passes=0, standers=frozenset("ab")),
+    )
     checker = Checker(start, "older term counted", 20_000)
     steps, what = checker.run()
     assert len(steps) == 11 and "leads without entry 1" in what
@@ -349,13 +356,15 @@
 
 
 def test_a_wiped_voter_that_votes_is_found(one_by_one):
-    start = small({n: [entry(1, "x")] for n in "ab"}, {n: (1, "a/1") for n in "abc"},
-                  Budget(crashes=1, wipes=1, proposals=0, passes=1, standers=frozenset("ac")))
+    start = small(
+        {n: [entry(1, "x")] for n in "ab"},
+        {n: (1, "a/1") for n in "abc"},
+        Budget(crashes=1, wipes=1, proposals=0, passes=1, standers=frozenset("ac")),
+    )
     found = Checker(start, "wiped votes", 40_000).run()
     assert found is not None and any("starts with nothing" in step for step in found[0])
 
 
-
 def test_the_longest_names_and_most_news_still_fit_a_datagram():
     names = [f"{n:040d}" for n in range(120)]
     one = Members(names[0], names, 1 << 42, 0)
@@ -391,9 +400,12 @@
 
 
 def test_the_platform_and_the_simulators_way_in_know_nothing_of_the_fleet():
-    code = ("import sys, {0}\n"
-            "print([m for m in sys.modules if m.startswith(('terndrift.fleet', 'matplotlib', 'grpc'))])")
+    code = (
+        "import sys, {0}\n"
+        "print([m for m in sys.modules if m.startswith(('terndrift.fleet', 'matplotlib', 'grpc'))])"
+    )
     for module in ("terndrift.platform.service", "terndrift.adapter.host"):
-        ran = subprocess.run([sys.executable, "-c", code.format(module)], capture_output=True, text=True,
-                             check=True)
+        ran = subprocess.run(
+            [sys.executable, "-c", code.format(module)], capture_output=True, text=True, check=True
+        )
         assert ran.stdout.strip() == "[]", module
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -291,8 +291,11 @@
         await wrote(south, "south", "c")
         await comes_to_all(several, "north")
         await comes_to_all(south, "south")
-        for tables in zip((several.network.datagrams, several.network.bodies),
-                          (south.network.datagrams, south.network.bodies), strict=True):
+        for tables in zip(
+            (several.network.datagrams, several.network.bodies),
+            (south.network.datagrams, south.network.bodies),
+            strict=True,
+        ):
             for name in ("a", "b"):
                 tables[0][name], tables[1][name] = tables[1][name], tables[0][name]
         await asyncio.sleep(6)
@@ -321,7 +324,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
         for n in range(200):
             out.sendto(os.urandom(1 + n * 7), (host, port))
-            out.sendto(b"\x97\xa7several\xa1b\xa1a\x92\xa4Ping"[:1 + n % 20], (host, port))
+            out.sendto(b"\x97\xa7several\xa1b\xa1a\x92\xa4Ping"[: 1 + n % 20], (host, port))
             out.sendto(b"\x00" * 60_000, (host, port))
             out.sendto(b"\x97\xa7several\xa1z\xa1a\x92\xa4Ping\x01\x00\x00\x00", (host, port))
             await asyncio.sleep(0.002)
@@ -372,5 +375,3 @@
 def test_over_processes(name, outcomes):
     if outcomes[name] is not None:
         raise outcomes[name]
-
-
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -40,9 +40,15 @@
 
     def value(self, name):
         voter = name in NAMES[:3]
-        return {"name": "town", "datagrams": "127.0.0.1:0", "voters": NAMES[:3], "http": "127.0.0.1:0",
-                "members": self.network.members(name), "front": "",
-                "store": os.path.join(self.folder, name) if voter else ""}
+        return {
+            "name": "town",
+            "datagrams": "127.0.0.1:0",
+            "voters": NAMES[:3],
+            "http": "127.0.0.1:0",
+            "members": self.network.members(name),
+            "front": "",
+            "store": os.path.join(self.folder, name) if voter else "",
+        }
 
     async def start(self, *names):
         for name in names or NAMES:
@@ -148,8 +154,9 @@
 async def test_garbage_and_strangers_are_dropped_and_counted(town):
     one = town.fleets["a"]
     loop = asyncio.get_running_loop()
-    transport, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, remote_addr=(
-        "127.0.0.1", int(one.addresses[0].rpartition(":")[2])))
+    transport, _ = await loop.create_datagram_endpoint(
+        asyncio.DatagramProtocol, remote_addr=("127.0.0.1", int(one.addresses[0].rpartition(":")[2]))
+    )
     for data in (b"x", b"\x00" * 60_000, b"\x95\xa4town\xa1z\xa1a\x92\xa4Ping\x01\x00", os.urandom(500)):
         transport.sendto(data)
     await town.until(lambda: sum(one.dropped.values()) >= 4)
@@ -160,18 +167,23 @@
 def front(tmp_path, more):
     (tmp_path / "list.rec").write_text('streamers: a: {id: 1, address: "127.0.0.1:1", rack: 0, kind: "box"}')
     (tmp_path / "front.rec").write_text(
-        'include "deployment.rec"\ncontroller: name: "c0"\nlist: "list.rec"\n' + more)
+        'include "deployment.rec"\ncontroller: name: "c0"\nlist: "list.rec"\n' + more
+    )
     (tmp_path / "deployment.rec").write_text(
         "deployment: {plans: recorded: {startup_target: 1s, abandon: 3s}\n"
         "ladder: {rates: [50kB/s], revenue: [1.0]}\nlinks: {unit: 1MB/s, uplink: 2MB/s, places: box: 8}\n"
-        "titles: clip: {plan: \"recorded\", seconds: 2}\n"
-        "rules: {cold_for: 8s}}\n")
+        'titles: clip: {plan: "recorded", seconds: 2}\n'
+        "rules: {cold_for: 8s}}\n"
+    )
     return records.load(str(tmp_path / "front.rec"), "front")
 
 
 def test_a_fleet_whose_names_do_not_fit_is_refused_with_the_field(tmp_path):
-    value = front(tmp_path, 'fleet: {name: "f", voters: ["c0", "c1", "c9"],\n'
-                  'members: c0: {datagrams: "127.0.0.1:1", http: "127.0.0.1:2"}}\n')
+    value = front(
+        tmp_path,
+        'fleet: {name: "f", voters: ["c0", "c1", "c9"],\n'
+        'members: c0: {datagrams: "127.0.0.1:1", http: "127.0.0.1:2"}}\n',
+    )
     with pytest.raises(Amiss) as wrong:
         settled(value)
     for words in ("fleet.members.c0", "fleet.voters: no member 'c9'", "fleet.store"):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -282,7 +282,8 @@
     front.now += 60 * S
     front.list([line(999)])
     assert len(front.c.streamers) <= 2 * 64 + 4 and sum(map(len, front.c.cells.values())) == len(
-        front.c.streamers)
+        front.c.streamers
+    )
 
 
 def test_of_very_many_holders_some_are_looked_at_and_all_where_none_of_those_will_do():
@@ -348,8 +349,10 @@
     fronts = [Front(streamers=8, rank=rank, controllers=6) for rank in range(6)]
     for front in fronts:
         front.c.draws = front.d.rank  # their seeds differ in service
-    chosen = {plan: {front.want(plan, "match", cells=8).streamer.listed.id for front in fronts}
-              for plan in ("live", "free")}
+    chosen = {
+        plan: {front.want(plan, "match", cells=8).streamer.listed.id for front in fronts}
+        for plan in ("live", "free")
+    }
     assert len(chosen["live"]) == 1 and len(chosen["free"]) > 1
 
 
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -14,16 +14,21 @@
 def value(key):
     if key.form == "int":
         return st.integers(0, 10**6).map(lambda n: n * key.step)
-    return {"decimal": st.integers(0, 9999).map(lambda n: n / 1000), "flag": st.just(True),
-            "string": TEXT, "token": st.sampled_from(key.among or ("x",))}[key.form]
+    return {
+        "decimal": st.integers(0, 9999).map(lambda n: n / 1000),
+        "flag": st.just(True),
+        "string": TEXT,
+        "token": st.sampled_from(key.among or ("x",)),
+    }[key.form]
 
 
 def some(keys):
     return st.fixed_dictionaries({}, optional={k: value(key) for k, key in keys.items()})
 
 
-custom = st.dictionaries(st.sampled_from(["com.example-a", "org.b-c"]),
-                         st.one_of(st.integers(-9, 9), TEXT, st.booleans()))
+custom = st.dictionaries(
+    st.sampled_from(["com.example-a", "org.b-c"]), st.one_of(st.integers(-9, 9), TEXT, st.booleans())
+)
 
 
 @quick
@@ -35,7 +40,8 @@
     assert (said.values, said.custom, said.ignored) == (values, more, [])
     query = cmcd.parse({}, cmcd.from_query("a=1&CMCD=" + cmcd.query(values, more) + "&b"))
     assert query.values == values and {k: v for k, (_, v) in query.custom.items()} == {
-        k: v for k, (_, v) in more.items()}
+        k: v for k, (_, v) in more.items()
+    }
 
 
 @quick
@@ -63,7 +69,7 @@
 
 
 def test_headers_are_believed_over_the_query_and_repeats_are_told():
-    said = cmcd.parse({cmcd.OBJECT: "tb=800,tb=400"}, "tb=1600,sid=\"a\"")
+    said = cmcd.parse({cmcd.OBJECT: "tb=800,tb=400"}, 'tb=1600,sid="a"')
     assert said.values == {"tb": 400, "sid": "a"}
     assert [i.key for i in said.ignored] == ["tb", "tb"]
 
@@ -76,7 +82,9 @@
 
 def test_rounding_and_defaults_are_as_published():
     assert cmcd.headers({"bl": 21349, "rtp": 401, "pr": 1, "v": 1, "bs": False}) == {
-        cmcd.REQUEST: "bl=21300", cmcd.STATUS: "rtp=500"}
+        cmcd.REQUEST: "bl=21300",
+        cmcd.STATUS: "rtp=500",
+    }
 
 
 def asked(floor=0, top=3, **values):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -20,8 +20,13 @@
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     if lines is not None:
         (folder / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
-    run = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args], cwd=folder,
-                         capture_output=True, text=True, env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"})
+    run = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
+    )
     return run.returncode, run.stdout + run.stderr
 
 
@@ -34,19 +39,37 @@
     assert "known red: tests/test_small.py::test_red: the clock of a stand-in (12)" in said
 
 
-@pytest.mark.parametrize("lines, other, why", [
-    (None, True, "1 failed"),
-    ([RED], False, "1 failed"),
-    ([RED, "tests/test_small.py::test_green | x | 1"], True, "XPASS(strict)"),
-    ([RED, "tests/test_small.py::test_gone | x | 1"], True, "no such test: tests/test_small.py::test_gone"),
-    ([RED, "tests/test_none.py::test_gone | x | 1"], True, "no such test: tests/test_none.py::test_gone"),
-    ([RED, "tests/test_small.py | x | 1"], True, "no such test: tests/test_small.py"),
-    ([RED, RED], True, "named twice"),
-    (["tests/test_small.py::test_red"], True, "KNOWN-RED.txt:1"),
-    ([RED, "tests/test_small.py::test_other | | 1"], False, "KNOWN-RED.txt:2"),
-    ([f"t::{n} | x | 1" for n in range(4)], True, "4 entries, 3 at most"),
-], ids=["not listed", "another", "passes", "gone", "no file", "a file", "twice", "test alone", "no cause",
-        "four"])
+@pytest.mark.parametrize(
+    "lines, other, why",
+    [
+        (None, True, "1 failed"),
+        ([RED], False, "1 failed"),
+        ([RED, "tests/test_small.py::test_green | x | 1"], True, "XPASS(strict)"),
+        (
+            [RED, "tests/test_small.py::test_gone | x | 1"],
+            True,
+            "no such test: tests/test_small.py::test_gone",
+        ),
+        ([RED, "tests/test_none.py::test_gone | x | 1"], True, "no such test: tests/test_none.py::test_gone"),
+        ([RED, "tests/test_small.py | x | 1"], True, "no such test: tests/test_small.py"),
+        ([RED, RED], True, "named twice"),
+        (["tests/test_small.py::test_red"], True, "KNOWN-RED.txt:1"),
+        ([RED, "tests/test_small.py::test_other | | 1"], False, "KNOWN-RED.txt:2"),
+        ([f"t::{n} | x | 1" for n in range(4)], True, "4 entries, 3 at most"),
+    ],
+    ids=[
+        "not listed",
+        "another",
+        "passes",
+        "gone",
+        "no file",
+        "a file",
+        "twice",
+        "test alone",
+        "no cause",
+        "four",
+    ],
+)
 def test_whatever_else_is_wrong_fails_the_run(tmp_path, lines, other, why):
     code, said = played(tmp_path, lines, other)
     assert code != 0 and why in said
@@ -58,6 +81,19 @@
 
 
 def test_the_projects_own_list_can_be_read():
-    run = subprocess.run([sys.executable, "-m", "pytest", "-q", "--collect-only", "-p", "no:cacheprovider",
-                          "tests/test_known_red.py"], cwd=ROOT, capture_output=True, text=True)
+    run = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "pytest",
+            "-q",
+            "--collect-only",
+            "-p",
+            "no:cacheprovider",
+            "tests/test_known_red.py",
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert run.returncode == 0, run.stdout + run.stderr
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,8 +23,12 @@
         self.start(*names)
         assert self.arena.until(self.arena.settled, 60) is not None
         self.arena.call("c0", "restart", None)
-        assert self.arena.until(lambda: all(len(c.follower.state["voters"]) == voters
-                                            for c in self.arena.up.values()), 60) is not None
+        assert (
+            self.arena.until(
+                lambda: all(len(c.follower.state["voters"]) == voters for c in self.arena.up.values()), 60
+            )
+            is not None
+        )
 
     def start(self, *names):
         self.arena.start(*names)
@@ -38,8 +42,11 @@
 
     def parts(self):
         """A stopped one uses nothing; by its own clock its lease may still run."""
-        return {n: c.leases.part(self.arena.now, "extra") for n, c in self.arena.up.items()
-                if n not in self.arena.stopped}
+        return {
+            n: c.leases.part(self.arena.now, "extra")
+            for n, c in self.arena.up.items()
+            if n not in self.arena.stopped
+        }
 
     def run(self, seconds):
         for _ in range(round(seconds * 50)):
@@ -56,8 +63,9 @@
         fleet.want(name, 0.0)
     fleet.run(4)
     parts = fleet.parts()
-    assert parts["c0"] > 0.75 * LIMIT and all(p == pytest.approx(SURE * LIMIT / 12) for n, p in parts.items()
-                                              if n != "c0")
+    assert parts["c0"] > 0.75 * LIMIT and all(
+        p == pytest.approx(SURE * LIMIT / 12) for n, p in parts.items() if n != "c0"
+    )
     fleet.want("c0", 8.0)
     fleet.run(4)
     assert fleet.parts()["c1"] == pytest.approx(LIMIT / 12 - 8.0 / 12), "what nobody wants is split evenly"
@@ -173,8 +181,9 @@
     made = [w for w in waits if w is not None]
     assert made[0] == 0 and made == sorted(made) and max(made) <= SECOND // 4
     assert None in waits and pace.enter(now, "s2") == 0, "another streamer has its own"
-    per_second = sum(w is not None for n in range(100)
-                     for w in [pace.enter(now + (n + 100) * SECOND // 10, "s1")])
+    per_second = sum(
+        w is not None for n in range(100) for w in [pace.enter(now + (n + 100) * SECOND // 10, "s1")]
+    )
     assert 8 * 10 - 1 <= per_second <= 8 * 10 + 9
     pace.look(now + 11 * SECOND)
     assert set(pace.buckets) <= {"s1"}, "what is full again is forgotten"
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -22,10 +22,18 @@
     return [f"h:{n}" for n in numbers]
 
 
-steps = st.lists(st.tuples(
-    st.sampled_from("ab"), st.integers(0, 5), st.lists(st.tuples(
-        st.integers(0, 7), st.sampled_from(["ready", "draining"]), st.integers(0, 2)), max_size=3),
-    st.lists(st.integers(0, 7), max_size=1)), max_size=40)
+steps = st.lists(
+    st.tuples(
+        st.sampled_from("ab"),
+        st.integers(0, 5),
+        st.lists(
+            st.tuples(st.integers(0, 7), st.sampled_from(["ready", "draining"]), st.integers(0, 2)),
+            max_size=3,
+        ),
+        st.lists(st.integers(0, 7), max_size=1),
+    ),
+    max_size=40,
+)
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=200)
@@ -138,6 +146,7 @@
 
 # The flow.
 
+
 def drained(flow, now):
     out = {}
     while (when := flow.next_at(now)) is not None:
@@ -149,9 +158,15 @@
     return out, now
 
 
-changes = st.lists(st.dictionaries(
-    st.integers(0, 5), st.none() | st.tuples(st.sampled_from(["ready", "draining"]), st.integers(0, 2)),
-    min_size=1, max_size=4), max_size=12)
+changes = st.lists(
+    st.dictionaries(
+        st.integers(0, 5),
+        st.none() | st.tuples(st.sampled_from(["ready", "draining"]), st.integers(0, 2)),
+        min_size=1,
+        max_size=4,
+    ),
+    max_size=12,
+)
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=200)
@@ -231,9 +246,13 @@
 
 # Lists by themselves, and what is kept.
 
+
 def test_a_list_that_can_not_be_taken_says_why():
-    for lines, had, why in (([line(1), line(2, id=1)], False, "one id, 1"), ([], True, "no streamer at all"),
-                            ([line(1), Line("t", 7, "h:1", 0, "b", "", "ready", 1.0, 0)], False, "address")):
+    for lines, had, why in (
+        ([line(1), line(2, id=1)], False, "one id, 1"),
+        ([], True, "no streamer at all"),
+        ([line(1), Line("t", 7, "h:1", 0, "b", "", "ready", 1.0, 0)], False, "address"),
+    ):
         with pytest.raises(Unusable, match=why):
             checked(lines, had)
     assert checked([], False) == []
@@ -277,8 +296,12 @@
     clock = SimpleNamespace(now=lambda: 0, wall_ns=lambda at: 20 * hour, of_wall_ns=lambda at: at)
     log = SimpleNamespace(warning=lambda what, **facts: told.append((what, facts)))
     one = Listing(clock, lambda *_: told.append("handed on"), log, ("file",))
-    for _, record in records({"file": set(at(0, 1))}, {"file": SimpleNamespace(lines={
-            line(n).address: line(n) for n in range(2)})}, lambda ns: ns, 10 * hour):
+    for _, record in records(
+        {"file": set(at(0, 1))},
+        {"file": SimpleNamespace(lines={line(n).address: line(n) for n in range(2)})},
+        lambda ns: ns,
+        10 * hour,
+    ):
         one.kept.replay(record)
     assert one.begin(None, hour) is False and [t[0] for t in told] == ["kept list is too old to be acted on"]
     assert one.dirty["file"] == set(at(0, 1)), "what is kept of it goes with the next word"
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -89,8 +89,12 @@
     town.run((LAPSES + 2 * S) / S)
     assert {town.wanted(n) for n in town.up if n not in ("c002", "c003")} == {90}
     one = town.up["c009"]
-    for wrong in (Load(0, {"free": [1]}, [0, 0, 0], 1), Load(0, {"free": [-1] * 6}, [0, 0, 0], 1),
-                  Load(1, {"free": [5] * 6}, [0, 0, 0], 4, 0), Load(0, {}, [0, 0, 0], 0)):
+    for wrong in (
+        Load(0, {"free": [1]}, [0, 0, 0], 1),
+        Load(0, {"free": [-1] * 6}, [0, 0, 0], 1),
+        Load(1, {"free": [5] * 6}, [0, 0, 0], 4, 0),
+        Load(0, {}, [0, 0, 0], 0),
+    ):
         before = one.total(town.now)
         one.heard(town.now, "c010", wrong)
         assert one.total(town.now) == before
@@ -188,17 +192,18 @@
         for k, one in enumerate(taken):
             row[one[1]][load.ANSWERED] += 1
             row[one[1]][load.IN_TARGET if k < good else load.LATE] += 1
-        for one in left + taken[int(good):]:  # those who found no place, or too late, come again
+        for one in left + taken[int(good) :]:  # those who found no place, or too late, come again
             if n + 2 < one[2]:
                 self.back.setdefault(n + self.chance.choice((2, 3)), []).append(one)
         self.rows.append((len(asking), len(taken), good))
-        self.sums = (self.sums + [row])[-WINDOW - 1:]
+        self.sums = (self.sums + [row])[-WINDOW - 1 :]
         seen = self.sums[:WINDOW]  # a second old, as sums are
         for _ in range(2):  # twice a second
             self.now += S // 2
             if self.level:
-                self.value = self.level.step(self.now, {
-                    name: [sum(r[name][k] for r in seen) for k in range(6)] for name in ORDER})
+                self.value = self.level.step(
+                    self.now, {name: [sum(r[name][k] for r in seen) for k in range(6)] for name in ORDER}
+                )
 
 
 def mean(rows, since, until):
--- a/tests/test_offer.py
+++ b/tests/test_offer.py
@@ -58,7 +58,8 @@
             resources, versions, faults = run(codec.decoded(found, wall, self.view.assignments))
             more = (versions, found.removed) if self.form == "delta" else ()
             sends, accepted = self.session.answered(
-                found.type_url, found.version, found.nonce, resources, faults, *more)
+                found.type_url, found.version, found.nonce, resources, faults, *more
+            )
             put, gone = run(self.view.apply(accepted))
             self.lines.update({x.address: x for x in put})
             for address in gone:
@@ -73,10 +74,12 @@
             pass
 
 
-entries = st.tuples(st.integers(1, 7), st.none() | st.tuples(st.sampled_from(["ready", "draining"]),
-                                                             st.integers(0, 2)))
-history = st.lists(st.tuples(st.lists(entries, max_size=3), st.sampled_from(["", "step", "step", "lost"])),
-                   max_size=14)
+entries = st.tuples(
+    st.integers(1, 7), st.none() | st.tuples(st.sampled_from(["ready", "draining"]), st.integers(0, 2))
+)
+history = st.lists(
+    st.tuples(st.lists(entries, max_size=3), st.sampled_from(["", "step", "step", "lost"])), max_size=14
+)
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=60)
@@ -160,11 +163,15 @@
         async with Plain(source=world.service.offer_address, form=form) as plain:
             await until(lambda: len(plain.lines()) == 3)
             world.tell(s1="draining", s0=None)
-            await until(lambda: {x.name: x.standing for x in plain.lines().values()} == {
-                "s1": "draining", "s2": "ready"})
+            await until(
+                lambda: (
+                    {x.name: x.standing for x in plain.lines().values()} == {"s1": "draining", "s2": "ready"}
+                )
+            )
             mine = world.service.listing.merged.lines
             assert {a: (x.id, x.rack, x.zone, x.weight) for a, x in plain.lines().items()} == {
-                a: (x.id, x.rack, x.zone, x.weight) for a, x in mine.items()}
+                a: (x.id, x.rack, x.zone, x.weight) for a, x in mine.items()
+            }
 
     sourced(form, front='offer: listen: "127.0.0.1:0"')(test)()
 
@@ -207,8 +214,13 @@
                 await call.write(load.request(found))
                 await until(lambda: serving.reports.get("envoy-1"))
                 row = serving.reports["envoy-1"]["rack-0"]
-                assert (row["tries"], row["played"], row["erred"], row["in_progress"],
-                        row["bytes_a_second"]) == (4, 3, 1, 2, 3000) and "h:7" in row["streamers"]
+                assert (
+                    row["tries"],
+                    row["played"],
+                    row["erred"],
+                    row["in_progress"],
+                    row["bytes_a_second"],
+                ) == (4, 3, 1, 2, 3000) and "h:7" in row["streamers"]
                 call.cancel()
         finally:
             await serving.stop()
@@ -224,8 +236,16 @@
     def written(name, clusters):
         out = []
         for kind in (CLUSTER, ENDPOINT):
-            made = [(n, "", codec.cluster_bytes(n) if kind == CLUSTER else
-                     codec.assignment_bytes(n, lines.values(), float)) for n, lines in clusters.items()]
+            made = [
+                (
+                    n,
+                    "",
+                    codec.cluster_bytes(n)
+                    if kind == CLUSTER
+                    else codec.assignment_bytes(n, lines.values(), float),
+                )
+                for n, lines in clusters.items()
+            ]
             path = tmp_path / f"{name}-{'cds' if kind == CLUSTER else 'eds'}.json"
             path.write_bytes(codec.answer_json(kind, "1", made))
             out.append(str(path))
@@ -257,8 +277,15 @@
         source.clusters = {"a": endpoints(2)}
         await source.start()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "terndrift", "xds", "watch", source.address,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "terndrift",
+            "xds",
+            "watch",
+            source.address,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         try:
             first = [json.loads(await process.stdout.readline()) for _ in range(2)]
             assert {x["standing"] for x in first} == {"ready"}
@@ -276,8 +303,9 @@
 
 
 def test_the_merged_list_is_served_by_a_command_of_its_own_and_admin_shows_and_confirms(tmp_path):
-    rows = "".join(f'streamers: s{n}: {{id: {n}, address: "h:{n + 1}", rack: 0, kind: "box"}}\n'
-                   for n in range(8))
+    rows = "".join(
+        f'streamers: s{n}: {{id: {n}, address: "h:{n + 1}", rack: 0, kind: "box"}}\n' for n in range(8)
+    )
     (tmp_path / "list.rec").write_text(rows)
     (tmp_path / "front.rec").write_text(DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\n')
     (tmp_path / "none.rec").write_text(DEPLOYMENT + 'controller: name: "c0"\n')
@@ -300,8 +328,9 @@
 
 @in_world(front='catalogue: {admin: "127.0.0.1:0", store: "c0.store"}')
 async def test_admin_shows_the_list_in_force_and_takes_the_operators_word(world):
-    lines = world.fleet.lines() | {f"x{n}": {"id": 50 + n, "address": f"127.0.0.1:{n + 1}", "rack": 0,
-                                             "kind": "box"} for n in range(9)}
+    lines = world.fleet.lines() | {
+        f"x{n}": {"id": 50 + n, "address": f"127.0.0.1:{n + 1}", "rack": 0, "kind": "box"} for n in range(9)
+    }
     write_list(world.path("list.rec"), lines)
     listing, admin = world.service.listing, world.service.admin_address
     await until(lambda: len(listing.merged.lines) == 12)
@@ -310,8 +339,12 @@
     _, _, body = await fetch(world.pool, admin, "GET", "/listing")
     said = json.loads(body)
     assert len(said["streamers"]) == 12 and said["sources"]["file"]["doubted"] == 9 and said["alarms"]
-    for value, code in (({"source": "nobody"}, 422), ({"source": "file", "addresses": 4}, 422),
-                        ({"source": "file", "addresses": ["127.0.0.1:1"]}, 200), ({"source": "file"}, 200)):
+    for value, code in (
+        ({"source": "nobody"}, 422),
+        ({"source": "file", "addresses": 4}, 422),
+        ({"source": "file", "addresses": ["127.0.0.1:1"]}, 200),
+        ({"source": "file"}, 200),
+    ):
         data = json.dumps(value).encode()
         headers = {"Content-Length": str(len(data))}
         got, _, body = await fetch(world.pool, admin, "POST", "/listing/confirm", headers, body=data)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -95,12 +95,22 @@
     assert list(findings.merged([many])) == [f"s{n}" for n in range(findings.ROWS)]
 
 
-@pytest.mark.parametrize("wrong", [
-    Beside(found=row(by=9)), Beside(found=row(ill=-2)), Beside(found={"s": [1, 1]}),
-    Beside(found=row(played=999)),
-    Beside(found={f"s{n}": [1, 1, 1, 1, 0, 1, 0] for n in range(99)}), Beside(back=[-1]),
-    Beside(back=[0] * 99), Beside(keys={"a": 10**9}), Beside(strained=["x"] * 99), Beside(caps={"a": 2.0}),
-    Beside(found=row(dead=3))])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        Beside(found=row(by=9)),
+        Beside(found=row(ill=-2)),
+        Beside(found={"s": [1, 1]}),
+        Beside(found=row(played=999)),
+        Beside(found={f"s{n}": [1, 1, 1, 1, 0, 1, 0] for n in range(99)}),
+        Beside(back=[-1]),
+        Beside(back=[0] * 99),
+        Beside(keys={"a": 10**9}),
+        Beside(strained=["x"] * 99),
+        Beside(caps={"a": 2.0}),
+        Beside(found=row(dead=3)),
+    ],
+)
 def test_what_can_not_be_true_is_not_heard(wrong):
     assert not beside.sound(wrong, 2, 1000)
     assert beside.sound(Beside(), 2, 1000) and beside.sound(None, 2, 1000)
@@ -213,6 +223,7 @@
     day = run.load("calm-fleet")
     world = virtual.World(day, 5, 4, 8, 12)
     if told:
+
         def often(front):
             told(front)
             world.after(S // 10, often, front)
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -93,8 +93,9 @@
     """Asks for a playback and leaves it at once; whether it played."""
     address = several.fronts[name]
     try:
-        code, _, body = await fetch(several.pool, address, "GET", "/v/clip/main.m3u8", {}, within=4.0,
-                                    connect=0.5, fresh=True)
+        code, _, body = await fetch(
+            several.pool, address, "GET", "/v/clip/main.m3u8", {}, within=4.0, connect=0.5, fresh=True
+        )
         if code == 200:
             seat = re.search(rb"/p/([^/]+)/", body)[1].decode()
             await fetch(several.pool, address, "DELETE", f"/p/{seat}", within=2.0)
@@ -105,8 +106,9 @@
 
 @case(SIX, voters=3, deployment=ROOMY, fleet={"shed": True})
 async def a_streamer_that_errs_for_all_is_tried_by_one_in_turn_and_found_well_as_a_prober_dies(several):
-    rows = "".join(f'streamers: "s{n}": {{id: {n}, rack: {n % 2}, kind: "box", link: 20MB/s}}\n'
-                   for n in (1, 2, 3))
+    rows = "".join(
+        f'streamers: "s{n}": {{id: {n}, rack: {n % 2}, kind: "box", link: 20MB/s}}\n' for n in (1, 2, 3)
+    )
     notes = several.path("streamers.jsonl")
     uplinks = 'uplinks: {"0": 80MB/s, "1": 80MB/s}'
     fleet = Fleet(records.loads(f'{ROOMY}{uplinks}\nledger: "{notes}"\n{rows}', "fleet"))
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -38,9 +38,14 @@
 
 @in_world
 async def test_bad_hints_still_play_and_the_log_says_what_was_ignored(world):
-    bad = [{cmcd.SESSION: 'sid="' + "x" * 10000 + '"'}, {cmcd.OBJECT: "tb=1"}, {cmcd.REQUEST: "dl=0"},
-           {cmcd.REQUEST: "bl=,,=3", cmcd.STATUS: "bs=7"}, {cmcd.OBJECT: "tb=\u00e9"},
-           {cmcd.OBJECT: "br=99999999999999999999999"}]
+    bad = [
+        {cmcd.SESSION: 'sid="' + "x" * 10000 + '"'},
+        {cmcd.OBJECT: "tb=1"},
+        {cmcd.REQUEST: "dl=0"},
+        {cmcd.REQUEST: "bl=,,=3", cmcd.STATUS: "bs=7"},
+        {cmcd.OBJECT: "tb=\u00e9"},
+        {cmcd.OBJECT: "br=99999999999999999999999"},
+    ]
     for headers in bad:
         assert (await world.ask(headers=headers))[0] == 200
     path = "/v/clip/main.m3u8?CMCD=tb%3D400%2Csid%3D%22a%22"
@@ -158,8 +163,14 @@
     for n in range(40):
         sock.sendall(f"GET {base}/r3/{n}.ts HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     await until(lambda: world.service.front.relays)
-    await until(lambda: not world.service.server.exchanges and not any(
-        s.socket and s.socket.getpeername() == sock.getsockname() for s in world.service.server.peers))
+    await until(
+        lambda: (
+            not world.service.server.exchanges
+            and not any(
+                s.socket and s.socket.getpeername() == sock.getsockname() for s in world.service.server.peers
+            )
+        )
+    )
     sock.close()
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,8 +29,14 @@
 S = 1_000_000_000
 ID = bytes(range(8))
 PLANS = {"free": 3 * S, "paid": 3 * S}
-GOOD = ((m.PLAN, "paid"), (m.WAIT, "1500"), (m.TITLE, "7f3a9c21e0b4d655"), (m.HINT, "8200.0"),
-        (m.FIGURES, "home:4;copies:3;top:4;viewer:00000000b4d65521"), (m.DESCRIPTION, b"v=0\r\n\xff"))
+GOOD = (
+    (m.PLAN, "paid"),
+    (m.WAIT, "1500"),
+    (m.TITLE, "7f3a9c21e0b4d655"),
+    (m.HINT, "8200.0"),
+    (m.FIGURES, "home:4;copies:3;top:4;viewer:00000000b4d65521"),
+    (m.DESCRIPTION, b"v=0\r\n\xff"),
+)
 
 
 PARTS = st.dictionaries(st.integers(0, 255), st.binary(max_size=60), max_size=4)
@@ -52,12 +58,14 @@
 
 
 @hypothesis(derandomize=True, database=None, deadline=None, max_examples=100)
-@given(st.lists(st.tuples(st.integers(0, 255), st.binary(min_size=8, max_size=8), PARTS), max_size=5),
-       st.integers(1, 40))
+@given(
+    st.lists(st.tuples(st.integers(0, 255), st.binary(min_size=8, max_size=8), PARTS), max_size=5),
+    st.integers(1, 40),
+)
 def test_what_is_encoded_is_read_back_however_it_is_cut(sent, piece):
     data, link, got = b"".join(encode(t, id, *parts.items()) for t, id, parts in sent), Link(0, S), []
     for at in range(0, len(data), piece):
-        got += link.take(at, data[at:at + piece])
+        got += link.take(at, data[at : at + piece])
     assert [(g.type, g.id, g.parts) for g in got] == sent
     assert not link.overdue(10**18)
 
@@ -73,11 +81,18 @@
     assert len(link.buffer) <= len(data)
 
 
-@pytest.mark.parametrize("data", [
-    b"\x00\x00", b"\x00\x08" + bytes(8), b"\xff\xff", b"\x40\x01",
-    b"\x00\x0b" + b"\x01" + ID + b"\x10\x00", b"\x00\x0c" + b"\x01" + ID + b"\x10\x00\x05",
-    b"\x00\x0f" + b"\x01" + ID + b"\x10\x00\x00\x10\x00\x00",
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\x00\x00",
+        b"\x00\x08" + bytes(8),
+        b"\xff\xff",
+        b"\x40\x01",
+        b"\x00\x0b" + b"\x01" + ID + b"\x10\x00",
+        b"\x00\x0c" + b"\x01" + ID + b"\x10\x00\x05",
+        b"\x00\x0f" + b"\x01" + ID + b"\x10\x00\x00\x10\x00\x00",
+    ],
+)
 def test_lengths_that_do_not_fit_are_unreadable(data):
     with pytest.raises(Unreadable):
         messages(bytearray(data))
@@ -93,23 +108,49 @@
 
 def test_a_set_up_is_read_in_our_words():
     said = m.asked(set_up(), PLANS, 6)
-    assert (said.plan, said.title, said.time_left, said.length) == ("paid", "7f3a9c21e0b4d655", 3 * S // 2,
-                                                                    8_200_000_000)
+    assert (said.plan, said.title, said.time_left, said.length) == (
+        "paid",
+        "7f3a9c21e0b4d655",
+        3 * S // 2,
+        8_200_000_000,
+    )
     assert (said.first_cell, said.copies, said.top, said.plays_at) == (4, 3, 4, None)
     assert said.passed[2] == (m.DESCRIPTION, b"v=0\r\n\xff"), "passed on as it came"
     assert m.asked(set_up(hint=None), PLANS, 6).length == 0
 
 
-@pytest.mark.parametrize("changed", [
-    dict(plan="dear"), dict(plan=None), dict(plan=b"\xff\xfe"), dict(wait="-5"), dict(wait="0"),
-    dict(wait="99999999999"), dict(wait="1e3"), dict(wait=None), dict(wait=b"\xd9\xa1"), dict(title="../x"),
-    dict(title=None), dict(hint="nan"), dict(hint="inf"), dict(hint="1e999"), dict(hint="-1"), dict(hint="x"),
-    dict(hint=""), dict(hint="1_0"), dict(description=None), dict(figures=None),
-    dict(figures="home:4;copies:3"),
-    dict(figures="home:6;copies:3;top:4"), dict(figures="home:0;copies:0;top:4"),
-    dict(figures="home:0;copies:999999999999;top:4"), dict(figures="home:0;home:1;copies:3;top:4"),
-    dict(figures="home:-1;copies:3;top:4"), dict(figures="home:0;copies:3;top:1e9"),
-])
+@pytest.mark.parametrize(
+    "changed",
+    [
+        dict(plan="dear"),
+        dict(plan=None),
+        dict(plan=b"\xff\xfe"),
+        dict(wait="-5"),
+        dict(wait="0"),
+        dict(wait="99999999999"),
+        dict(wait="1e3"),
+        dict(wait=None),
+        dict(wait=b"\xd9\xa1"),
+        dict(title="../x"),
+        dict(title=None),
+        dict(hint="nan"),
+        dict(hint="inf"),
+        dict(hint="1e999"),
+        dict(hint="-1"),
+        dict(hint="x"),
+        dict(hint=""),
+        dict(hint="1_0"),
+        dict(description=None),
+        dict(figures=None),
+        dict(figures="home:4;copies:3"),
+        dict(figures="home:6;copies:3;top:4"),
+        dict(figures="home:0;copies:0;top:4"),
+        dict(figures="home:0;copies:999999999999;top:4"),
+        dict(figures="home:0;home:1;copies:3;top:4"),
+        dict(figures="home:-1;copies:3;top:4"),
+        dict(figures="home:0;copies:3;top:1e9"),
+    ],
+)
 def test_a_set_up_that_can_not_be_done_is_named(changed):
     with pytest.raises(Unusable, match="[a-z]"):
         m.asked(set_up(**changed), PLANS, 6)
@@ -130,8 +171,16 @@
 
 
 def told(**changed):
-    return {"name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f", "limits": {"sockets": 256},
-            "feed": "127.0.0.1:7070", "known": {"n": 0, "events": []}, "settings": SETTINGS, **changed}
+    return {
+        "name": "n3",
+        "listen": "127.0.0.1:0",
+        "seed": "8c1f",
+        "limits": {"sockets": 256},
+        "feed": "127.0.0.1:7070",
+        "known": {"n": 0, "events": []},
+        "settings": SETTINGS,
+        **changed,
+    }
 
 
 def test_the_settings_say_the_same_nested_and_flat():
@@ -144,11 +193,17 @@
     assert got.layout.holders(3, 2) == {3, 0} and got.deadlines == {"free": 3 * S, "paid": 3 * S}
 
 
-@pytest.mark.parametrize("changed, named", [
-    (dict(name=7), "name"), (dict(listen="nowhere"), "listen"), (dict(feed="127.0.0.1"), "feed"),
-    (dict(settings=[]), "settings"), (dict(known={}), "known.events"),
-    (dict(settings={**SETTINGS, "profiles": [{"worth": 1}]}), "profiles.0.name"),
-])
+@pytest.mark.parametrize(
+    "changed, named",
+    [
+        (dict(name=7), "name"),
+        (dict(listen="nowhere"), "listen"),
+        (dict(feed="127.0.0.1"), "feed"),
+        (dict(settings=[]), "settings"),
+        (dict(known={}), "known.events"),
+        (dict(settings={**SETTINGS, "profiles": [{"worth": 1}]}), "profiles.0.name"),
+    ],
+)
 def test_a_configuration_that_is_amiss_is_named(changed, named):
     with pytest.raises(terms.Malformed, match=named):
         settings.configuration(told(**changed))
@@ -270,14 +325,25 @@
         streamer.say(release(ids[1], 16))
         await until(lambda: len(core.held) == 1)
     counts = {
-        "core": len(core.held), "attempts": len(carrier.attempts), "cancelled": len(carrier.cancelled),
+        "core": len(core.held),
+        "attempts": len(carrier.attempts),
+        "cancelled": len(carrier.cancelled),
         "playing": sum(len(p.playing) + len(p.expected) + len(p.waiting) for p in carrier.peers.values()),
         "front": len(front.held) + len(front.expected) + len(front.owed),
         "connections": len(front.connections),
         "controller": len(controller.playbacks) + len(controller.open),
-        "streamers": sum(len(s.playbacks) for s in controller.streamers.values())}
-    assert counts == {"core": 1, "attempts": 0, "cancelled": 0, "playing": 1, "front": 1, "connections": 1,
-                      "controller": 1, "streamers": 1}
+        "streamers": sum(len(s.playbacks) for s in controller.streamers.values()),
+    }
+    assert counts == {
+        "core": 1,
+        "attempts": 0,
+        "cancelled": 0,
+        "playing": 1,
+        "front": 1,
+        "connections": 1,
+        "controller": 1,
+        "streamers": 1,
+    }
     assert sum(len(p.connections) for p in carrier.peers.values()) <= 4
     until_due = world.service.clock.now() + 3 * S  # what is due is forgotten then, though it is over
     assert all(at <= until_due for at, _, _ in core.alarms)
@@ -383,11 +449,18 @@
 async def test_set_ups_taken_back_in_one_breath_or_sent_twice_never_reach_a_streamer(world):
     viewer = await world.viewer()
     ids = [world.id() for _ in range(200)]
-    parts = ((m.PLAN, "free"), (m.WAIT, "3000"), (m.TITLE, "00112233aabbccdd"),
-             (m.FIGURES, "home:0;copies:4;top:2"), (m.DESCRIPTION, b"x"))
-    viewer.send(b"".join(encode(m.SET_UP, id, *parts) for id in ids[:100])
-                + b"".join(release(id, 16) for id in ids[:100])
-                + b"".join(encode(m.SET_UP, id, *parts) * 2 for id in ids[100:]))
+    parts = (
+        (m.PLAN, "free"),
+        (m.WAIT, "3000"),
+        (m.TITLE, "00112233aabbccdd"),
+        (m.FIGURES, "home:0;copies:4;top:2"),
+        (m.DESCRIPTION, b"x"),
+    )
+    viewer.send(
+        b"".join(encode(m.SET_UP, id, *parts) for id in ids[:100])
+        + b"".join(release(id, 16) for id in ids[:100])
+        + b"".join(encode(m.SET_UP, id, *parts) * 2 for id in ids[100:])
+    )
     last = viewer.ask()
     while (heard := await viewer.hear()).id != last:
         assert heard.type in (m.RELEASE, m.RELEASE_HEARD)
@@ -443,8 +516,14 @@
     viewer = await world.viewer()
     id, streamer = await world.plays(viewer)
     carried = world.service.front.held[id].carried
-    for name, value in (("served", "0.7"), ("link_use", "0.4"), ("rack_use", "0.3"), ("at_rung", "0"),
-                        ("colour", "1"), ("served", "x")):
+    for name, value in (
+        ("served", "0.7"),
+        ("link_use", "0.4"),
+        ("rack_use", "0.3"),
+        ("at_rung", "0"),
+        ("colour", "1"),
+        ("served", "x"),
+    ):
         streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
     at = world.by_name(streamer.name)
     await until(lambda: at.shares and at.heard and at.rack.seen and carried.rung == 0)
@@ -530,7 +609,8 @@
     second = Service(settings.read(path), Log(world.said), path)
     listened = []
     second.front.listen_on = lambda where: listened.append(
-        second.core.controller.streamers[settings.streamer_id("s-00000000")].listed.standing)
+        second.core.controller.streamers[settings.streamer_id("s-00000000")].listed.standing
+    )
     await second.begin()
     assert listened == [Standing.DRAINING]
     second.close()
@@ -550,7 +630,8 @@
     await until(lambda: world.service.feed.held == 2)
     assert world.by_name("s-00000000").listed.standing is Standing.DRAINING
     assert [why["why"] for level, _, why in world.said if level == "warning"] == [
-        "event 2: a row of the list: KeyError 'host', passed over"]
+        "event 2: a row of the list: KeyError 'host', passed over"
+    ]
 
 
 @in_world
@@ -576,13 +657,19 @@
 def test_as_a_process_it_starts_takes_signals_and_leaves_the_other_parts_off(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told(feed="127.0.0.1:9")))
-    asks = ("import sys, terndrift.platform.service; "
-            "print([n for n in sys.modules if n.split('.')[0] in ('grpc', 'google', 'lark', 'click') or "
-            "n.startswith(('terndrift.cli', 'terndrift.xds', 'terndrift.sip', 'terndrift.http.front', "
-            "'terndrift.store'))])")
+    asks = (
+        "import sys, terndrift.platform.service; "
+        "print([n for n in sys.modules if n.split('.')[0] in ('grpc', 'google', 'lark', 'click') or "
+        "n.startswith(('terndrift.cli', 'terndrift.xds', 'terndrift.sip', 'terndrift.http.front', "
+        "'terndrift.store'))])"
+    )
     assert subprocess.check_output([sys.executable, "-c", asks], text=True).strip() == "[]"
-    run = subprocess.Popen([sys.executable, "-B", "-m", "terndrift.platform"], stderr=subprocess.PIPE,
-                           text=True, env={**os.environ, "LB_CONFIG": str(path)})
+    run = subprocess.Popen(
+        [sys.executable, "-B", "-m", "terndrift.platform"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "LB_CONFIG": str(path)},
+    )
     try:
         lines = iter(run.stderr.readline, "")
         assert any('"listening"' in line for line in lines)
@@ -598,8 +685,12 @@
 
 
 def test_without_its_configuration_it_says_so():
-    run = subprocess.run([sys.executable, "-m", "terndrift.platform"], capture_output=True, text=True,
-                         env={k: v for k, v in os.environ.items() if k != "LB_CONFIG"})
+    run = subprocess.run(
+        [sys.executable, "-m", "terndrift.platform"],
+        capture_output=True,
+        text=True,
+        env={k: v for k, v in os.environ.items() if k != "LB_CONFIG"},
+    )
     assert run.returncode == 1 and "LB_CONFIG" in run.stderr
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -17,28 +17,40 @@
 def test_defaults_shorthand_and_fields_written_twice_make_one_value():
     value = records.loads(LIST, "list")["streamers"]
     assert value["a"]["standing"] == "ready" and value["a"]["weight"] == 1.0
-    assert value["b"] == {"id": 2, "address": "h:81", "rack": 1, "kind": "box", "zone": "",
-                          "standing": "draining", "weight": 1.5, "started": 0, "labels": []}
-    twice = LIST + "streamers: a: {rack: 0, zone: \"hall\"}"
+    assert value["b"] == {
+        "id": 2,
+        "address": "h:81",
+        "rack": 1,
+        "kind": "box",
+        "zone": "",
+        "standing": "draining",
+        "weight": 1.5,
+        "started": 0,
+        "labels": [],
+    }
+    twice = LIST + 'streamers: a: {rack: 0, zone: "hall"}'
     assert records.loads(twice, "list")["streamers"]["a"]["zone"] == "hall"
 
 
-@pytest.mark.parametrize("text, place, found, wanted", [
-    ("streamers: a: {id: -1, address: \"h:80\", rack: 0, kind: \"x\"}", "1:20", "-1", ">=0"),
-    ("streamers: a: {id: 1.5, address: \"h:80\", rack: 0, kind: \"x\"}", "1:20", "1.5", "int"),
-    ("streamers: a: {id: 1, rack: 0, kind: \"x\"}", "1:1", "nothing", "string"),
-    ("streamers: a: {id: 1, address: \"h\", rack: 0, kind: \"x\"}", "1:32", '"h"', "=~"),
-    ("streamers: a: {id: 1, colour: 2}", "1:31", "field 'colour'", "one of id, address"),
-    ("streamers: a: {id: 1\nstreamers: b: {}", "2:17", "the end of the file", "'}'"),
-    ("streamers: a: {id: ?}", "1:20", "'?'", ""),
-    ("streamers: a: standing: \"gnoe\"", "1:25", '"gnoe"', '"draining"'),
-    ("streamers: a: id: nobody", "1:19", "'nobody'", "defined"),
-    ("streamers: 5", "1:12", "5", "{"),
-    ("streamers: a: id: 1 & 2", "1:23", "2", "1"),
-    ("include \"none.rec\"", "1:1", "none.rec", "readable"),
-    ("a: a", "1:4", "'a' within itself", "does not need itself"),
-    ("x: 5parsec", "1:4", "5parsec", "there are ns, us"),
-])
+@pytest.mark.parametrize(
+    "text, place, found, wanted",
+    [
+        ('streamers: a: {id: -1, address: "h:80", rack: 0, kind: "x"}', "1:20", "-1", ">=0"),
+        ('streamers: a: {id: 1.5, address: "h:80", rack: 0, kind: "x"}', "1:20", "1.5", "int"),
+        ('streamers: a: {id: 1, rack: 0, kind: "x"}', "1:1", "nothing", "string"),
+        ('streamers: a: {id: 1, address: "h", rack: 0, kind: "x"}', "1:32", '"h"', "=~"),
+        ("streamers: a: {id: 1, colour: 2}", "1:31", "field 'colour'", "one of id, address"),
+        ("streamers: a: {id: 1\nstreamers: b: {}", "2:17", "the end of the file", "'}'"),
+        ("streamers: a: {id: ?}", "1:20", "'?'", ""),
+        ('streamers: a: standing: "gnoe"', "1:25", '"gnoe"', '"draining"'),
+        ("streamers: a: id: nobody", "1:19", "'nobody'", "defined"),
+        ("streamers: 5", "1:12", "5", "{"),
+        ("streamers: a: id: 1 & 2", "1:23", "2", "1"),
+        ('include "none.rec"', "1:1", "none.rec", "readable"),
+        ("a: a", "1:4", "'a' within itself", "does not need itself"),
+        ("x: 5parsec", "1:4", "5parsec", "there are ns, us"),
+    ],
+)
 def test_an_error_names_place_what_was_found_and_what_was_wanted(text, place, found, wanted):
     with pytest.raises(records.Wrong) as wrong:
         records.loads(text, "list", "f.rec")
@@ -48,7 +60,7 @@
 
 def test_all_errors_are_told_at_once():
     with pytest.raises(records.Wrong) as wrong:
-        records.loads("streamers: a: {id: -1, address: 3, rack: \"x\", kind: 4, more: 1}", "list", "f.rec")
+        records.loads('streamers: a: {id: -1, address: 3, rack: "x", kind: 4, more: 1}', "list", "f.rec")
     assert len(wrong.value.faults) == 5
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,8 +9,13 @@
 SECOND = 1_000_000_000
 BEGIN = 1000 * SECOND
 PLAN = {"startup_target": SECOND, "floor": 0, "scale": 1.0, "seats": 0, "repeatable": True, "revenue": 1.0}
-DEPLOYMENT = {"plans": {"p": PLAN}, "titles": {"t": {"plan": "p"}}, "rules": {"drain_grace": SECOND},
-              "ladder": {"rates": [100_000, 200_000]}, "links": {"places": {"box": 100}}}
+DEPLOYMENT = {
+    "plans": {"p": PLAN},
+    "titles": {"t": {"plan": "p"}},
+    "rules": {"drain_grace": SECOND},
+    "ladder": {"rates": [100_000, 200_000]},
+    "links": {"places": {"box": 100}},
+}
 
 
 def day(good, rung=lambda n: 1, down=(20, 23), controllers=4, kills=3):
@@ -18,27 +23,48 @@
     seconds begins each second at `rung(n)`."""
     viewers, streamers = [], []
     names = [f"c{n}" for n in range(controllers)]
-    runner = [{"what": "fleet", "t": 0, "begin": BEGIN, "uplinks": {"0": 10**9},
-               "streamers": [{"id": 1, "rack": 0, "link": 10**9, "places": 100}]}]
+    runner = [
+        {
+            "what": "fleet",
+            "t": 0,
+            "begin": BEGIN,
+            "uplinks": {"0": 10**9},
+            "streamers": [{"id": 1, "rack": 0, "link": 10**9, "places": 100}],
+        }
+    ]
     runner += [{"what": "controller up", "t": 1, "name": n, "address": n} for n in names]
     for name in names[:kills]:
-        runner += [{"what": "controller down", "t": BEGIN + down[0] * SECOND, "name": name, "address": name},
-                   {"what": "controller starts", "t": BEGIN + (down[1] - 1) * SECOND, "name": name},
-                   {"what": "controller up", "t": BEGIN + down[1] * SECOND, "name": name, "address": name}]
+        runner += [
+            {"what": "controller down", "t": BEGIN + down[0] * SECOND, "name": name, "address": name},
+            {"what": "controller starts", "t": BEGIN + (down[1] - 1) * SECOND, "name": name},
+            {"what": "controller up", "t": BEGIN + down[1] * SECOND, "name": name, "address": name},
+        ]
     for n in range(40):
         at = BEGIN + n * SECOND + SECOND // 10
         for k in range(5):
             ask = f"{n}/{k}"
-            viewers.append({"what": "ask", "ask": ask, "visit": ask, "title": "t", "controller": names[-1],
-                            "t": at, "until": at + 3 * SECOND})
+            viewers.append(
+                {
+                    "what": "ask",
+                    "ask": ask,
+                    "visit": ask,
+                    "title": "t",
+                    "controller": names[-1],
+                    "t": at,
+                    "until": at + 3 * SECOND,
+                }
+            )
             late = 0 if k < good(n) else 2 * SECOND
             viewers.append({"what": "answer", "ask": ask, "code": 200, "t": at + late + SECOND // 100})
         pb = f"{names[-1]}~1-{n}"
-        streamers += [{"what": "try", "streamer": 1, "pb": pb, "number": 1, "title": "t", "t": at, "br": 800},
-                      {"what": "try end", "streamer": 1, "pb": pb, "number": 1, "code": 200, "ran": True,
-                       "t": at + 1}]
-        streamers += [{"what": "media", "streamer": 1, "pb": pb, "rung": rung(n), "t": at + 2 + s * SECOND}
-                      for s in range(5)]
+        streamers += [
+            {"what": "try", "streamer": 1, "pb": pb, "number": 1, "title": "t", "t": at, "br": 800},
+            {"what": "try end", "streamer": 1, "pb": pb, "number": 1, "code": 200, "ran": True, "t": at + 1},
+        ]
+        streamers += [
+            {"what": "media", "streamer": 1, "pb": pb, "rung": rung(n), "t": at + 2 + s * SECOND}
+            for s in range(5)
+        ]
     return Facts(DEPLOYMENT, {"viewers": viewers, "streamers": streamers, "runner": runner}, 0.3)
 
 
@@ -102,13 +128,23 @@
     from terndrift.audit import placements
 
     def swap(t, number, holders, *by):
-        rows = [{"t": t * SECOND, "what": "swap", "controller": c, "number": number, "title": "clip",
-                 "holders": holders} for c in by]
+        rows = [
+            {
+                "t": t * SECOND,
+                "what": "swap",
+                "controller": c,
+                "number": number,
+                "title": "clip",
+                "holders": holders,
+            }
+            for c in by
+        ]
         return rows + [{**row, "t": t * SECOND + 1, "what": "swapped", "code": 200} for row in rows]
 
     runner = swap(1, 0, [1], "c0", "c1") + swap(5, 1, [2], "c0", "c1") + swap(30, 2, [3], "c1")
-    facts = Made(runner=runner, names={"c0": "a0", "c1": "a1"},
-                 controller_downs={"a0": [(10 * SECOND, 14 * SECOND)]})
+    facts = Made(
+        runner=runner, names={"c0": "a0", "c1": "a1"}, controller_downs={"a0": [(10 * SECOND, 14 * SECOND)]}
+    )
 
     def found(streamer, at, by="c0"):
         facts.tries = [Made(pb=f"{by}~1-1", title="clip", streamer=streamer, at=at * SECOND)]
@@ -149,8 +185,14 @@
         core = Made(controller=Made(streamers={}, racks={}), among=lambda *args: handed.append(args))
         clock = Made(now=lambda: at, wall_ns=lambda now: now, of_wall_ns=lambda wall: wall)
         listing = Made(fresh=list, flow=Made(numbers=Made(of={})))
-        one = Sight(fleet, listing, Made(core=core, clock=clock, do=lambda call, *args: call(*args)), SECOND,
-                    (0, 2), lambda: True)
+        one = Sight(
+            fleet,
+            listing,
+            Made(core=core, clock=clock, do=lambda call, *args: call(*args)),
+            SECOND,
+            (0, 2),
+            lambda: True,
+        )
         if kept:
             one.restore(kept)
         one.look()
@@ -168,8 +210,11 @@
 
     low = {**PLAN, "top": 1, "adds": 1.0}
     plans = {"p": low, "hi": {**low, "revenue": 3.0}, "seated": {**low, "revenue": 2.0, "seats": 1}}
-    deployment = {**DEPLOYMENT, "plans": plans,
-                  "titles": {"t": {"plan": "p"}, "h": {"plan": "hi"}, "s": {"plan": "seated"}}}
+    deployment = {
+        **DEPLOYMENT,
+        "plans": plans,
+        "titles": {"t": {"plan": "p"}, "h": {"plan": "hi"}, "s": {"plan": "seated"}},
+    }
 
     def report(away, title):
         made = day(lambda n: 5 if not 20 <= n < 25 else 1)
@@ -177,12 +222,22 @@
         for n in (21, 22):
             for k in range(away):
                 ask, at = f"x{n}/{k}", BEGIN + n * SECOND + SECOND // 5
-                extra += [{"what": "ask", "ask": ask, "visit": ask, "title": title, "controller": "c3",
-                           "t": at, "until": at + SECOND},
-                          {"what": "answer", "ask": ask, "code": 503, "t": at + 1}]
+                extra += [
+                    {
+                        "what": "ask",
+                        "ask": ask,
+                        "visit": ask,
+                        "title": title,
+                        "controller": "c3",
+                        "t": at,
+                        "until": at + SECOND,
+                    },
+                    {"what": "answer", "ask": ask, "code": 503, "t": at + 1},
+                ]
         runner = [*made.runner, {"what": "surge", "t": BEGIN + 20 * SECOND, "lasts": 4 * SECOND}]
-        facts = Facts(deployment, {"viewers": viewers + extra, "streamers": made.streamers, "runner": runner},
-                      0.3)
+        facts = Facts(
+            deployment, {"viewers": viewers + extra, "streamers": made.streamers, "runner": runner}, 0.3
+        )
         return overload.report(facts, 40)["overload"]
 
     one = report(4, "h")
@@ -210,10 +265,16 @@
             held()
             lying = [f for f in world.fronts if not f.dead][:2]
             for n, front in enumerate(lying):
+
                 def lies(now, addresses, answers=False, front=front, n=n):
                     run_of, ill = front.controller.members.run, 0 if n else -1
-                    return Knows([Fact(a, front.name, run_of, 0, 60_000, 0, ill)
-                                  for a in sorted(world.listing.flow.numbers.of)], answers)
+                    return Knows(
+                        [
+                            Fact(a, front.name, run_of, 0, 60_000, 0, ill)
+                            for a in sorted(world.listing.flow.numbers.of)
+                        ],
+                        answers,
+                    )
 
                 front.controller.warm._knows = lies
 
--- a/tests/test_return_processes.py
+++ b/tests/test_return_processes.py
@@ -31,8 +31,16 @@
 async def asks(several, name, title):
     """The code of a viewer's request, sent on or not; 0: nobody listens."""
     try:
-        code, _, _ = await fetch(several.pool, several.fronts[name], "GET", f"/v/{title}/main.m3u8", {},
-                                 within=6.0, connect=0.5, fresh=True)
+        code, _, _ = await fetch(
+            several.pool,
+            several.fronts[name],
+            "GET",
+            f"/v/{title}/main.m3u8",
+            {},
+            within=6.0,
+            connect=0.5,
+            fresh=True,
+        )
     except (Unreached, Broken, KeyError):
         return 0
     return code
@@ -78,7 +86,7 @@
     assert all(set(codes) <= {503} for codes in taken.values()), taken
     for name in EIGHT:  # turned away only while it did not know, and never taken: nothing was tried for it
         codes = [c for c in seen[name] if c]
-        assert codes[-1] == 404 and 503 not in codes[codes.index(404):], (name, codes)
+        assert codes[-1] == 404 and 503 not in codes[codes.index(404) :], (name, codes)
     assert all([await has(several, n, "stays") for n in EIGHT])
     copied = [n for n in EIGHT if any("copied from a member" in line for line in several.said[n])]
     assert copied == ["c4", "c5", "c6", "c7"], copied
@@ -202,8 +210,18 @@
 
 async def command(several, name, *words):
     ran = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "terndrift", "fleet", "shed", words[0], "--admin", several.admins[name],
-        *words[1:], stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+        sys.executable,
+        "-m",
+        "terndrift",
+        "fleet",
+        "shed",
+        words[0],
+        "--admin",
+        several.admins[name],
+        *words[1:],
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.STDOUT,
+    )
     await ran.communicate()
     return ran.returncode
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,9 +7,13 @@
 from terndrift.decide import State
 from terndrift.interface import Ending, Standing
 
-calls = st.tuples(st.sampled_from(
-    ["want", "want", "want", "play", "end", "silence", "list", "use", "share", "left", "wait"]),
-    st.integers(0, 999), st.integers(0, 5))
+calls = st.tuples(
+    st.sampled_from(
+        ["want", "want", "want", "play", "end", "silence", "list", "use", "share", "left", "wait"]
+    ),
+    st.integers(0, 999),
+    st.integers(0, 5),
+)
 BAD = [Ending.FULL, Ending.ERRED, Ending.UNREACHED, Ending.BROKEN, Ending.CALLED_OFF, Ending.NEVER_SENT]
 
 
@@ -25,8 +29,12 @@
         elif what == "play" and pb and pb.state is State.TRYING:
             front.play(pb)
         elif what == "end" and pb:
-            front.end(pb, BAD[b % len(BAD)] if pb.state is State.TRYING else Ending.PLAYED_OUT,
-                      finished=pb.state is State.PLAYING, report={"link": a / 300, "uplink": b - 1.0})
+            front.end(
+                pb,
+                BAD[b % len(BAD)] if pb.state is State.TRYING else Ending.PLAYED_OUT,
+                finished=pb.state is State.PLAYING,
+                report={"link": a / 300, "uplink": b - 1.0},
+            )
         elif what == "list":
             standing = [Standing.READY, Standing.DRAINING, Standing.GONE][b % 3]
             front.list([line(a % 5, a % 4, standing, started=front.now if b > 3 else 0, weight=a % 3)])
@@ -51,8 +59,11 @@
         for link in (at, rack):
             room[link] -= pb.rates[pb.plan.floor]
     while room[rack] > 0:
-        left = [(pb.steps[rungs[pb]][0], n) for n, (pb, _) in enumerate(all_of)
-                if pb not in ended and rungs[pb] < pb.top]
+        left = [
+            (pb.steps[rungs[pb]][0], n)
+            for n, (pb, _) in enumerate(all_of)
+            if pb not in ended and rungs[pb] < pb.top
+        ]
         if not left:
             break
         pb, at = all_of[min(left)[1]]
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -23,6 +23,7 @@
 @st.composite
 def drawn(draw):
     """A configuration's settings and limits."""
+
     def whole(least, most):
         return draw(st.integers(least, most))
 
@@ -35,49 +36,81 @@
     controllers = draw(st.sampled_from([1, 2, 30, 300]))
     asked = draw(st.booleans())
     return {
-        "rank": whole(0, controllers - 1), "replicas_of_me": controllers, "zone": "here",
-        "areas": [f"z{n}" for n in range(whole(0, 5))], "host_types": [f"k{n}" for n in range(kinds)],
+        "rank": whole(0, controllers - 1),
+        "replicas_of_me": controllers,
+        "zone": "here",
+        "areas": [f"z{n}" for n in range(whole(0, 5))],
+        "host_types": [f"k{n}" for n in range(kinds)],
         "registry_mode": "subscribe" if asked else "automatic",
-        "profiles": [{
-            "name": f"p{n}", "worth": number(0, 10),
-            "slo_ns": deadlines[n] // draw(st.sampled_from([1, 2, 10**12])),
-            "deadline_ns": deadlines[n],
-            "effect": draw(st.sampled_from(["at_most_once", "idempotent", "deduplicated", "new"]))}
-            for n in range(plans)],
+        "profiles": [
+            {
+                "name": f"p{n}",
+                "worth": number(0, 10),
+                "slo_ns": deadlines[n] // draw(st.sampled_from([1, 2, 10**12])),
+                "deadline_ns": deadlines[n],
+                "effect": draw(st.sampled_from(["at_most_once", "idempotent", "deduplicated", "new"])),
+            }
+            for n in range(plans)
+        ],
         "family_info": {
             "rung_kb": [100.0 * (n + 1) * (1 + n) for n in range(rungs)],
-            "worth_by_rung": [(n + 1) / rungs for n in range(rungs)], "lowest_rung": floors,
+            "worth_by_rung": [(n + 1) / rungs for n in range(rungs)],
+            "lowest_rung": floors,
             "top_by_class": [whole(floor, 9) for floor in floors],
             "class_seats": [whole(0, 3) for _ in floors],
             "scale_by_class": [draw(st.sampled_from([1.0, 0.1, 4.0])) for _ in floors],
-            "class_live": [draw(st.booleans()) for _ in floors], "shared_adds": number(0.01, 1),
-            "places": draw(st.sampled_from([4, 8, 1, 40])), "racks": whole(1, 12),
+            "class_live": [draw(st.booleans()) for _ in floors],
+            "shared_adds": number(0.01, 1),
+            "places": draw(st.sampled_from([4, 8, 1, 40])),
+            "racks": whole(1, 12),
             "places_by_kind": [whole(0, 50) for _ in range(kinds)],
             "link_unit_kb": draw(st.sampled_from([10_000.0, 1000.0, 1.0])),
             "rack_kb": draw(st.sampled_from([50_000.0, 0, 500.0])),
             "see_ns": whole(0, 2 * S),
-            "reports_every_ns": whole(0, 5 * S), "refuses_from": number(0, 2),
-            "switch_cost_s": number(0, 2), "shortfall_cost": number(0, 10)},
-        "load_report": {"how": draw(st.sampled_from(["answers", "probe", "none"])),
-                        "fields": draw(st.sampled_from([[], ["x0"], ["active", "cpu"], ["x0", "x1"]]))},
+            "reports_every_ns": whole(0, 5 * S),
+            "refuses_from": number(0, 2),
+            "switch_cost_s": number(0, 2),
+            "shortfall_cost": number(0, 10),
+        },
+        "load_report": {
+            "how": draw(st.sampled_from(["answers", "probe", "none"])),
+            "fields": draw(st.sampled_from([[], ["x0"], ["active", "cpu"], ["x0", "x1"]])),
+        },
         "ceilings": {
-            "try_limit": draw(st.sampled_from([5, 9, 2, 1, 0])), "retry_after": draw(st.booleans()),
+            "try_limit": draw(st.sampled_from([5, 9, 2, 1, 0])),
+            "retry_after": draw(st.booleans()),
             "probes": draw(st.booleans()),
-            "max_retry_after_ns": whole(0, 5 * S), "connect_timeout_ns": whole(1, 2 * S),
-            "keepalive_ns": whole(1, 60 * S), "max_streams": whole(1, 2**20)},
+            "max_retry_after_ns": whole(0, 5 * S),
+            "connect_timeout_ns": whole(1, 2 * S),
+            "keepalive_ns": whole(1, 60 * S),
+            "max_streams": whole(1, 2**20),
+        },
         "rules": {
-            "cold_ns": whole(0, 60 * S), "start_capacity": number(0, 1), "tip_multiple": number(0, 5),
-            "overload_for_ns": whole(0, 10 * S), "drain_grace_ns": whole(0, 3 * S),
-            "grace_to_answer_ns": whole(0, 100 * MS), "ask_within_ns": whole(0, 10 * S),
-            "free_resends": draw(st.sampled_from([3, 1, 0])), "repeat_ratio": number(0, 0.3),
-            "budget_span_ns": whole(0, 20 * S)},
+            "cold_ns": whole(0, 60 * S),
+            "start_capacity": number(0, 1),
+            "tip_multiple": number(0, 5),
+            "overload_for_ns": whole(0, 10 * S),
+            "drain_grace_ns": whole(0, 3 * S),
+            "grace_to_answer_ns": whole(0, 100 * MS),
+            "ask_within_ns": whole(0, 10 * S),
+            "free_resends": draw(st.sampled_from([3, 1, 0])),
+            "repeat_ratio": number(0, 0.3),
+            "budget_span_ns": whole(0, 20 * S),
+        },
     }
 
 
 def configured(drawn_settings, sockets=256):
-    return settings.configuration({
-        "name": "n0", "listen": "127.0.0.1:0", "feed": "127.0.0.1:1", "known": {"n": 0, "events": []},
-        "limits": {"sockets": sockets}, "settings": drawn_settings})
+    return settings.configuration(
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "feed": "127.0.0.1:1",
+            "known": {"n": 0, "events": []},
+            "limits": {"sockets": sockets},
+            "settings": drawn_settings,
+        }
+    )
 
 
 class Day:
@@ -102,8 +135,16 @@
     def _row(self, n, standing=Standing.READY):
         kinds = list(self.d.links.places) or ["other"]
         cell = n % self.cells
-        return Listed(n, kinds[n % len(kinds)], f"z{n % 3}", cell, self.layout.rack(cell), standing,
-                      self.random.choice([0, 0.5, 1, 200]), 0)
+        return Listed(
+            n,
+            kinds[n % len(kinds)],
+            f"z{n % 3}",
+            cell,
+            self.layout.rack(cell),
+            standing,
+            self.random.choice([0, 0.5, 1, 200]),
+            0,
+        )
 
     def _list(self, rows):
         for row in rows:
@@ -130,8 +171,11 @@
                 taken = sum(t > since for t in self.taken)
                 assert sum(t > since for t in self.extra) <= rules.extra_tries + rules.extra_share * taken
         self.out[carried] = streamer
-        seated = [c for c in [*self.out, *self.playing] if c.wanted.plan == plan.name
-                  and c.wanted.title == carried.wanted.title]
+        seated = [
+            c
+            for c in [*self.out, *self.playing]
+            if c.wanted.plan == plan.name and c.wanted.title == carried.wanted.title
+        ]
         assert not plan.seats or len(seated) <= plan.seats
         ending = self.random.choice([None, None, *ENDINGS, "silent"])
         if ending != "silent":
@@ -174,9 +218,14 @@
         longest = max(1, plan.startup_target)
         left = self.random.choice([longest, self.random.randrange(longest) + 1, 5 * S])
         home, copies = self.random.randrange(self.cells), self.random.randrange(self.cells) + 1
-        wanted = Wanted(plan.name, f"t{self.random.randrange(3)}", self.layout.holders(home, copies),
-                        self.random.choice([9, 9, self.random.randrange(10)]), left,
-                        self.random.choice([0, 5 * S]))
+        wanted = Wanted(
+            plan.name,
+            f"t{self.random.randrange(3)}",
+            self.layout.holders(home, copies),
+            self.random.choice([9, 9, self.random.randrange(10)]),
+            left,
+            self.random.choice([0, 5 * S]),
+        )
         answers, box = [], []
 
         def answered(answer):
@@ -232,8 +281,14 @@
 @pytest.mark.parametrize("deadline_ms", [60, 120, 240, 1500, 12_000])
 def test_short_deadlines_are_served_too(deadline_ms):
     profiles = [{**SETTINGS["profiles"][0], "deadline_ns": deadline_ms * MS, "slo_ns": deadline_ms * MS}]
-    info = {**SETTINGS["family_info"], "lowest_rung": [0], "top_by_class": [2], "class_seats": [0],
-            "scale_by_class": [1.0], "class_live": [False]}
+    info = {
+        **SETTINGS["family_info"],
+        "lowest_rung": [0],
+        "top_by_class": [2],
+        "class_seats": [0],
+        "scale_by_class": [1.0],
+        "class_live": [False],
+    }
     configuration = configured({**SETTINGS, "profiles": profiles, "family_info": info})
     assert 0 < margin(deadline_ms * MS) < deadline_ms * MS / 2
     core = Core(configuration.deployment, T0, "n0", 0)
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -18,8 +18,16 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-BASE = ["INVITE sip:room@h:5060 SIP/2.0", "Via: SIP/2.0/UDP a:5060;branch=z9hG4bK1", "From: <sip:a@a>;tag=1",
-        "To: <sip:room@h>", "Call-ID: x@a", "CSeq: 1 INVITE", "Max-Forwards: 70", "Contact: <sip:a@a:5060>"]
+BASE = [
+    "INVITE sip:room@h:5060 SIP/2.0",
+    "Via: SIP/2.0/UDP a:5060;branch=z9hG4bK1",
+    "From: <sip:a@a>;tag=1",
+    "To: <sip:room@h>",
+    "Call-ID: x@a",
+    "CSeq: 1 INVITE",
+    "Max-Forwards: 70",
+    "Contact: <sip:a@a:5060>",
+]
 
 
 def base(**changes):
@@ -37,19 +45,35 @@
 
 # The codec.
 
+
 def test_compact_forms_folding_lists_and_escapes_are_one_message():
     """After RFC 4475, 3.1.1.1: ordinary parts in unusual forms."""
-    m = read(raw(
-        "INVITE sip:vivekg@chair-dnrc.example.com;unknownparam SIP/2.0", "TO :", " sip:v@h ;   tag    = 1918",
-        'f: "J Rosenberg \\\\\\""       <sip:jdrosen@example.com>', "  ;", "  tag = 98asjd8",
-        "mAx-FoRwArDs:  068",
-        "i: 0ha0isndaksdj@10.2.3.4", "l: 3", "cseq: 0009", "  INVITE",
-        "Via  : SIP  /   2.0", " /UDP", "    192.0.2.2;branch=390skdjuw",
-        "v:  SIP  / 2.0  / TCP     spindle.example.com   ;", "  branch  =   z9hG4bK9ikj8  ,",
-        " SIP  /    2.0   / UDP  192.168.255.111   ; branch=", " z9hG4bK30239",
-        'm:"Quoted string \\"\\"" <sip:jdrosen@example.com> ; newparam =', "      newvalue ;",
-        "  secondparam ; q = 0.33",
-        body=b"abcdef"))
+    m = read(
+        raw(
+            "INVITE sip:vivekg@chair-dnrc.example.com;unknownparam SIP/2.0",
+            "TO :",
+            " sip:v@h ;   tag    = 1918",
+            'f: "J Rosenberg \\\\\\""       <sip:jdrosen@example.com>',
+            "  ;",
+            "  tag = 98asjd8",
+            "mAx-FoRwArDs:  068",
+            "i: 0ha0isndaksdj@10.2.3.4",
+            "l: 3",
+            "cseq: 0009",
+            "  INVITE",
+            "Via  : SIP  /   2.0",
+            " /UDP",
+            "    192.0.2.2;branch=390skdjuw",
+            "v:  SIP  / 2.0  / TCP     spindle.example.com   ;",
+            "  branch  =   z9hG4bK9ikj8  ,",
+            " SIP  /    2.0   / UDP  192.168.255.111   ; branch=",
+            " z9hG4bK30239",
+            'm:"Quoted string \\"\\"" <sip:jdrosen@example.com> ; newparam =',
+            "      newvalue ;",
+            "  secondparam ; q = 0.33",
+            body=b"abcdef",
+        )
+    )
     assert m.cseq == (9, "INVITE") and m.number("max-forwards") == 68 and m.body == b"abc"
     assert m.named("from").tag == "98asjd8" and m.named("from").display == 'J Rosenberg \\"'
     assert [Via.read(v).transport for v in m.all("via")] == ["UDP", "TCP", "UDP"]
@@ -127,8 +151,12 @@
     text = bytearray(raw(*BASE, 'Contact: "a" <sip:b@c>;q=1, <sip:d@e>', "Content-Length: 0"))
     for _ in range(data.draw(st.integers(0, 6))):
         at = data.draw(st.integers(0, len(text) - 1))
-        text[at:at + data.draw(st.integers(0, 3))] = data.draw(st.binary(max_size=4) | st.sampled_from(
-            [b'"', b"<", b">", b";", b",", b"\r\n", b"\r\n ", b"%", b"\\", b"[", b":", b"\0", b"\xff"]))
+        text[at : at + data.draw(st.integers(0, 3))] = data.draw(
+            st.binary(max_size=4)
+            | st.sampled_from(
+                [b'"', b"<", b">", b";", b",", b"\r\n", b"\r\n ", b"%", b"\\", b"[", b":", b"\0", b"\xff"]
+            )
+        )
     try:
         again = read(read(bytes(text)).encode())
         assert again.cseq
@@ -138,6 +166,7 @@
 
 def test_no_message_takes_time_by_the_square_of_its_length():
     """Counted in lines of our own code run, which no machine makes more or fewer."""
+
     def cost(n):
         lines, counts = [], []
 
@@ -145,8 +174,15 @@
             lines.append(event == "line")
             return trace
 
-        for line in ('To: "' + "\\" * n, "To: " + '"' * n, "Contact: " + "<" * n, "Contact: " + "," * n,
-                     "To: <sip:" + "%" * n, "Via: SIP" + "/ " * (n // 2), "To: " + ";a" * (n // 2)):
+        for line in (
+            'To: "' + "\\" * n,
+            "To: " + '"' * n,
+            "Contact: " + "<" * n,
+            "Contact: " + "," * n,
+            "To: <sip:" + "%" * n,
+            "Via: SIP" + "/ " * (n // 2),
+            "To: " + ";a" * (n // 2),
+        ):
             lines.clear()
             name = line.split(":")[0].lower()
             sys.settrace(trace)
@@ -190,56 +226,170 @@
 
 
 T = [
-    ("client invite: answered", ClientInvite, INVITE, False, [
-        (0, "start", "send", "CALLING"), (100, "tick", "send", "CALLING"), (300, "tick", "send", "CALLING"),
-        (310, 100, "tell", "PROCEEDING"), (900, "tick", "", "PROCEEDING"), (1000, 180, "tell", "PROCEEDING"),
-        (1100, 200, "tell", "ACCEPTED"), (1200, 200, "tell", "ACCEPTED"), (1300, 486, "", "ACCEPTED"),
-        (1100 + 6400, "tick", "", "TERMINATED")]),
-    ("client invite: nothing comes", ClientInvite, INVITE, False, [
-        (0, "start", "send", "CALLING"), (100, "tick", "send", "CALLING"), (300, "tick", "send", "CALLING"),
-        (700, "tick", "send", "CALLING"), (1500, "tick", "send", "CALLING"),
-        (3100, "tick", "send", "CALLING"),
-        (6300, "tick", "send", "CALLING"), (6400, "tick", "over", "TERMINATED")]),
-    ("client invite: refused", ClientInvite, INVITE, False, [
-        (0, "start", "send", "CALLING"), (10, 503, "tell send", "COMPLETED"), (20, 503, "send", "COMPLETED"),
-        (30, 180, "", "COMPLETED"), (10 + 6400, "tick", "", "TERMINATED")]),
-    ("client invite: refused on a stream", ClientInvite, INVITE, True, [
-        (0, "start", "send", "CALLING"), (500, "tick", "", "CALLING"),
-        (600, 503, "tell send", "TERMINATED")]),
-    ("client invite: broken", ClientInvite, INVITE, True, [
-        (0, "start", "send", "CALLING"), (1, "broken", "over", "TERMINATED")]),
-    ("client other: answered", ClientOther, OTHER, False, [
-        (0, "start", "send", "TRYING"), (100, "tick", "send", "TRYING"), (300, "tick", "send", "TRYING"),
-        (350, 100, "tell", "PROCEEDING"), (700, "tick", "send", "PROCEEDING"),
-        (1400, "tick", "", "PROCEEDING"),
-        (1500, "tick", "send", "PROCEEDING"), (1600, 200, "tell", "COMPLETED"), (1700, 200, "", "COMPLETED"),
-        (2100, "tick", "", "TERMINATED")]),
-    ("client other: nothing comes", ClientOther, OTHER, True, [
-        (0, "start", "send", "TRYING"), (6400, "tick", "over", "TERMINATED")]),
-    ("client other: answered on a stream", ClientOther, OTHER, True, [
-        (0, "start", "send", "TRYING"), (9, 404, "tell", "TERMINATED")]),
-    ("server invite: answered", ServerInvite, INVITE, False, [
-        (0, "start", "tell", "PROCEEDING"), (1, "say 100", "send", "PROCEEDING"),
-        (5, "again", "send", "PROCEEDING"), (10, "say 180", "send", "PROCEEDING"),
-        (20, "say 200", "send", "ACCEPTED"), (30, "again", "", "ACCEPTED"),
-        (40, "say 200", "send", "ACCEPTED"),
-        (50, "ack", "tell", "ACCEPTED"), (6420, "tick", "", "TERMINATED")]),
-    ("server invite: refused", ServerInvite, INVITE, False, [
-        (0, "start", "tell", "PROCEEDING"), (0, "say 486", "send", "COMPLETED"),
-        (100, "tick", "send", "COMPLETED"),
-        (300, "tick", "send", "COMPLETED"), (310, "again", "send", "COMPLETED"),
-        (320, "ack", "", "CONFIRMED"),
-        (330, "again", "", "CONFIRMED"), (820, "tick", "", "TERMINATED")]),
-    ("server invite: refused, no ACK", ServerInvite, INVITE, True, [
-        (0, "start", "tell", "PROCEEDING"), (0, "say 486", "send", "COMPLETED"),
-        (6400, "tick", "over", "TERMINATED")]),
-    ("server other: answered", ServerOther, OTHER, False, [
-        (0, "start", "tell", "TRYING"), (5, "again", "", "TRYING"), (9, "say 100", "send", "PROCEEDING"),
-        (10, "again", "send", "PROCEEDING"), (20, "say 200", "send", "COMPLETED"),
-        (30, "again", "send", "COMPLETED"),
-        (31, "say 200", "", "COMPLETED"), (6420, "tick", "", "TERMINATED")]),
-    ("server other: broken", ServerOther, OTHER, True, [
-        (0, "start", "tell", "TRYING"), (5, "broken", "over", "TERMINATED")]),
+    (
+        "client invite: answered",
+        ClientInvite,
+        INVITE,
+        False,
+        [
+            (0, "start", "send", "CALLING"),
+            (100, "tick", "send", "CALLING"),
+            (300, "tick", "send", "CALLING"),
+            (310, 100, "tell", "PROCEEDING"),
+            (900, "tick", "", "PROCEEDING"),
+            (1000, 180, "tell", "PROCEEDING"),
+            (1100, 200, "tell", "ACCEPTED"),
+            (1200, 200, "tell", "ACCEPTED"),
+            (1300, 486, "", "ACCEPTED"),
+            (1100 + 6400, "tick", "", "TERMINATED"),
+        ],
+    ),
+    (
+        "client invite: nothing comes",
+        ClientInvite,
+        INVITE,
+        False,
+        [
+            (0, "start", "send", "CALLING"),
+            (100, "tick", "send", "CALLING"),
+            (300, "tick", "send", "CALLING"),
+            (700, "tick", "send", "CALLING"),
+            (1500, "tick", "send", "CALLING"),
+            (3100, "tick", "send", "CALLING"),
+            (6300, "tick", "send", "CALLING"),
+            (6400, "tick", "over", "TERMINATED"),
+        ],
+    ),
+    (
+        "client invite: refused",
+        ClientInvite,
+        INVITE,
+        False,
+        [
+            (0, "start", "send", "CALLING"),
+            (10, 503, "tell send", "COMPLETED"),
+            (20, 503, "send", "COMPLETED"),
+            (30, 180, "", "COMPLETED"),
+            (10 + 6400, "tick", "", "TERMINATED"),
+        ],
+    ),
+    (
+        "client invite: refused on a stream",
+        ClientInvite,
+        INVITE,
+        True,
+        [
+            (0, "start", "send", "CALLING"),
+            (500, "tick", "", "CALLING"),
+            (600, 503, "tell send", "TERMINATED"),
+        ],
+    ),
+    (
+        "client invite: broken",
+        ClientInvite,
+        INVITE,
+        True,
+        [(0, "start", "send", "CALLING"), (1, "broken", "over", "TERMINATED")],
+    ),
+    (
+        "client other: answered",
+        ClientOther,
+        OTHER,
+        False,
+        [
+            (0, "start", "send", "TRYING"),
+            (100, "tick", "send", "TRYING"),
+            (300, "tick", "send", "TRYING"),
+            (350, 100, "tell", "PROCEEDING"),
+            (700, "tick", "send", "PROCEEDING"),
+            (1400, "tick", "", "PROCEEDING"),
+            (1500, "tick", "send", "PROCEEDING"),
+            (1600, 200, "tell", "COMPLETED"),
+            (1700, 200, "", "COMPLETED"),
+            (2100, "tick", "", "TERMINATED"),
+        ],
+    ),
+    (
+        "client other: nothing comes",
+        ClientOther,
+        OTHER,
+        True,
+        [(0, "start", "send", "TRYING"), (6400, "tick", "over", "TERMINATED")],
+    ),
+    (
+        "client other: answered on a stream",
+        ClientOther,
+        OTHER,
+        True,
+        [(0, "start", "send", "TRYING"), (9, 404, "tell", "TERMINATED")],
+    ),
+    (
+        "server invite: answered",
+        ServerInvite,
+        INVITE,
+        False,
+        [
+            (0, "start", "tell", "PROCEEDING"),
+            (1, "say 100", "send", "PROCEEDING"),
+            (5, "again", "send", "PROCEEDING"),
+            (10, "say 180", "send", "PROCEEDING"),
+            (20, "say 200", "send", "ACCEPTED"),
+            (30, "again", "", "ACCEPTED"),
+            (40, "say 200", "send", "ACCEPTED"),
+            (50, "ack", "tell", "ACCEPTED"),
+            (6420, "tick", "", "TERMINATED"),
+        ],
+    ),
+    (
+        "server invite: refused",
+        ServerInvite,
+        INVITE,
+        False,
+        [
+            (0, "start", "tell", "PROCEEDING"),
+            (0, "say 486", "send", "COMPLETED"),
+            (100, "tick", "send", "COMPLETED"),
+            (300, "tick", "send", "COMPLETED"),
+            (310, "again", "send", "COMPLETED"),
+            (320, "ack", "", "CONFIRMED"),
+            (330, "again", "", "CONFIRMED"),
+            (820, "tick", "", "TERMINATED"),
+        ],
+    ),
+    (
+        "server invite: refused, no ACK",
+        ServerInvite,
+        INVITE,
+        True,
+        [
+            (0, "start", "tell", "PROCEEDING"),
+            (0, "say 486", "send", "COMPLETED"),
+            (6400, "tick", "over", "TERMINATED"),
+        ],
+    ),
+    (
+        "server other: answered",
+        ServerOther,
+        OTHER,
+        False,
+        [
+            (0, "start", "tell", "TRYING"),
+            (5, "again", "", "TRYING"),
+            (9, "say 100", "send", "PROCEEDING"),
+            (10, "again", "send", "PROCEEDING"),
+            (20, "say 200", "send", "COMPLETED"),
+            (30, "again", "send", "COMPLETED"),
+            (31, "say 200", "", "COMPLETED"),
+            (6420, "tick", "", "TERMINATED"),
+        ],
+    ),
+    (
+        "server other: broken",
+        ServerOther,
+        OTHER,
+        True,
+        [(0, "start", "tell", "TRYING"), (5, "broken", "over", "TERMINATED")],
+    ),
 ]
 
 
@@ -261,6 +411,7 @@
 
 # The bridge between stand-ins.
 
+
 class User:
     """Sends every call to the rooms in order, one after the other, as they refuse."""
 
@@ -309,8 +460,15 @@
 
     def stray(self, now, message, number):
         from terndrift.sip.dialog import Dialog
-        made = Dialog(message.get("call-id"), message.named("from"), message.named("to"),
-                      message.named("contact").uri, reversed(message.all("record-route")), number)
+
+        made = Dialog(
+            message.get("call-id"),
+            message.named("from"),
+            message.named("to"),
+            message.named("contact").uri,
+            reversed(message.all("record-route")),
+            number,
+        )
         self.bridge.refuse_stray(now, made, number, Peer(f"{made.target.host}:{made.target.port}"))
         self.told.append(("stray",))
 
@@ -321,8 +479,9 @@
     user = User([r.address for r in rooms])
     ours = net.add(Ours("b:5060", user, session))
     user.bridge = ours.bridge
-    caller = net.add(Caller("c:5060", notes, "b:5060", "room", "v1", 900_000, 5 * SECOND, 3 * SECOND,
-                            100 * MS))
+    caller = net.add(
+        Caller("c:5060", notes, "b:5060", "room", "v1", 900_000, 5 * SECOND, 3 * SECOND, 100 * MS)
+    )
     return net, rooms, user, caller, notes
 
 
@@ -427,8 +586,9 @@
     settled(net, user)
 
 
-@pytest.mark.parametrize("fault, why", [("still", "silent"), ("mute", "called off"),
-                                        ("ringing", "called off")])
+@pytest.mark.parametrize(
+    "fault, why", [("still", "silent"), ("mute", "called off"), ("ringing", "called off")]
+)
 def test_a_room_that_stands_still_is_silent_and_is_never_tried_twice(fault, why):
     net, rooms, user, caller, notes = world(rooms=2)
     rooms[0].faults[fault] = 1
@@ -535,15 +695,28 @@
 
 def test_what_can_not_be_taken_is_refused_as_the_rfc_says():
     net, rooms, user, caller, notes = world()
-    asks = [("483", "", [("max-forwards", "0")]), ("420", "", [("require", "100rel, foo")]),
-            ("415", "text/plain", []), ("405", "INFO", []), ("481", "BYE", []), ("200", "OPTIONS", []),
-            ("416", "tel:1", []), ("481", "CANCEL", [])]
+    asks = [
+        ("483", "", [("max-forwards", "0")]),
+        ("420", "", [("require", "100rel, foo")]),
+        ("415", "text/plain", []),
+        ("405", "INFO", []),
+        ("481", "BYE", []),
+        ("200", "OPTIONS", []),
+        ("416", "tel:1", []),
+        ("481", "CANCEL", []),
+    ]
     for n, (code, what, headers) in enumerate(asks):
         method = what if what.isupper() else "INVITE"
         m = Message(method, what if what.startswith("tel") else "sip:room@b:5060")
-        m.headers = [("via", f"SIP/2.0/UDP c:5060;branch=z9hG4bK{n}"), ("from", "<sip:c@c>;tag=1"),
-                     ("to", "<sip:room@b>"), ("call-id", f"{n}@c"), ("cseq", f"1 {method}"),
-                     ("contact", "<sip:c@c:5060>"), *headers]
+        m.headers = [
+            ("via", f"SIP/2.0/UDP c:5060;branch=z9hG4bK{n}"),
+            ("from", "<sip:c@c>;tag=1"),
+            ("to", "<sip:room@b>"),
+            ("call-id", f"{n}@c"),
+            ("cseq", f"1 {method}"),
+            ("contact", "<sip:c@c:5060>"),
+            *headers,
+        ]
         if "/" in what:
             m.add("content-type", what)
             m.body = b"x"
@@ -555,11 +728,17 @@
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=60)
-@given(st.integers(0, 10**6), st.sampled_from([0.0, 0.1, 0.3]), st.sampled_from([0.0, 0.3]),
-       st.sampled_from([0.0, 0.4]), st.sampled_from([None, "full", "ringing", "late", "still"]),
-       st.sampled_from([None, "cancel", "die", "hang up"]))
+@given(
+    st.integers(0, 10**6),
+    st.sampled_from([0.0, 0.1, 0.3]),
+    st.sampled_from([0.0, 0.3]),
+    st.sampled_from([0.0, 0.4]),
+    st.sampled_from([None, "full", "ringing", "late", "still"]),
+    st.sampled_from([None, "cancel", "die", "hang up"]),
+)
 def test_whatever_is_lost_doubled_or_late_each_call_has_one_answer_and_every_leg_ends(
-        seed, loss, double, late, fault, then):
+    seed, loss, double, late, fault, then
+):
     net, rooms, user, caller, notes = world(2, seed, session=8 * SECOND, loss=loss, double=double, late=late)
     if fault:
         rooms[seed % 2].faults[fault] = 0.3
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -34,22 +34,35 @@
         for n in range(self.count):
             socket = Socket()
             self.sockets.append(socket)
-            self.rooms.append(await socket.open(
-                lambda address, n=n: Room(address, self.notes_of, 10 + n, t1=50 * MS)))
+            self.rooms.append(
+                await socket.open(lambda address, n=n: Room(address, self.notes_of, 10 + n, t1=50 * MS))
+            )
         return await super().__aenter__()
 
     def write_list(self, **standing):
         self.standing.update({int(k[1:]): v for k, v in standing.items()})
-        rooms = {f"r{r.id}": {"id": r.id, "address": r.address, "rack": r.id % 2, "kind": "room"}
-                 for r in self.rooms}
+        rooms = {
+            f"r{r.id}": {"id": r.id, "address": r.address, "rack": r.id % 2, "kind": "room"}
+            for r in self.rooms
+        }
         write_list(self.path("list.rec"), self.fleet.lines() | rooms, self.started, self.standing)
 
     async def caller(self, title="seat", seconds=1.0, bits=1_600_000, abandon=3.0, visit="v1"):
         socket = Socket()
         self.sockets.append(socket)
-        caller = await socket.open(lambda address: Caller(
-            address, self.notes_of, self.service.sip_address, title, visit, bits, int(abandon * SECOND),
-            int(seconds * SECOND), 50 * MS))
+        caller = await socket.open(
+            lambda address: Caller(
+                address,
+                self.notes_of,
+                self.service.sip_address,
+                title,
+                visit,
+                bits,
+                int(abandon * SECOND),
+                int(seconds * SECOND),
+                50 * MS,
+            )
+        )
         caller.socket = socket
         return caller
 
@@ -141,7 +154,7 @@
     world.call(caller)
     await until(lambda: caller.state == "up")
     front, core = world.service.sip.front, world.service.core
-    (carried, leg), = front.legs.items()
+    ((carried, leg),) = front.legs.items()
     one = next(r for r in world.rooms if r.up())
 
     def step(now, rung):
@@ -179,9 +192,19 @@
         answer = digest.answer("alice", password, "here", "INVITE", uri, nonce, 1, "c")
         caller.state, caller.code = "new", 0
         said.clear()
-        world.call(caller, [("authorization", (
-            f'Digest username="alice", realm="here", nonce="{nonce}", uri="{uri}", response="{answer}", '
-            f'algorithm=SHA-256, qop=auth, nc=00000001, cnonce="c"'))])
+        world.call(
+            caller,
+            [
+                (
+                    "authorization",
+                    (
+                        f'Digest username="alice", realm="here", nonce="{nonce}", uri="{uri}", '
+                        f'response="{answer}", '
+                        f'algorithm=SHA-256, qop=auth, nc=00000001, cnonce="c"'
+                    ),
+                )
+            ],
+        )
         return nonce
 
     await proven("wrong")
@@ -199,8 +222,14 @@
 async def test_what_is_no_call_is_answered_over_both_transports_and_garbage_ends_nothing(world):
     host, port = world.service.sip_address.split(":")
     m = Message("OPTIONS", f"sip:x@{host}")
-    m.headers = [("via", "SIP/2.0/TCP c:5060;branch=z9hG4bK1"), ("from", "<sip:c@c>;tag=1"),
-                 ("to", "<sip:x@h>"), ("call-id", "1@c"), ("cseq", "1 OPTIONS"), ("max-forwards", "1")]
+    m.headers = [
+        ("via", "SIP/2.0/TCP c:5060;branch=z9hG4bK1"),
+        ("from", "<sip:c@c>;tag=1"),
+        ("to", "<sip:x@h>"),
+        ("call-id", "1@c"),
+        ("cseq", "1 OPTIONS"),
+        ("max-forwards", "1"),
+    ]
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"\r\n\r\n" + m.encode() + m.encode().replace(b"bK1", b"bK2"))
     for _ in range(2):
@@ -281,8 +310,16 @@
 async def test_the_command_calls_and_says_what_happened(world):
     async def called(uri):
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "terndrift", "call", uri, "--seconds", "0.2",
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "terndrift",
+            "call",
+            uri,
+            "--seconds",
+            "0.2",
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await process.communicate()
         return process.returncode, [json.loads(line) for line in out.splitlines()], err
 
@@ -295,8 +332,10 @@
 
 
 def test_a_message_is_printed_as_json_or_where_it_is_wrong():
-    good = ("OPTIONS sip:a@b SIP/2.0\nVia: SIP/2.0/UDP c;branch=z9hG4bK1\nFrom: <sip:c@c>;tag=1\n"
-            "To: <sip:a@b>\nCall-ID: 1\nCSeq: 1 OPTIONS\n\n")
+    good = (
+        "OPTIONS sip:a@b SIP/2.0\nVia: SIP/2.0/UDP c;branch=z9hG4bK1\nFrom: <sip:c@c>;tag=1\n"
+        "To: <sip:a@b>\nCall-ID: 1\nCSeq: 1 OPTIONS\n\n"
+    )
     said = json.loads(CliRunner().invoke(cli, ["sip", "parse"], input=good).stdout)
     assert said["method"] == "OPTIONS" and said["from"]["params"] == {"tag": "1"}
     bad = CliRunner().invoke(cli, ["sip", "parse"], input=good.replace("1 OPTIONS", "x OPTIONS"))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -72,12 +72,12 @@
     def write(self, handle, data):
         what, data = self._step("write"), bytes(data)
         if what == "torn":
-            self.data[self.handles[handle]] += data[:len(data) // 2]
+            self.data[self.handles[handle]] += data[: len(data) // 2]
             raise Crash
         if what == "short":
-            data = data[:max(1, len(data) // 3)]
+            data = data[: max(1, len(data) // 3)]
         if what == "full":
-            self.data[self.handles[handle]] += data[:len(data) // 2]
+            self.data[self.handles[handle]] += data[: len(data) // 2]
             raise OSError(errno.ENOSPC, "no space")
         self.data[self.handles[handle]] += data
         self._after(what)
@@ -135,7 +135,7 @@
             if keep in ("none", "removed"):
                 data = safe
             elif keep == "half" and data.startswith(safe):
-                data = data[:len(safe) + (len(data) - len(safe)) // 2]
+                data = data[: len(safe) + (len(data) - len(safe)) // 2]
             after.data[number], after.safe[number] = bytearray(data), data
         after.kept = dict(after.shown)
         return after
@@ -314,8 +314,10 @@
     for format in (recovery.FORMAT + 1, 1):
         disk = Disk()
         handle = disk.create("log-0000000000000001")
-        for value in ({"kind": "log", "format": format, "first": 1},
-                      {"first": 1, "records": [("s", {"k": 1})]}):
+        for value in (
+            {"kind": "log", "format": format, "first": 1},
+            {"first": 1, "records": [("s", {"k": 1})]},
+        ):
             disk.write(handle, frames.frame(value))
         disk.kept = dict(disk.shown)
         found = look(disk)
@@ -355,7 +357,7 @@
     disk = built(3, snapshots=1)
     for name in disk.names():
         data = disk.data[disk.shown[name]]
-        data[min(at, len(data)):min(at, len(data)) + len(junk)] = junk
+        data[min(at, len(data)) : min(at, len(data)) + len(junk)] = junk
     found = look(disk)
     assert found.last <= 3 and len(found.records) <= 3
 
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -14,8 +14,15 @@
 def surge_of(world, level=0.0):
     """As the service makes it, with a fleet of one that has nothing but a level."""
     service = world.service
-    fleet = Made(me="c0", loads=Loads("c0", ["c0"], service.clock.now() - LAPSES), shed=None, known={"c0"},
-                 voters=[], members=Made(alive=lambda: []), follower=Made(state={"map": {}}))
+    fleet = Made(
+        me="c0",
+        loads=Loads("c0", ["c0"], service.clock.now() - LAPSES),
+        shed=None,
+        known={"c0"},
+        voters=[],
+        members=Made(alive=lambda: []),
+        follower=Made(state={"map": {}}),
+    )
     surge = Surge(fleet, service.host, service.core.deployment.plans)
     watched = service.core.watch
 
--- a/tests/test_swing.py
+++ b/tests/test_swing.py
@@ -97,22 +97,37 @@
     """Facts of one second: so many asked, so many of them answered, beside what plays at the top rung."""
     begin, notes = 10 * S, {"viewers": [], "streamers": [*fault], "runner": []}
     notes["runner"] += [
-        {"what": "fleet", "t": begin, "begin": begin, "uplinks": {"0": link},
-         "streamers": [{"id": 1, "rack": 0, "link": link, "places": 1000}]},
-        {"what": "controller up", "t": begin, "name": "c0", "address": "c0"}]
+        {
+            "what": "fleet",
+            "t": begin,
+            "begin": begin,
+            "uplinks": {"0": link},
+            "streamers": [{"id": 1, "rack": 0, "link": link, "places": 1000}],
+        },
+        {"what": "controller up", "t": begin, "name": "c0", "address": "c0"},
+    ]
     for n in range(playing):
         key = {"streamer": 1, "pb": f"c0~1-{n}", "number": 1}
         notes["streamers"] += [
             {"what": "try", "t": begin - S, "title": "sorting", "br": 200, "sid": f"p{n}", **key},
             {"what": "try end", "t": begin - S, "code": 200, "ran": True, **key},
             {"what": "media", "t": begin - S, "rung": 3, "streamer": 1, "pb": f"c0~1-{n}"},
-            {"what": "farewell", "t": begin + 5 * S, "streamer": 1, "pb": f"c0~1-{n}"}]
+            {"what": "farewell", "t": begin + 5 * S, "streamer": 1, "pb": f"c0~1-{n}"},
+        ]
     for n in range(asked):
         ask = {"ask": f"v{n}/1", "visit": f"v{n}"}
         notes["viewers"] += [
-            {"what": "ask", "t": begin + n, "title": "sorting", "plan": "recorded", "controller": "c0",
-             "until": begin + 3 * S, **ask},
-            {"what": "answer", "t": begin + S // 2, "code": 200 if n < answered else 503, **ask}]
+            {
+                "what": "ask",
+                "t": begin + n,
+                "title": "sorting",
+                "plan": "recorded",
+                "controller": "c0",
+                "until": begin + 3 * S,
+                **ask,
+            },
+            {"what": "answer", "t": begin + S // 2, "code": 200 if n < answered else 503, **ask},
+        ]
     return Facts(run.load("calm-fleet")["deployment"], notes, told_within=0.0)
 
 
@@ -124,8 +139,15 @@
     # 10 asked and 30 playing, 25 kB a second each: a link of 1 MB carries them, one of 900 kB does not
     assert low(second(10, 4, playing=30)) == 1.0 and low(second(10, 4, playing=30, link=900_000.0)) == 0.0
     assert low(second(3, 0)) == 0.0, "three are chance"
-    down = {"what": "fault", "t": 9 * S, "kind": "die", "streamers": [1], "racks": [], "size": 1.0,
-            "lasts": 5 * S}
+    down = {
+        "what": "fault",
+        "t": 9 * S,
+        "kind": "die",
+        "streamers": [1],
+        "racks": [],
+        "size": 1.0,
+        "lasts": 5 * S,
+    }
     assert low(second(10, 4, fault=[down])) == 0.0
 
 
@@ -136,8 +158,20 @@
 
 
 def test_a_day_is_played_in_virtual_time_and_drawn(tmp_path):
-    out = CliRunner().invoke(cli, ["rehearse", "calm-fleet", "--virtual", "--seconds", "5", "--controllers",
-                                   "2", "--plot", str(tmp_path / "day.png")])
+    out = CliRunner().invoke(
+        cli,
+        [
+            "rehearse",
+            "calm-fleet",
+            "--virtual",
+            "--seconds",
+            "5",
+            "--controllers",
+            "2",
+            "--plot",
+            str(tmp_path / "day.png"),
+        ],
+    )
     assert out.exit_code == 0 and '"swing"' in out.output
     assert (tmp_path / "day.png").read_bytes().startswith(b"\x89PNG")
     out = CliRunner().invoke(cli, ["rehearse", "bad-day", "--virtual"])
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -19,8 +19,13 @@
 
 S = 1_000_000_000
 FLAT = terms.flat(SETTINGS)
-TOLD = {"name": "n", "listen": "127.0.0.1:0", "feed": "127.0.0.1:1", "known": {"events": []},
-        "settings": SETTINGS}
+TOLD = {
+    "name": "n",
+    "listen": "127.0.0.1:0",
+    "feed": "127.0.0.1:1",
+    "known": {"events": []},
+    "settings": SETTINGS,
+}
 ODD = ["", "x", "-1", "nan", "0", "1", "1e999", "7.0", "99999999999999999999", "0,0,0,0", "true"]
 
 
@@ -40,8 +45,13 @@
     """A controller that is handed a list, asked for a playback of each plan, and lives for five seconds."""
     c = Controller(made, S)
     c.list_changed(S, entries, True, True)
-    out = [pb for n, plan in enumerate(made.plans) for pb in c.wanted(
-        2 * S, f"r{n}", plan, "t", layout.holders(0, 3), len(made.ladder.rates) - 1, 3 * S, 0, False)]
+    out = [
+        pb
+        for n, plan in enumerate(made.plans)
+        for pb in c.wanted(
+            2 * S, f"r{n}", plan, "t", layout.holders(0, 3), len(made.ladder.rates) - 1, 3 * S, 0, False
+        )
+    ]
     for n, entry in enumerate(entries[:3]):
         c.told_use(3 * S, "r0", entry.id, 0.5 * n, 0.7)
         c.told_share(3 * S, entry.id, 0.6)
@@ -106,9 +116,12 @@
 
 
 def test_both_ways_in_hand_the_decisions_the_same():
-    for odd in ({}, dict(class_live=[True, False], shared_adds=0.2, registry_mode="subscribe"),
-                dict(how="probe", fields=["cpu", "waiting"]),
-                dict(host_types=["big box", "box"], places_by_kind=[9, 4])):
+    for odd in (
+        {},
+        dict(class_live=[True, False], shared_adds=0.2, registry_mode="subscribe"),
+        dict(how="probe", fields=["cpu", "waiting"]),
+        dict(host_types=["big box", "box"], places_by_kind=[9, 4]),
+    ):
         told = changed(**odd)
         line = " ".join(f"{key}={value}" for key, value in terms.flat(told).items() if value != "")
         _, flat = codec.fields(f"enlist seed=5 {line}")
@@ -118,14 +131,23 @@
 
 
 def test_none_one_and_very_many_of_everything_work():
-    many = [{"name": f"plan{n}", "slo_ns": S, "deadline_ns": 3 * S, "effect": "idempotent"}
-            for n in range(300)]
+    many = [
+        {"name": f"plan{n}", "slo_ns": S, "deadline_ns": 3 * S, "effect": "idempotent"} for n in range(300)
+    ]
     base = dict.fromkeys(("lowest_rung", "top_by_class", "class_seats", "scale_by_class", "class_live"))
-    for odd in (dict(profiles=[], **base), dict(profiles=many[:1], **base), dict(profiles=many, **base),
-                dict(rung_kb=[100], worth_by_rung=[1], lowest_rung=None), dict(racks=0), dict(racks=1),
-                dict(racks=10**6), dict(places=0), dict(places=10**6),
-                dict(host_types=[], places_by_kind=None),
-                dict(rung_kb=list(range(1, 200)), worth_by_rung=None)):
+    for odd in (
+        dict(profiles=[], **base),
+        dict(profiles=many[:1], **base),
+        dict(profiles=many, **base),
+        dict(rung_kb=[100], worth_by_rung=[1], lowest_rung=None),
+        dict(racks=0),
+        dict(racks=1),
+        dict(racks=10**6),
+        dict(places=0),
+        dict(places=10**6),
+        dict(host_types=[], places_by_kind=None),
+        dict(rung_kb=list(range(1, 200)), worth_by_rung=None),
+    ):
         made, _, layout = terms.deployment(terms.flat(changed(**odd)))
         for count, racks in ((0, 1), (1, 1), (600, 600)):
             use(made, layout, listed(count, racks))
@@ -144,8 +166,12 @@
     assert unknown == ["colour", "walls.*.of", "walls.count"]
     assert settings.configuration(TOLD).unknown == []
     line = " ".join(f"{key}={value}" for key, value in FLAT.items())
-    batch = "sync now_ns=1\n" + "".join(
-        f"switch_to who={who}\nenlist seed=5 colour=red {line}\n" for who in (1, 2)) + "go\n"
+    batch = (
+        "sync now_ns=1\n"
+        + "".join(f"switch_to who={who}\nenlist seed=5 colour=red {line}\n" for who in (1, 2))
+        + "go\n"
+    )
     got = subprocess.run(
-        [sys.executable, "-m", "terndrift.adapter"], input=batch, capture_output=True, text=True)
+        [sys.executable, "-m", "terndrift.adapter"], input=batch, capture_output=True, text=True
+    )
     assert got.returncode == 0 and got.stderr.count("colour") == 1
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -40,9 +40,15 @@
 
 def test_the_same_seed_is_the_same_day_to_the_last_datagram_in_any_process():
     """CI found a day in virtual time that hung on the order in which a process goes through its sets."""
+
     def played(hashes):
-        ran = subprocess.run([sys.executable, "-c", DAY.format(sys.path)], capture_output=True, text=True,
-                             env=os.environ | {"PYTHONHASHSEED": str(hashes)}, check=True)
+        ran = subprocess.run(
+            [sys.executable, "-c", DAY.format(sys.path)],
+            capture_output=True,
+            text=True,
+            env=os.environ | {"PYTHONHASHSEED": str(hashes)},
+            check=True,
+        )
         return ran.stdout
 
     assert len({played(hashes) for hashes in (1, 2, 3)}) == 1
@@ -62,10 +68,16 @@
     """At the very moment at which that step is agreed at the leader, before or after it could say so."""
     site, killed = Site(seed=2), []
     arena, after = site.arena, site.arena._after
+
     def watched(n):
         c = arena.up[n]
-        now_at = [k for _, e in c.follower.heard if e.kind == "value" for k, v in e.value.items()
-                  if k.startswith("work/m/") and v["state"] == at.value]
+        now_at = [
+            k
+            for _, e in c.follower.heard
+            if e.kind == "value"
+            for k, v in e.value.items()
+            if k.startswith("work/m/") and v["state"] == at.value
+        ]
         dies = now_at and not killed and c.voter and c.voter.role is Role.LEADER
         if not dies or told:
             after(n)
@@ -173,6 +185,7 @@
 
 def test_what_dies_or_drains_by_itself_uses_the_budget_up():
     one = plan(["s0"], most=1, paused=False)
+
     def why(plan, **more):
         return Room(seen(**more).machines, set()).holds_up("s0", plan)
 
@@ -199,8 +212,14 @@
 
 def test_the_machine_that_costs_viewers_least_goes_first_and_none_is_passed_over_for_ever():
     row = {"plan": "p", "state": "waiting", "n": 0, "by": "ops", "log": []}
-    state = {"map": {work.REV: 1, "work/plan/p": plan(["s0", "s1"], most=1, paused=False),
-                     "work/m/s0": row, "work/m/s1": row}}
+    state = {
+        "map": {
+            work.REV: 1,
+            "work/plan/p": plan(["s0", "s1"], most=1, paused=False),
+            "work/m/s0": row,
+            "work/m/s1": row,
+        }
+    }
     at = seen()
     at.holds = {"c0": (Holds(1, {"s0": 9, "s1": 2}), 0)}
     one = Work()
--- a/tests/test_work_processes.py
+++ b/tests/test_work_processes.py
@@ -36,24 +36,32 @@
         """Lines in place; `changed`: name -> what differs from now on."""
         for name, more in changed.items():
             self.rows[name] |= more
-        lines = {name: {"id": n, "address": f"127.0.0.1:{n + 1}", "rack": n % 3, "kind": "box",
-                        **self.rows[name]} for n, name in enumerate(NAMES)}
+        lines = {
+            name: {"id": n, "address": f"127.0.0.1:{n + 1}", "rack": n % 3, "kind": "box", **self.rows[name]}
+            for n, name in enumerate(NAMES)
+        }
         self.several.list("streamers: " + written(lines))
 
     async def run(self, *words, ok=True):
         name = self.through or self.several.running()[-1]
         args = ["work", words[0], "--admin", self.several.admins[name], *words[1:]]
         ran = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "terndrift", *args, stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT)
+            sys.executable,
+            "-m",
+            "terndrift",
+            *args,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+        )
         said = (await ran.communicate())[0].decode()
         assert (ran.returncode == 0) == ok, (args, said)
         return said
 
     async def plan(self, name, machines, ok=True, allow=(), **more):
         value = {"needs": "1s", "drain": "1s", "warm": "1s", "most": 1, "overload": 1.0, **more}
-        text = "".join(f"{k}: {v if isinstance(v, str) and v[:-1].isdigit() else written(v)}\n"
-                       for k, v in value.items())
+        text = "".join(
+            f"{k}: {v if isinstance(v, str) and v[:-1].isdigit() else written(v)}\n" for k, v in value.items()
+        )
         with tempfile.NamedTemporaryFile("w", suffix=".rec", delete=False) as file:
             file.write(f'name: "{name}"\nwhy: "test"\nmachines: {written(list(machines))}\n' + text)
         try:
@@ -126,8 +134,10 @@
 
 async def _listed(several):
     found = [(await several.ask(n, "GET", "/listing"))[1] for n in several.running()]
-    return all(f and len(f["streamers"]) == len(NAMES) and all(
-        s["standing"] == "ready" for s in f["streamers"]) for f in found)
+    return all(
+        f and len(f["streamers"]) == len(NAMES) and all(s["standing"] == "ready" for s in f["streamers"])
+        for f in found
+    )
 
 
 @yard()
@@ -240,8 +250,12 @@
     await one.comes_to("s2", "done")
     # a title on s3 and s4 alone: its other holder goes while s3 drains, which waits for a stopped controller
     for name in several.names:
-        code, said = await several.ask(name, "POST", "/catalogue/changes", {
-            "id": "t", "put": {"rare": {"plan": "recorded", "seconds": 2, "holders": [3, 4]}}})
+        code, said = await several.ask(
+            name,
+            "POST",
+            "/catalogue/changes",
+            {"id": "t", "put": {"rare": {"plan": "recorded", "seconds": 2, "holders": [3, 4]}}},
+        )
         assert code == 200, said
     never = await one.plan("two", ["s3"], holders=2, ok=False)
     assert "s3: rare would keep 1 ready holders where 2 must be" in never
@@ -352,8 +366,19 @@
     from terndrift.http.client import fetch
 
     names = [n for n in several.running()]
-    got = await asyncio.gather(*(fetch(several.pool, several.fronts[names[n % len(names)]], "GET",
-                                       "/v/clip/main.m3u8", {}, within=6.0) for n in range(count)))
+    got = await asyncio.gather(
+        *(
+            fetch(
+                several.pool,
+                several.fronts[names[n % len(names)]],
+                "GET",
+                "/v/clip/main.m3u8",
+                {},
+                within=6.0,
+            )
+            for n in range(count)
+        )
+    )
     return [code for code, _, _ in got]
 
 
@@ -420,8 +445,19 @@
     runs = {of: run for (of, _), (_, run) in (await several.standings()).items()}
     supervisor = asyncio.ensure_future(several.supervised(FIVE))
     ran = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "terndrift", "fleet", "restart", "--admin", several.admins["c4"], "--all",
-        "--at-once", "2", stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+        sys.executable,
+        "-m",
+        "terndrift",
+        "fleet",
+        "restart",
+        "--admin",
+        several.admins["c4"],
+        "--all",
+        "--at-once",
+        "2",
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.STDOUT,
+    )
     said = (await ran.communicate())[0].decode()
     assert ran.returncode == 0 and "5 machines wait" in said, said
     most, voters_off = 0, 0
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -17,8 +17,16 @@
     """A record's map of rows {machine: (state, more)}, all of plan p unless `plans` says more."""
     map = {work.REV: rev}
     for name, (where, more) in rows.items():
-        map[f"work/m/{name}"] = {"plan": "p", "state": where.value, "n": 1, "by": "ops", "log": [], "rev": 1,
-                                 "was": 0, **more}
+        map[f"work/m/{name}"] = {
+            "plan": "p",
+            "state": where.value,
+            "n": 1,
+            "by": "ops",
+            "log": [],
+            "rev": 1,
+            "was": 0,
+            **more,
+        }
     plans = plans or {"p": plan(rows)}
     return {"map": map | {f"work/plan/{n}": {"paused": False, **p} for n, p in plans.items()}}
 
@@ -36,10 +44,17 @@
     return at
 
 
-@pytest.mark.parametrize("clock, why", [
-    ("07:59", "its plan begins in 60 s"), ("08:30", ""), ("12:00", "it is quiet time, 11:30-13:00 UTC"),
-    ("13:00", ""), ("23:30", "it is quiet time, 23:00-01:00 UTC"),
-    ("20:00", "its plan's time ended 0 s ago")])
+@pytest.mark.parametrize(
+    "clock, why",
+    [
+        ("07:59", "its plan begins in 60 s"),
+        ("08:30", ""),
+        ("12:00", "it is quiet time, 11:30-13:00 UTC"),
+        ("13:00", ""),
+        ("23:30", "it is quiet time, 23:00-01:00 UTC"),
+        ("20:00", "its plan's time ended 0 s ago"),
+    ],
+)
 def test_a_plan_has_its_time_and_its_quiet_times_by_the_clock_of_most(clock, why):
     hours, minutes = map(int, clock.split(":"))
     day, wall = 20_000 * 86_400, 20_000 * DAY_MS + (hours * 60 + minutes) * 60_000
@@ -65,8 +80,12 @@
         assert next_state(one, 0, state(rows, {"p": value}), at) == goes
         if not goes:
             assert one.why["s1"] == "40% of what viewers asked for is turned away (10% may be)"
-            assert next_state(one, 10 * SECOND, state(rows, {"p": value}), words(
-                at, 10 * SECOND, c0=Holds(5, {"s0": 1}, 0, 40, 1))) == {"s1": State.TOLD.value}
+            assert next_state(
+                one,
+                10 * SECOND,
+                state(rows, {"p": value}),
+                words(at, 10 * SECOND, c0=Holds(5, {"s0": 1}, 0, 40, 1)),
+            ) == {"s1": State.TOLD.value}
     few = words(seen(), c0=Holds(5, {}, 0, 4, 4))
     assert few.turned_away(0) == 0, "four say nothing of a share"
 
@@ -114,7 +133,8 @@
     limit = int((work.LIMIT + 6 * SECOND) * 1.02) + SECOND
     assert next_state(one, later + limit, state({"s0": (State.TOLD, {"rev": 30})}, rev=30), at) == {}
     assert next_state(one, later + limit + 1, state({"s0": (State.TOLD, {"rev": 30})}, rev=30), at) == {
-        "s0": "empty"}
+        "s0": "empty"
+    }
 
 
 def test_a_drain_gives_way_when_a_titles_other_holder_dies():
@@ -147,8 +167,12 @@
 
 def test_controllers_go_one_by_one_and_no_voter_goes_while_another_is_missing():
     def room(using=(), **more):
-        all_of = {f"controller:c{n}": Machine(f"controller:c{n}", -1, "", 0.0, more.get(f"c{n}", True), 1,
-                                              voter=n < 3) for n in range(5)}
+        all_of = {
+            f"controller:c{n}": Machine(
+                f"controller:c{n}", -1, "", 0.0, more.get(f"c{n}", True), 1, voter=n < 3
+            )
+            for n in range(5)
+        }
         return Room({**seen().machines, **all_of}, set(using))
 
     value = plan([], most_controllers=2)
@@ -196,8 +220,9 @@
     rows["s0"] = State.OUT, {}
     one, table = Work(), state(rows, {"p": plan(rows, most=1, ready_share=0.0)})
     one.steps(0, table, seen())
-    assert one.likely(4 * SECOND, table, seen()) == {"s1": 2.0, "s3": 14.0, "s2": 26.0}, \
+    assert one.likely(4 * SECOND, table, seen()) == {"s1": 2.0, "s3": 14.0, "s2": 26.0}, (
         "s2 is all that is left of its rack"
+    )
     paused = state(rows, {"p": plan(rows, most=1, paused=True)})
     assert set(one.likely(0, paused, seen()).values()) == {None}
 
@@ -207,7 +232,8 @@
     table = state({"s0": (State.GIVEN_BACK, {"log": log}), "s1": (State.TOLD, {"log": log[:2]})})
     assert work.spans(table, 9000) == {
         "s0": [("waiting", 1000, 3000), ("told to drain", 3000, 4000), ("given back", 4000, 4000)],
-        "s1": [("waiting", 1000, 3000), ("told to drain", 3000, 9000)]}
+        "s1": [("waiting", 1000, 3000), ("told to drain", 3000, 9000)],
+    }
 
 
 def test_of_two_plans_for_one_machine_the_second_is_refused_also_if_both_are_handed_over_at_once():
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -69,8 +69,14 @@
     m = message("c", [(80, 1, 0, 0), (0, 1, 0, 0), (81, 1, -4, 0), (82, 77, 0, 0)])
     m.endpoints[0].lb_endpoints[0].metadata.filter_metadata[meaning.METADATA].update({"weight": "much"})
     faults = read(m)[1]
-    assert len(faults) == 4 and [w in f for w, f in zip(
-        ("weight 'much'", "no address", "rack -4", "status 77"), faults, strict=True)] == [True] * 4
+    assert (
+        len(faults) == 4
+        and [
+            w in f
+            for w, f in zip(("weight 'much'", "no address", "rack -4", "status 77"), faults, strict=True)
+        ]
+        == [True] * 4
+    )
     assert read(ClusterLoadAssignment())[1] == ["an assignment without a cluster's name"]
 
 
@@ -81,7 +87,7 @@
 
 
 def test_a_sub_zone_is_a_rack_by_another_name_and_a_cluster_speaks_for_its_endpoints():
-    (line, _, said), = assignment("c", [(80, 1, None, 0)], sub_zone="row 4").lines.values()
+    ((line, _, said),) = assignment("c", [(80, 1, None, 0)], sub_zone="row 4").lines.values()
     same = assignment("d", [(99, 1, None, 0)], sub_zone="row 4").lines["h:99"][0]
     assert line.rack == same.rack > 0 and said.rack == line.rack
     view, facts = View(), meaning.Facts(rack=7, kind="other", weight=2.0)
@@ -113,6 +119,7 @@
 
 def accepted(type_url, put, removed=(), whole=False):
     from terndrift.xds.session import Accepted
+
     return Accepted(type_url, put, removed, whole, "")
 
 
@@ -173,6 +180,7 @@
 
 # Sessions.
 
+
 def test_versions_and_nonces_of_the_state_of_the_world():
     world = World()
     assert [(s.type_url, s.version, s.nonce) for s in world.begin()] == [(CLUSTER, "", "")]
@@ -230,6 +238,7 @@
 
 # The codec.
 
+
 def test_bytes_that_are_no_message_and_resources_of_another_type_are_told():
     for form in ("sotw", "delta"):
         for data in (b"\xff\xff", b"\x0a"):
@@ -249,12 +258,16 @@
 
 
 def test_a_line_is_the_same_after_the_way_over_the_wire_in_bytes_and_in_json():
-    lines = [Line("a", 4, "h:80", 3, "box", "z", "draining", 1.5, 2_000_000_000),
-             Line("b", None, "[::1]:81", 0, "", "y", "ready", 0.004, 0)]
+    lines = [
+        Line("a", 4, "h:80", 3, "box", "z", "draining", 1.5, 2_000_000_000),
+        Line("b", None, "[::1]:81", 0, "", "y", "ready", 0.004, 0),
+    ]
     data = codec.assignment_bytes("c", lines, lambda ns: ns / 1e9, "r", 0.25, 7)
     sent = [("c", codec.mark(data), data)]
-    for found in (codec.response(codec.answer("sotw", ENDPOINT, "1", "n", sent), "sotw"),
-                  codec.from_json(codec.answer_json(ENDPOINT, "1", sent))):
+    for found in (
+        codec.response(codec.answer("sotw", ENDPOINT, "1", "n", sent), "sotw"),
+        codec.from_json(codec.answer_json(ENDPOINT, "1", sent)),
+    ):
         out, versions, faults = run(codec.decoded(found, wall))
         assert not faults and [x[0] for x in out["c"].lines.values()] == lines
         assert (out["c"].drop, out["c"].stale_after) == (0.25, 7)
@@ -315,8 +328,9 @@
             versions = {n: repr(m) for n, m in now.items()}
             put = {n: m for n, m in now.items() if known.get(n) != versions[n]}
             removed = tuple(n for n in known if n not in now)
-            got = session.answered(kind, "", "n", put, versions={n: versions[n] for n in put},
-                                   removed=removed)[1]
+            got = session.answered(
+                kind, "", "n", put, versions={n: versions[n] for n in put}, removed=removed
+            )[1]
             take(1, view, got)
             server[kind] = versions
             if kind == CLUSTER:
--- a/tests/test_xds_client.py
+++ b/tests/test_xds_client.py
@@ -48,8 +48,10 @@
             self.source = Source()
             await self.source.start()
             self.tell()
-        self.more = (f'{self.given}\nxds: main: {{source: "{self.source.address}", form: "{self.form}", '
-                     f'first: 2s, loads: {self.loads}}}')
+        self.more = (
+            f'{self.given}\nxds: main: {{source: "{self.source.address}", form: "{self.form}", '
+            f"first: 2s, loads: {self.loads}}}"
+        )
         await super().serve(listen)
         await until(lambda: len(self.service.listing.merged.lines) == self.streamers)
 
@@ -64,8 +66,13 @@
             state = self.standing.get(row["id"], "ready")
             if state is not None:
                 clusters[f"rack-{row['rack']}"][name] = streamer(
-                    name, row["id"], row["address"], row["rack"], standing=state,
-                    started=self.started.get(row["id"], 0.0))
+                    name,
+                    row["id"],
+                    row["address"],
+                    row["rack"],
+                    standing=state,
+                    started=self.started.get(row["id"], 0.0),
+                )
         self.source.clusters = clusters
         self.source.changed()
         for id, state in standing.items():
@@ -178,8 +185,12 @@
         opened = source.opened
         source.restart()  # versions are counted anew
         world.tell(s2="ready", s1="draining")
-        await until(lambda: source.opened > opened and world.in_force() == {
-            "s0": "ready", "s1": "draining", "s2": "ready"})
+        await until(
+            lambda: (
+                source.opened > opened
+                and world.in_force() == {"s0": "ready", "s1": "draining", "s2": "ready"}
+            )
+        )
         address = source.address
         await source.stop()
         await until(lambda: not world.service.listing.merged.sources["main"].reached)
@@ -216,9 +227,20 @@
         self.told, self.entries, self.longest = [], {}, 0
         self.clock = Clock()
         self.listing = Listing(self.clock, self._hand, Log(self.told), ("main",))
-        value = {"source": "", "form": "delta", "clusters": "", "endpoints": "", "refresh": SECOND // 50,
-                 "first": 2 * SECOND, "largest": 16 << 20, "ca": "", "certificate": "", "key": "",
-                 "loads": False, **xds}
+        value = {
+            "source": "",
+            "form": "delta",
+            "clusters": "",
+            "endpoints": "",
+            "refresh": SECOND // 50,
+            "first": 2 * SECOND,
+            "largest": 16 << 20,
+            "ca": "",
+            "certificate": "",
+            "key": "",
+            "loads": False,
+            **xds,
+        }
         who = {"name": "c0", "region": "", "zone": ""}
         self.follower = made_source("main", value, who, self.listing, self.clock, 1, Log(self.told))
         self.reader, self.task = self.follower.reader, None
@@ -244,8 +266,10 @@
 
 
 def endpoints(count, cluster=0, standing="ready"):
-    return {f"s{n}": streamer(f"s{n}", n + 1, f"10.0.{n // 250}.{n % 250}:80", n // 100, standing=standing)
-            for n in range(cluster * 100, cluster * 100 + count)}
+    return {
+        f"s{n}": streamer(f"s{n}", n + 1, f"10.0.{n // 250}.{n % 250}:80", n // 100, standing=standing)
+        for n in range(cluster * 100, cluster * 100 + count)
+    }
 
 
 @pytest.mark.parametrize("form", FORMS)
@@ -259,8 +283,10 @@
                 look, asked = source.resources, []
                 source.resources = lambda type_url: asked.append(1) or {}
                 await until(lambda: source.opened >= 2 and plain.told)
-                assert any("nothing taken within" in f.get("why", "") or "not all" in f.get("why", "")
-                           for _, _, f in plain.told)
+                assert any(
+                    "nothing taken within" in f.get("why", "") or "not all" in f.get("why", "")
+                    for _, _, f in plain.told
+                )
                 source.resources = look
                 await until(lambda: len(plain.lines()) == 3)
         finally:
@@ -301,8 +327,9 @@
                 for n in range(600):
                     name, lines = f"c{n % 100}", source.clusters[f"c{n % 100}"]
                     first = next(iter(lines))
-                    lines[first] = streamer(first, lines[first].id, lines[first].address, n % 100,
-                                            weight=1.0 + n / 1000)
+                    lines[first] = streamer(
+                        first, lines[first].id, lines[first].address, n % 100, weight=1.0 + n / 1000
+                    )
                     source.changed(name)
                     if n % 20 == 19:
                         await asyncio.sleep(0.02)
@@ -343,8 +370,16 @@
 
     def write(clusters):
         for type_url, path in files.items():
-            made = [(n, "", codec.cluster_bytes(n) if type_url == CLUSTER else
-                     codec.assignment_bytes(n, lines.values(), float)) for n, lines in clusters.items()]
+            made = [
+                (
+                    n,
+                    "",
+                    codec.cluster_bytes(n)
+                    if type_url == CLUSTER
+                    else codec.assignment_bytes(n, lines.values(), float),
+                )
+                for n, lines in clusters.items()
+            ]
             part = path.with_suffix(".part")
             part.write_bytes(codec.answer_json(type_url, "1", made))
             part.rename(path)
@@ -373,15 +408,24 @@
         value = json.loads(bytes(exchange.body))
         asked.append(value)
         kind = CLUSTER if exchange.path.endswith("clusters") else ENDPOINT
-        made = [(n, "", codec.cluster_bytes(n) if kind == CLUSTER else
-                 codec.assignment_bytes(n, lines.values(), float)) for n, lines in clusters.items()]
+        made = [
+            (
+                n,
+                "",
+                codec.cluster_bytes(n)
+                if kind == CLUSTER
+                else codec.assignment_bytes(n, lines.values(), float),
+            )
+            for n, lines in clusters.items()
+        ]
         version = codec.mark(b"".join(x[2] for x in made))
         if broken:
             return await exchange.reply(broken[0], text="no")
         if value.get("version_info") == version or value.get("versionInfo") == version:
             return await exchange.reply(304)
-        return await exchange.reply(200, {"Content-Type": "application/json"},
-                                    codec.answer_json(kind, version, made))
+        return await exchange.reply(
+            200, {"Content-Type": "application/json"}, codec.answer_json(kind, version, made)
+        )
 
     async def test():
         server = Server(handle, 16, body_size=1 << 20)
@@ -410,14 +454,28 @@
         await one.start()
         await two.start()
         told, entries, clock = [], {}, Clock()
-        listing = Listing(clock, lambda e, *_: entries.update({x.id: x for x in e}), Log(told),
-                          ("one", "two"))
-        value = {"form": "delta", "clusters": "", "endpoints": "", "refresh": SECOND, "first": 2 * SECOND,
-                 "largest": 1 << 20, "ca": "", "certificate": "", "key": "", "loads": False}
+        listing = Listing(
+            clock, lambda e, *_: entries.update({x.id: x for x in e}), Log(told), ("one", "two")
+        )
+        value = {
+            "form": "delta",
+            "clusters": "",
+            "endpoints": "",
+            "refresh": SECOND,
+            "first": 2 * SECOND,
+            "largest": 1 << 20,
+            "ca": "",
+            "certificate": "",
+            "key": "",
+            "loads": False,
+        }
         who = {"name": "c0", "region": "", "zone": ""}
-        tasks = [asyncio.ensure_future(made_source(
-            name, {**value, "source": s.address}, who, listing, clock, 1, Log(told)).follow())
-            for name, s in (("one", one), ("two", two))]
+        tasks = [
+            asyncio.ensure_future(
+                made_source(name, {**value, "source": s.address}, who, listing, clock, 1, Log(told)).follow()
+            )
+            for name, s in (("one", one), ("two", two))
+        ]
 
         def standings():
             return sorted(x.standing for x in listing.merged.lines.values())
@@ -457,9 +515,11 @@
     server, client = ours.issue_cert("127.0.0.1"), ours.issue_cert("c0")
     chain = b"".join(c.bytes() for c in server.cert_chain_pems)
     tls = grpc.ssl_server_credentials([(server.private_key_pem.bytes(), chain)], ours.cert_pem.bytes(), True)
-    xds = {"ca": written("ca.pem", ours.cert_pem.bytes()),
-           "certificate": written("c.pem", b"".join(c.bytes() for c in client.cert_chain_pems)),
-           "key": written("k.pem", client.private_key_pem.bytes())}
+    xds = {
+        "ca": written("ca.pem", ours.cert_pem.bytes()),
+        "certificate": written("c.pem", b"".join(c.bytes() for c in client.cert_chain_pems)),
+        "key": written("k.pem", client.private_key_pem.bytes()),
+    }
 
     async def test():
         source = Source()
@@ -468,8 +528,10 @@
         try:
             async with Plain(source=source.address, **xds) as plain:
                 await until(lambda: len(plain.lines()) == 3)
-            for wrong in ({**xds, "ca": written("o.pem", other.cert_pem.bytes())},
-                          {**xds, "certificate": "", "key": ""}):
+            for wrong in (
+                {**xds, "ca": written("o.pem", other.cert_pem.bytes())},
+                {**xds, "certificate": "", "key": ""},
+            ):
                 async with Plain(source=source.address, first=SECOND // 2, **wrong) as plain:
                     await until(lambda plain=plain: any(f.get("why") for _, _, f in plain.told))
                     assert not plain.lines()
@@ -480,10 +542,15 @@
 
 
 def test_told_to_stop_while_it_waits_for_a_first_list_it_stops(tmp_path):
-    (tmp_path / "front.rec").write_text(DEPLOYMENT + (
-        'controller: name: "c0"\nxds: main: {source: "127.0.0.1:1", first: 600s}\nlog: form: "json"\n'))
-    serve = subprocess.Popen([sys.executable, "-m", "terndrift", "serve", str(tmp_path / "front.rec")],
-                             stderr=subprocess.PIPE, text=True)
+    (tmp_path / "front.rec").write_text(
+        DEPLOYMENT
+        + ('controller: name: "c0"\nxds: main: {source: "127.0.0.1:1", first: 600s}\nlog: form: "json"\n')
+    )
+    serve = subprocess.Popen(
+        [sys.executable, "-m", "terndrift", "serve", str(tmp_path / "front.rec")],
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     try:
         assert any("list source" in line for line in iter(serve.stderr.readline, ""))
         serve.terminate()
--- a/tests/world.py
+++ b/tests/world.py
@@ -46,8 +46,10 @@
         return os.path.join(self.folder.name, name)
 
     async def __aenter__(self):
-        rows = "".join(f'streamers: "s{n}": {{id: {n}, rack: {n % 2}, kind: "box", link: 2MB/s}}\n'
-                       for n in range(self.streamers))
+        rows = "".join(
+            f'streamers: "s{n}": {{id: {n}, rack: {n % 2}, kind: "box", link: 2MB/s}}\n'
+            for n in range(self.streamers)
+        )
         text = DEPLOYMENT + f'uplinks: {{"0": 4MB/s}}\nledger: "{self.path("fleet.jsonl")}"\n' + rows
         self.fleet = Fleet(records.loads(text, "fleet"))
         self.fleet.start()
@@ -60,8 +62,10 @@
     async def serve(self, listen="127.0.0.1:0"):
         store = "" if "store:" in self.more else 'catalogue: store: "c0.store"'
         with open(self.path("front.rec"), "w", encoding="utf-8") as file:
-            file.write(DEPLOYMENT + f'controller: name: "c0"\nlist: "{self.list_file}"\nlist_poll: 20ms\n'
-                                    f'http: listen: "{listen}"\n{store}\n{self.more}\n')
+            file.write(
+                DEPLOYMENT + f'controller: name: "c0"\nlist: "{self.list_file}"\nlist_poll: 20ms\n'
+                f'http: listen: "{listen}"\n{store}\n{self.more}\n'
+            )
         self.service = service.Service(service.read(self.path("front.rec")), log=Log(self.told))
         if self.make:
             self.make(self.service)
@@ -96,8 +100,9 @@
         """(code, headers, body, seconds it took) of a set-up; code 0: the connection broke."""
         began = time.monotonic()
         try:
-            answer = await fetch(self.pool, self.address, "GET", path or f"/v/{title}/main.m3u8", headers,
-                                 within=within)
+            answer = await fetch(
+                self.pool, self.address, "GET", path or f"/v/{title}/main.m3u8", headers, within=within
+            )
         except (Broken, Unreached) as wrong:
             answer = (0, {}, str(wrong).encode())
         return (*answer, time.monotonic() - began)
@@ -128,9 +133,15 @@
 
     def facts(self):
         self.seen.flush()
-        return Facts(self.service.value["deployment"], {
-            "viewers": ledgers.read(self.path("seen.jsonl")), "runner": self.runner,
-            "streamers": self.notes()}, told_within=0.3)
+        return Facts(
+            self.service.value["deployment"],
+            {
+                "viewers": ledgers.read(self.path("seen.jsonl")),
+                "runner": self.runner,
+                "streamers": self.notes(),
+            },
+            told_within=0.3,
+        )
 
     def breaks(self):
         return judge.report(self.facts())
@@ -165,6 +176,7 @@
         async def inside():
             async with kind(**made) as world:
                 await asyncio.wait_for(test(world), 60)
+
         asyncio.run(inside())
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
