--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,9 @@
-"""Tests known to fail: KNOWN-RED.txt at the root, a line each as `test | cause | issue`, three at most.
+"""Tests known to fail: KNOWN-RED.txt at the root, three at most, a line each as
+`test | command | seed | what was seen | issue` (seed: "none" where the test draws nothing).
 
-Exactly these may fail, and are printed with every run. One that passes, is named twice or names no test fails
-the run, and so does a line that can't be read: the file is to shrink as soon as it can.
+Exactly these tests may fail, and are printed with every run. An entry fails the run if its test passes, if
+it names no test, if its test is named twice, if its command does not name that test, or if its line can't be
+read.
 """
 
 from dataclasses import dataclass
@@ -9,15 +11,23 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
+FORM = "test | command | seed | what was seen | issue"
 
 
 @dataclass(frozen=True)
 class Entry:
+    """A test that is known to fail."""
+
     test: str
-    cause: str
+    command: str
+    seed: str
+    seen: str
     issue: str
 
+    def __str__(self):
+        return f"{self.seen} (issue {self.issue}; seed {self.seed}; {self.command})"
+
 
 def read(path):
     """The entries of a file, none if it is not there; raises UsageError."""
@@ -28,11 +38,16 @@
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split(" | ")]
-        if len(fields) != 3 or not all(fields):
-            raise pytest.UsageError(f"{FILE}:{number}: not 'test | cause | issue'")
-        entries.append(Entry(*fields))
-    if len(entries) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(entries)} entries, {MOST} at most")
+        if len(fields) != len(FORM.split(" | ")) or not all(fields):
+            raise pytest.UsageError(f"{FILE}:{number}: not '{FORM}'")
+        entry = Entry(*fields)
+        if entry.test not in entry.command:
+            raise pytest.UsageError(f"{FILE}:{number}: the command does not name {entry.test}")
+        if not entry.issue.isdecimal():
+            raise pytest.UsageError(f"{FILE}:{number}: {entry.issue!r} is not the number of an issue")
+        entries.append(entry)
+    if len(entries) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE}: {len(entries)} entries, {MAX_ENTRIES} at most")
     if len({entry.test for entry in entries}) < len(entries):
         raise pytest.UsageError(f"{FILE}: a test is named twice")
     return entries
@@ -62,9 +77,9 @@
     known = {entry.test: entry for entry in config.known_red}
     for item in items:
         if entry := known.get(item.nodeid):
-            item.add_marker(pytest.mark.xfail(strict=True, reason=f"{entry.cause} ({entry.issue})"))
+            item.add_marker(pytest.mark.xfail(strict=True, reason=str(entry)))
 
 
 def pytest_terminal_summary(terminalreporter, config):
     for entry in config.known_red:
-        terminalreporter.write_line(f"known red: {entry.test}: {entry.cause} ({entry.issue})")
+        terminalreporter.write_line(f"known red: {entry.test}: {entry}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -30,13 +30,20 @@
     return run.returncode, run.stdout + run.stderr
 
 
-RED = "tests/test_small.py::test_red | the clock of a stand-in | 12"
+def entry(test):
+    return f"{test} | pytest {test} | 7 | the clock of a stand-in stood still | 12"
+
+
+RED = entry("tests/test_small.py::test_red")
 
 
 def test_what_is_listed_may_fail_and_is_printed(tmp_path):
     code, said = played(tmp_path, [RED])
     assert code == 0 and "1 xfailed" in said and "2 passed" in said
-    assert "known red: tests/test_small.py::test_red: the clock of a stand-in (12)" in said
+    assert (
+        "known red: tests/test_small.py::test_red: the clock of a stand-in stood still "
+        "(issue 12; seed 7; pytest tests/test_small.py::test_red)"
+    ) in said
 
 
 @pytest.mark.parametrize(
@@ -44,18 +51,20 @@
     [
         (None, True, "1 failed"),
         ([RED], False, "1 failed"),
-        ([RED, "tests/test_small.py::test_green | x | 1"], True, "XPASS(strict)"),
+        ([RED, entry("tests/test_small.py::test_green")], True, "XPASS(strict)"),
         (
-            [RED, "tests/test_small.py::test_gone | x | 1"],
+            [RED, entry("tests/test_small.py::test_gone")],
             True,
             "no such test: tests/test_small.py::test_gone",
         ),
-        ([RED, "tests/test_none.py::test_gone | x | 1"], True, "no such test: tests/test_none.py::test_gone"),
-        ([RED, "tests/test_small.py | x | 1"], True, "no such test: tests/test_small.py"),
+        ([RED, entry("tests/test_none.py::test_gone")], True, "no such test: tests/test_none.py::test_gone"),
+        ([RED, entry("tests/test_small.py")], True, "no such test: tests/test_small.py"),
         ([RED, RED], True, "named twice"),
         (["tests/test_small.py::test_red"], True, "KNOWN-RED.txt:1"),
-        ([RED, "tests/test_small.py::test_other | | 1"], False, "KNOWN-RED.txt:2"),
-        ([f"t::{n} | x | 1" for n in range(4)], True, "4 entries, 3 at most"),
+        ([RED, entry("tests/test_small.py::test_other").replace("7", "")], False, "KNOWN-RED.txt:2"),
+        ([entry("t::a").replace("pytest t::a", "pytest")], True, "does not name t::a"),
+        ([entry("t::a").replace("12", "later")], True, "'later' is not the number of an issue"),
+        ([entry(f"t::{n}") for n in range(4)], True, "4 entries, 3 at most"),
     ],
     ids=[
         "not listed",
@@ -66,7 +75,9 @@
         "a file",
         "twice",
         "test alone",
-        "no cause",
+        "no seed",
+        "another command",
+        "no issue",
         "four",
     ],
 )
