--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -1,6 +1,13 @@
 """The decisions of a session front: which streamer sets a playback up, at which rung, or not at all.
 
-One `Controller` a front, called with what its host hears: see `terndrift/interface.py`, docs/design.md."""
+Each front owns one `Controller` and calls it with every event that it receives. The callers are
+`terndrift/core`, `terndrift/adapter` and, through the core, `terndrift/fleet`; `terndrift/interface.py`
+describes the calls and what the host does with their results, docs/design.md the mechanism. Other controllers
+use the same streamers and uplinks unseen, so their demand is estimated from load reports.
+
+This module must never do I/O, read a clock, block or draw from any random source but its own seeded one:
+the same calls with the same times give the same results. Times are in ns, rates and capacities in kB/s.
+"""
 
 import heapq
 import zlib
@@ -11,11 +18,12 @@
 from .interface import Ending, Standing, State
 
 MS, SECOND = 1_000_000, 1_000_000_000
-MARK = 0.9  # DESIGN's mark: links and uplinks are filled to nine tenths
+TARGET_UTILISATION = 0.9  # of links and uplinks; docs/design.md calls it the mark
 
-FINAL = (State.REJECTED, State.ABORTED, State.ENDED)
-FAULTS = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN)  # of a streamer, whatever was asked of it
-ROUTES = {  # the only changes of state there are
+FINAL_STATES = (State.REJECTED, State.ABORTED, State.ENDED)
+# endings that count against the streamer whatever was requested of it
+STREAMER_FAULTS = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN)
+STATE_TRANSITIONS = {  # all other changes of state are errors
     State.HELD: (State.TRYING, State.PLAYING, State.REJECTED, State.ABORTED, State.ENDED),
     State.TRYING: (State.HELD, State.PLAYING, State.ABORTED, State.ENDED),
     State.PLAYING: (State.ENDED,),
@@ -23,652 +31,1038 @@
 
 
 class Rack:
-    """Streamers behind one uplink, and what is asked of that uplink."""
-
-    def __init__(self, told):
-        self.told, self.streamers = told, []
-        self.heard = None  # (time, what others asked of its uplink): the last report, if that says most
-        self.seen = deque(maxlen=4)  # (time, what its uplink gave, kB a second): corrections
-        self.raised, self.lowered = 0, 0  # when own ones there last rose, or might have by chance; were cut
-        self.known = ()  # (time, of when, what is asked), until something is heard or seated
-
-    def limit(self, now):
-        gave = fmean(kb for _, kb in self.seen) if self.seen else self.told
-        # back to the told one, 4% a second: a trouble ends unannounced, a jump would overrun a small uplink
-        if gave < self.told:
-            gave = min(self.told, gave * (1 + 0.04 * self.settled(now) / SECOND))
-        return min(max(gave, self.told / 8), self.told * 2)
-
-    def settled(self, now):  # for how long no correction has come
+    """Streamers that share one uplink, with the capacity of that uplink and the demand on it."""
+
+    def __init__(self, nominal_capacity):
+        self.nominal_capacity, self.streamers = nominal_capacity, []
+        # (time, demand of other controllers) by the last uplink report, if that is better than the sum over
+        # the streamers
+        self.reported_demand = None
+        self.seen = deque(maxlen=4)  # (time, measured capacity): corrections of the nominal capacity
+        # when own playbacks here last went up, or could have gone up by chance; when they were last lowered
+        self.raised_at, self.lowered_at = 0, 0
+        self.demand_cache = ()  # (now, at_time, demand); cleared by reports and changes of own playbacks
+
+    def capacity(self, now):
+        """Estimate the uplink's capacity from recent measurements, or return the nominal one without any."""
+        measured = fmean(kb for _, kb in self.seen) if self.seen else self.nominal_capacity
+        # A fault ends unannounced, so the estimate returns to nominal by 4% a second; a jump would overload a
+        # small uplink.
+        if measured < self.nominal_capacity:
+            measured = min(self.nominal_capacity, measured * (1 + 0.04 * self.since_correction(now) / SECOND))
+        return min(max(measured, self.nominal_capacity / 8), self.nominal_capacity * 2)
+
+    def since_correction(self, now):
+        """Return the time since the capacity was last measured; `now` itself if it never was."""
         return now - self.seen[-1][0] if self.seen else now
 
-    def own(self, at=None):
-        return sum(s.own(at) for s in self.streamers)
-
-    def asked(self, now, at=None):
-        if at is None and self.heard and now - self.heard[0] < 5 * SECOND:
-            return self.heard[1] + self.own()
-        if self.known[:2] != (now, at):
-            # what a link cannot carry does not reach the uplink: one that slows reports many times its due
-            self.known = now, at, sum([min(s.asked(now, at), s.full) for s in self.streamers])
-        return self.known[2]
+    def own_demand(self, at_time=None):
+        """Return the demand of this controller's playbacks, now or at an earlier time."""
+        return sum(streamer.own_demand(at_time) for streamer in self.streamers)
+
+    def demand(self, now, at_time=None):
+        """Estimate the demand of all controllers; with `at_time`, own playbacks count as they were then."""
+        if at_time is None and self.reported_demand and now - self.reported_demand[0] < 5 * SECOND:
+            return self.reported_demand[1] + self.own_demand()
+        if self.demand_cache[:2] != (now, at_time):
+            # A link passes on no more than its capacity; a streamer that is slow reports many times as much.
+            self.demand_cache = (
+                now,
+                at_time,
+                sum(
+                    [
+                        min(streamer.demand(now, at_time), streamer.link_capacity)
+                        for streamer in self.streamers
+                    ]
+                ),
+            )
+        return self.demand_cache[2]
 
 
 class Streamer:
-    def __init__(self, listed, rack, deployment, typical):
-        self.listed, self.rack, self.d = listed, rack, deployment
-        self.playbacks = {}  # playback -> None, in order; set-ups out included
-        self.asks = deque([(0, 0.0)], maxlen=64)  # (time, own link demand from then on)
-        self.typical = typical  # what others ask of a streamer on the average, in a list that all share
-        self.heard = deque(maxlen=2)  # (time, what others asked of its link): the last reports
-        self.shares = deque(maxlen=2)  # (time, share) of the last notes on delivery
-        self.gap, self.next_try = 0, 0  # least time between set-ups while set aside (0: trusted); the next
-        self.down = None  # when seen to fail: it may come back cold before the list says so
-        self.slot, self.reported = None, None  # the last turn used while it is cold; the last report
-        self.raised, self.lowered, self.scale = 0, 0, 0.0  # as a rack's; scale of own playbacks, together
-        self.streamers = (self,)  # behind its link, as a rack has those behind its uplink
-        self.relist(listed)
+    """A streamer of the server list as this controller sees it: own playbacks, load and health.
+
+    `capacity`, `own_demand`, `demand` and `streamers` exist on `Rack` too, so that a streamer's link and a
+    rack's uplink can be handled alike.
+    """
+
+    def __init__(self, listed, rack, deployment, typical_demand):
+        self.listed, self.rack, self.deployment = listed, rack, deployment
+        self.playbacks = {}  # own playbacks -> None, in order of placement; set-ups in progress included
+        self.demand_history = deque([(0, 0.0)], maxlen=64)  # (time, own demand on the link from then on)
+        # mean demand of other controllers on a streamer: a list of one number that all streamers share
+        self.typical_demand = typical_demand
+        self.heard = deque(maxlen=2)  # (time, demand of other controllers on the link): the last load reports
+        self.shares = deque(maxlen=2)  # (time, delivered share of the rates): the last delivery reports
+        # least interval between set-ups after failures (0: healthy); earliest time of the next one
+        self.gap, self.next_try = 0, 0
+        self.down = None  # when it failed: it may come back cold before the list says that it restarted
+        # the cold-start slot of the last set-up, None if it was warm; the last load report
+        self.last_slot, self.last_report = None, None
+        # as in Rack; the sum of the rate scales of own playbacks
+        self.raised_at, self.lowered_at, self.own_scale = 0, 0, 0.0
+        self.streamers = (self,)  # those behind this link, as a rack has those behind its uplink
+        self.update_entry(listed)
         rack.streamers.append(self)
 
-    def relist(self, listed):
+    def update_entry(self, listed):
+        """Take over a changed line of the server list, and derive the capacities from it."""
         self.listed, weight = listed, listed.weight
-        self.full = max(1.0, self.d.links.unit_kb * (weight if 0.01 < weight < 100 else 1.0))
-        self.rack.known, places = (), self.d.links.places
-        self.places = places.get(listed.kind) or min(places.values(), default=8)
-
-    def limit(self, now=0):
-        return self.full
+        self.link_capacity = max(
+            1.0, self.deployment.links.unit_kb * (weight if 0.01 < weight < 100 else 1.0)
+        )
+        self.rack.demand_cache, max_playbacks = (), self.deployment.links.places
+        self.max_playbacks = max_playbacks.get(listed.kind) or min(max_playbacks.values(), default=8)
+
+    def capacity(self, now=0):
+        """Return the capacity of the link; `now` is accepted to match `Rack.capacity`."""
+        return self.link_capacity
+
+    def own_demand(self, at_time=None):
+        """Return the demand of this controller's playbacks on the link, now or at an earlier time."""
+        return (
+            self.demand_history[-1][1]
+            if at_time is None
+            else next((kb for t, kb in reversed(self.demand_history) if t <= at_time), 0.0)
+        )
 
-    def own(self, at=None):
-        return self.asks[-1][1] if at is None else next((kb for t, kb in reversed(self.asks) if t <= at), 0.0)
+    def others_demand(self, now):
+        """Estimate the demand of other controllers on the link.
 
-    def others(self, now):
-        """The blend: the last reports fade, in 15 s, into what others usually ask of a streamer here.
-        Guards against a streamer shut out for good by the last thing that was heard of it."""
+        The mean of the last two reports fades, within 15 s, into the typical demand on a streamer. Without
+        the fade one high report would exclude a streamer for good, as no set-up would bring a newer one.
+        """
         if self.listed.standing is Standing.GONE or self.down is not None:
-            return 0.0  # what is gone carries nothing of its rack's uplink
-        if not (heard := self.heard):
-            return self.typical[0]
-        old = min(1.0, (now - heard[-1][0]) / (15 * SECOND))
-        return (1 - old) * ((heard[0][1] + heard[-1][1]) / 2) + old * self.typical[0]
-
-    def asked(self, now, at=None):
-        return self.others(now) + (self.asks[-1][1] if at is None else self.own(at))
+            return 0.0  # a streamer that is gone or down puts no load on its rack's uplink
+        if not (reports := self.heard):
+            return self.typical_demand[0]
+        faded = min(1.0, (now - reports[-1][0]) / (15 * SECOND))
+        return (1 - faded) * ((reports[0][1] + reports[-1][1]) / 2) + faded * self.typical_demand[0]
+
+    def demand(self, now, at_time=None):
+        """Estimate the demand of all controllers; with `at_time`, own playbacks count as they were then."""
+        return self.others_demand(now) + (
+            self.demand_history[-1][1] if at_time is None else self.own_demand(at_time)
+        )
 
     def use(self, now):
-        return self.asked(now) / self.full
+        """Return the utilisation of the link: demand over capacity, which may exceed 1."""
+        return self.demand(now) / self.link_capacity
 
-    def mates(self, pb):
-        """Own viewers there of the same live title: they share a stream for each rung."""
-        there = self.playbacks if pb.plan.adds < 1 else ()
-        return [p for p in there if p.title == pb.title and p.plan is pb.plan]
+    def live_group(self, playback):
+        """Return own playbacks here of the same live title and plan: on one rung they share a stream."""
+        group = self.playbacks if playback.plan.adds < 1 else ()
+        return [other for other in group if other.title == playback.title and other.plan is playback.plan]
 
-    def stuck(self, now):
-        """Delivers next to nothing though its link has room, and its rack's other streamers deliver."""
-        # half: less than a weak uplink was ever seen to give while its neighbours went on well
+    def stalled(self, now):
+        """Return whether it delivers under half while its link has room and its rack's others deliver."""
+        # A weak uplink was never seen to give less than half while its other streamers went on well.
         short = bool(self.shares) and self.shares[-1][1] < 0.5 and now - self.shares[-1][0] < 3 * SECOND
-        return short and self.use(now) < 0.97 and not self.mates_short(now)
+        return short and self.use(now) < 0.97 and not self.rack_is_short(now)
 
-    def mates_short(self, now):
-        """A weak uplink starves all of its rack alike: at least half of those with own playbacks. With none
-        there to tell, the uplink is blamed: where a front is seldom twice in a rack, nobody else cuts."""
-        if not (mates := [m for m in self.rack.streamers if m is not self and m.playbacks]):
+    def rack_is_short(self, now):
+        """Return whether at least half of the rack's other streamers with own playbacks fall short too.
+
+        A weak uplink slows down all of its rack alike. With no other streamer in use to compare with, a share
+        of half or more is blamed on the uplink: where a front seldom has two streamers of a rack in use,
+        nothing else would lower the rungs.
+        """
+        if not (peers := [peer for peer in self.rack.streamers if peer is not self and peer.playbacks]):
             return self.shares[-1][1] >= 0.5
-        late = [m.shares[-1] for m in mates if m.shares]
-        return 2 * sum(share < 0.98 and now - t < 3 * SECOND for t, share in late) >= len(mates)
+        last_shares = [peer.shares[-1] for peer in peers if peer.shares]
+        return 2 * sum(share < 0.98 and now - t < 3 * SECOND for t, share in last_shares) >= len(peers)
 
 
 class Playback:
-    def __init__(self, id, plan, title, top, due, luck):
-        self.id, self.plan, self.title, self.top, self.due = id, plan, title, top, due
-        self.luck = luck  # where it stands, 0 to 1, among those that get the next rung by chance
-        self.state, self.streamer, self.rung, self.hold_until = State.HELD, None, plan.floor, due
-        self.trail, self.tries, self.time_out, self.come_back = [], 0, 0, 0  # trail: streamers tried already
-        self.since, self.stepped, self.ends = 0, 0, 0  # changes of state, of rung; likely end
-        self.may_have_run, self.out = False, False  # out: a set-up, or what plays from it
-
-    def spoilt(self):
+    """One playback of this controller, from the request or hand-over until nothing more is owed.
+
+    The host reads `id`, `state`, `streamer`, `rung`, `tries`, `time_out` and `come_back`; it must not change
+    them.
+    """
+
+    def __init__(self, id, plan, title, top, deadline, draw):
+        self.id, self.plan, self.title, self.top, self.deadline = id, plan, title, top, deadline
+        self.draw = draw  # random, 0 to 1: decides whether it gets a rung that only some can have
+        self.state, self.streamer, self.rung, self.hold_until = State.HELD, None, plan.floor, deadline
+        # streamers that set-ups were sent to; number of set-ups; timeout of the last; advice of a rejection
+        self.attempted, self.tries, self.time_out, self.come_back = [], 0, 0, 0
+        # last change of state; last change of rung; expected end (0: not known)
+        self.since, self.rung_changed_at, self.expected_end = 0, 0, 0
+        # whether any set-up may have run; whether a set-up, or what plays from it, is in progress
+        self.may_have_run, self.out = False, False
+
+    def unsafe_to_resend(self):
+        """Return whether a set-up may have run that must neither be repeated nor answered by a rejection."""
         return self.may_have_run and not self.plan.repeatable
 
 
 class Controller:
+    """Places, shapes, rejects and aborts the playbacks of one front.
+
+    `terndrift/interface.py` has the contract. The calls return the playbacks that changed, in order; the
+    host acts on them at once and calls `wake` at `wake_at`. Ids that are not known are ignored.
+    """
+
     def __init__(self, deployment, now):
-        self.d, self.born, self.began_empty = deployment, now, True  # empty: may be back with an old list
+        # began_empty: nothing was handed over, so this may be a restart with an outdated list
+        self.deployment, self.created_at, self.began_empty = deployment, now, True
         self.streamers, self.racks, self.playbacks = {}, {}, {}
-        self.open, self.stale, self.changed = {}, {}, {}  # held or trying, in order; racks with news; changed
-        self.seeded = zlib.crc32(b"%d:" % deployment.seed)
-        self.cells, self.places = {}, 0  # cell -> its streamers, with their place in the list
-        self.gone, self.counts = {}, {}  # streamer -> since when; -> set-ups since the server list changed
-        self.used, self.heard, self.typical = {}, {}, [0.0]  # streamers with own playbacks; told of
-        self.live = any(plan.adds < 1 for plan in deployment.plans.values())
-        self.played, self.jam = set(), {}  # titles that came to play; asked for -> when last without a place
-        self.proven, self.turn = set(), (deployment.rank, deployment.controllers)  # warm all along; cold turn
-        self.taken, self.extra = deque(maxlen=10**5), deque(maxlen=10**5)  # times of those taken, later tries
-        self.recent = deque([now], maxlen=16)  # times of the last playbacks taken, and of the start
-        self.answers = deque([200 * MS], maxlen=32)  # how long set-ups took; a start until some are known
-        self.lives = deque(maxlen=64)  # how long playbacks played
-        self.lent, self.told, self.left = None, (), ()  # what a fleet allows and found: limits
-        self.draws, self.usual_kb, self.wake_at, self.next_scan = 0, 1.0, None, 0
-        self.advice = min(SECOND, deployment.rules.longest_advice)  # as viewers pause; less is the same jam
-        self.list_calls, self.list_gap, within = 0, 0, deployment.rules.list_within
-        # by rank: many start at once, and one service answers all
-        self.list_at = now + within // 4 * deployment.rank // deployment.controllers if within else None
-
-    def list_changed(self, now, entries, whole, old):
-        self.counts.clear()  # the paper's reset: a newcomer must not draw all until its count catches up
-        self.list_gap, listed = 0, {e.id for e in entries}
-        if whole:
-            off = [s.listed for id, s in self.streamers.items() if id not in listed]
-            entries = [replace(e, standing=Standing.GONE) for e in off] + list(entries)
-        for e in entries:
-            if (s := self.streamers.get(e.id)) is None:
-                rack = self.racks.setdefault(e.rack, Rack(self.d.links.uplink_kb))
-                s = self.streamers[e.id] = Streamer(e, rack, self.d, self.typical)
-                s.place = self.places = self.places + 1
-            self.cells.get(s.listed.cell, {}).pop(s.place, None)
-            self.cells.setdefault(e.cell, {})[s.place] = s
-            if e.started != s.listed.started:
-                s.down, s.slot = None, None
-                s.heard.clear()
-            s.relist(e)
-            self.gone.setdefault(s, now) if e.standing is Standing.GONE else self.gone.pop(s, None)
-        # long gone and half of all: forgotten, oldest first. Guards memory against a list of ever new names;
-        # could harm where one comes back cold under an old start, hence `cold_for`
-        while len(self.gone) > 64 + len(self.streamers) // 2:
-            s, since = next(iter(self.gone.items()))
-            if now - since < self.d.rules.cold_for:
+        # playbacks held or in set-up, in order; racks with new reports; playbacks to return from this call
+        self.open, self.stale_racks, self.changed = {}, {}, {}
+        self.seed_crc = zlib.crc32(b"%d:" % deployment.seed)
+        # cell -> {position in the list: streamer}; the last position given
+        self.by_cell, self.last_position = {}, 0
+        # streamer -> since when it is gone; streamer -> set-ups sent since the server list last changed
+        self.gone_since, self.setup_counts = {}, {}
+        # streamers with own playbacks; streamers with load reports; the number that all streamers share
+        self.used_streamers, self.reporting_streamers, self.typical_demand = {}, {}, [0.0]
+        self.has_live_plans = any(plan.adds < 1 for plan in deployment.plans.values())
+        # titles that have played here; kind of request -> when it last found no placement
+        self.played_titles, self.unplaced_at = set(), {}
+        # streamers that have run since their listed start; (rank, ranks) in the turns of cold starts
+        self.proven, self.cold_start_turn = set(), (deployment.rank, deployment.controllers)
+        # times of accepted playbacks and of set-ups beyond the first, for the budget of extra attempts
+        self.accepted_times, self.extra_attempt_times = deque(maxlen=10**5), deque(maxlen=10**5)
+        self.arrival_times = deque([now], maxlen=16)  # times of the start and of the last accepted playbacks
+        # of successful set-ups; 200 ms until some are known
+        self.setup_durations = deque([200 * MS], maxlen=32)
+        self.playback_durations = deque(maxlen=64)
+        # the last word of the fleet, see `limits`
+        self.lent_attempts, self.fleet_advice, self.left_to_others = None, (), ()
+        self.draw_count, self.typical_rate, self.wake_at, self.next_scan_at = 0, 1.0, None, 0
+        # no longer than viewers pause anyway; less brings them back into the same congestion
+        self.advice = min(SECOND, deployment.rules.longest_advice)
+        self.list_calls, self.list_retry_pause, list_within = 0, 0, deployment.rules.list_within
+        # staggered by rank: many controllers start at once, and one service answers all of them
+        self.list_due_at = (
+            now + list_within // 4 * deployment.rank // deployment.controllers if list_within else None
+        )
+
+    def list_changed(self, now, entries, complete, cached):
+        """Apply entries of the server list, which are all of it if `complete`, changes otherwise."""
+        # A streamer that joins must not get all set-ups until its count has caught up with the others.
+        self.setup_counts.clear()
+        self.list_retry_pause, listed_ids = 0, {entry.id for entry in entries}
+        if complete:
+            removed = [
+                streamer.listed
+                for streamer_id, streamer in self.streamers.items()
+                if streamer_id not in listed_ids
+            ]
+            entries = [replace(entry, standing=Standing.GONE) for entry in removed] + list(entries)
+        for entry in entries:
+            if (streamer := self.streamers.get(entry.id)) is None:
+                rack = self.racks.setdefault(entry.rack, Rack(self.deployment.links.uplink_kb))
+                streamer = self.streamers[entry.id] = Streamer(
+                    entry, rack, self.deployment, self.typical_demand
+                )
+                streamer.position = self.last_position = self.last_position + 1
+            self.by_cell.get(streamer.listed.cell, {}).pop(streamer.position, None)
+            self.by_cell.setdefault(entry.cell, {})[streamer.position] = streamer
+            if entry.started != streamer.listed.started:
+                streamer.down, streamer.last_slot = None, None
+                streamer.heard.clear()
+            streamer.update_entry(entry)
+            self.gone_since.setdefault(
+                streamer, now
+            ) if entry.standing is Standing.GONE else self.gone_since.pop(streamer, None)
+        # Bounds memory against a list of ever new names: the streamers gone longest are forgotten once they
+        # make up about half of all. One that came back cold under its old start would then pass as warm,
+        # hence none is forgotten within `cold_for`.
+        while len(self.gone_since) > 64 + len(self.streamers) // 2:
+            streamer, since = next(iter(self.gone_since.items()))
+            if now - since < self.deployment.rules.cold_for:
                 break
-            del self.gone[s]
-            if s.playbacks:
-                self.gone[s] = now
+            del self.gone_since[streamer]
+            if streamer.playbacks:
+                self.gone_since[streamer] = now
             else:
-                del self.streamers[s.listed.id], self.cells[s.listed.cell][s.place]
-                s.rack.streamers.remove(s)
-                self.heard.pop(s, None)
+                del self.streamers[streamer.listed.id], self.by_cell[streamer.listed.cell][streamer.position]
+                streamer.rack.streamers.remove(streamer)
+                self.reporting_streamers.pop(streamer, None)
         return self.wake(now)
 
-    def among(self, now, controllers, turn, warm=()):
-        """What a fleet settles and knows. Guards a restart against a whole warm-up of streamers that have run
-        all along; could do harm where the list and who saw them run are wrong together."""
-        self.d, self.turn = replace(self.d, controllers=controllers), turn
-        self.proven |= {self.streamers[id] for id in warm if id in self.streamers}
+    def among(self, now, controllers, cold_start_turn, warm_ids=()):
+        """Take over what the fleet agreed on: its size, this controller's turn and streamers proven warm.
+
+        Without the proof a restarted controller would wait for a whole warm-up of streamers that have run
+        all along. If both the list and the members that saw them run are wrong, a cold streamer gets the load
+        of a warm one.
+        """
+        self.deployment, self.cold_start_turn = (
+            replace(self.deployment, controllers=controllers),
+            cold_start_turn,
+        )
+        self.proven |= {
+            self.streamers[streamer_id] for streamer_id in warm_ids if streamer_id in self.streamers
+        }
         return self.wake(now)
 
-    def limits(self, now, extra, found, advice):
-        """What all together allow and found. Guards against second tries that add up, and all finding out
-        what two know already; could harm where these two alone can't reach a streamer."""
-        self.lent, self.told = extra, advice
-        self.left = {self.streamers.get(id) for id, may in found.items() if not may}
-        for s, may in [(self.streamers[i], may) for i, may in found.items() if i in self.streamers]:
-            s.next_try = min(s.next_try, now) if may else s.next_try
-            s.down = now if may is None and s.down is None else s.down  # it may come back cold
+    def limits(self, now, extra_attempts, findings, advice):
+        """Take over the fleet's budget of extra attempts, its findings on streamers and its retry advice.
+
+        `extra_attempts` may be made until the next call (None: no limit). This keeps the extra attempts of
+        all members together within a budget, and members from finding out one by one what two know already.
+        It could harm where only those two cannot reach a streamer.
+        """
+        self.lent_attempts, self.fleet_advice = extra_attempts, advice
+        self.left_to_others = {
+            self.streamers.get(streamer_id) for streamer_id, usable in findings.items() if not usable
+        }
+        for streamer, usable in [
+            (self.streamers[known_id], usable)
+            for known_id, usable in findings.items()
+            if known_id in self.streamers
+        ]:
+            streamer.next_try = min(streamer.next_try, now) if usable else streamer.next_try
+            # None: it seems dead, and may come back cold
+            streamer.down = now if usable is None and streamer.down is None else streamer.down
         return self.wake(now) if self.open else []
 
     def list_failed(self, now):
-        """The call for the list failed, or what it began broke off. Guards against a list held for good; the
-        pause doubles, by chance, so that many do not ask a service that is out of reach in step."""
-        if within := self.d.rules.list_within:  # a failed call has four times as long: several fit in
-            self.list_gap = min(max(SECOND, 2 * self.list_gap), max(SECOND, within // 2))
-            self.list_at = now + int(self.list_gap * (0.5 + self._chance()))
+        """Schedule another request for the server list after one failed or its subscription broke off.
+
+        Without it the last list would stay in force for good. The pause doubles and has jitter, so that many
+        controllers don't ask an unreachable service in step.
+        """
+        if list_within := self.deployment.rules.list_within:
+            # after a failed request four times the interval is allowed, so several retries fit in
+            self.list_retry_pause = min(max(SECOND, 2 * self.list_retry_pause), max(SECOND, list_within // 2))
+            self.list_due_at = now + int(self.list_retry_pause * (0.5 + self._chance()))
         return self.wake(now)
 
     def wanted(self, now, id, plan, title, cells, top, time_left, hint, moved, rates=None):
-        pb = self._take(now, id, plan, title, cells, top, time_left, hint, rates)
-        self.taken.append(now)
-        self._extra_left(now)  # so that old times go where second tries, which look, are rare
-        self.recent.append(now)
-        pb.hold_until = min(now + 2 * SECOND, pb.due)  # DESIGN's brief hold
-        if pb.rung > top or time_left <= 0:
-            self._reject(now, pb)
-        return self.wake(now, pb)
+        """Accept a new playback: it is placed, held for up to 2 s, or rejected.
+
+        `cells` hold the title, `top` is the highest rung for this viewer, `time_left` the time until its
+        deadline, `hint` the expected duration (0: not known) and `rates` the title's own ladder (None: the
+        deployment's). `moved` is not used.
+        """
+        playback = self._accept(now, id, plan, title, cells, top, time_left, hint, rates)
+        self.accepted_times.append(now)
+        self._extra_left(now)  # drops old times; extra attempts, which do so too, may be rare
+        self.arrival_times.append(now)
+        playback.hold_until = min(now + 2 * SECOND, playback.deadline)  # the short hold of docs/design.md
+        if playback.rung > top or time_left <= 0:
+            self._reject(now, playback)
+        return self.wake(now, playback)
 
     def handed_over(self, now, id, plan, title, cells, top, time_left, hint, moved, streamer):
-        self.began_empty, pb = False, self._take(now, id, plan, title, cells, top, time_left, hint)
-        pb.tries, pb.streamer = 1, self.streamers.get(streamer)
-        pb.out = pb.streamer is not None  # one listed nowhere: nothing can be said of it
-        self._turn(now, pb, State.PLAYING if pb.out else State.ENDED)
-        if pb.out:
-            pb.streamer.playbacks[pb] = self.stale[pb.streamer.rack] = None
-            self._note_own(now, pb.streamer)
+        """Take over a playback that already plays, at the streamer of the id `streamer`.
+
+        The other arguments are those of `wanted`. At a streamer that is not listed the playback ends at once.
+        """
+        self.began_empty, playback = False, self._accept(now, id, plan, title, cells, top, time_left, hint)
+        playback.tries, playback.streamer = 1, self.streamers.get(streamer)
+        playback.out = playback.streamer is not None  # nothing can be done for one at an unlisted streamer
+        self._set_state(now, playback, State.PLAYING if playback.out else State.ENDED)
+        if playback.out:
+            playback.streamer.playbacks[playback] = self.stale_racks[playback.streamer.rack] = None
+            self._update_own_demand(now, playback.streamer)
         return self.wake(now)
 
-    def playing(self, now, id, took):
-        if (pb := self.playbacks.get(id)) and pb.state is State.TRYING:
-            self.answers.append(took)
-            self._well(now, pb.streamer)
-            self._turn(now, pb, State.PLAYING)
+    def playing(self, now, playback_id, took):
+        """Record that the set-up in progress succeeded, `took` ns after it was sent."""
+        if (playback := self.playbacks.get(playback_id)) and playback.state is State.TRYING:
+            self.setup_durations.append(took)
+            self._record_success(now, playback.streamer)
+            self._set_state(now, playback, State.PLAYING)
         return self.wake(now)
 
-    def try_ended(self, now, id, ending, took, finished, streamer, report):
-        pb, s = self.playbacks.get(id), self.streamers.get(streamer)
-        # the same again is no news: a report may stand still for seconds, and would drown the notes
-        if s and report and report != s.reported:
-            s.reported = report
-            self._hear(now, s, report.get("link"), report.get("uplink"), True)
-        if pb is None or not pb.out:
+    def try_ended(self, now, playback_id, ending, took, finished, streamer_id, report):
+        """Record the end of a set-up, or of what played; if not `finished`, another attempt may follow."""
+        playback, streamer = self.playbacks.get(playback_id), self.streamers.get(streamer_id)
+        # A streamer hands out one report for seconds. The repeats would displace newer figures from notes.
+        if streamer and report and report != streamer.last_report:
+            streamer.last_report = report
+            self._apply_load_report(now, streamer, report.get("link"), report.get("uplink"), True)
+        if playback is None or not playback.out:
             return self.wake(now)
-        pb.out, trying = False, pb.state is State.TRYING
-        del pb.streamer.playbacks[pb]
-        self._note_own(now, pb.streamer)
-        pb.may_have_run |= trying and ending.may_have_run
-        # an error over a title that never played is the title's: guards against requests for what nobody
-        # holds; could harm while a streamer errs at all that is new
-        if ending in FAULTS or ending is Ending.ERRED and pb.title in self.played:
-            self._badly(now, pb.streamer, ending)
-        if pb.state in FINAL:
-            self.playbacks.pop(id)
+        playback.out, was_setup = False, playback.state is State.TRYING
+        del playback.streamer.playbacks[playback]
+        self._update_own_demand(now, playback.streamer)
+        playback.may_have_run |= was_setup and ending.may_have_run
+        # An error over a title that never played is blamed on the title, or requests for what nobody holds
+        # would put healthy streamers into backoff. It could harm while a streamer errs at every new title.
+        if ending in STREAMER_FAULTS or ending is Ending.ERRED and playback.title in self.played_titles:
+            self._record_failure(now, playback.streamer, ending)
+        if playback.state in FINAL_STATES:
+            self.playbacks.pop(playback_id)
         elif finished:
-            if pb.state is State.PLAYING and ending is Ending.PLAYED_OUT:
-                self.lives.append(now - pb.since)
-            self._turn(now, pb, State.ENDED)
-        elif trying:
-            self._turn(now, pb, State.ABORTED if pb.spoilt() else State.HELD)  # spoilt: it is not sent again
-        return self.wake(now, pb)
-
-    def holders_changed(self, now, id, cells):
-        if (pb := self.playbacks.get(id)) and pb.state in (State.HELD, State.TRYING):
-            pb.cells = cells
-        return self.wake(now, pb)
-
-    def told_rung(self, now, id, rung):
-        if (pb := self.playbacks.get(id)) and pb.streamer and 0 <= rung < len(self.d.ladder.rates):
-            pb.rung = int(rung)
-            self._note_own(now, pb.streamer)
+            if playback.state is State.PLAYING and ending is Ending.PLAYED_OUT:
+                self.playback_durations.append(now - playback.since)
+            self._set_state(now, playback, State.ENDED)
+        elif was_setup:
+            self._set_state(now, playback, State.ABORTED if playback.unsafe_to_resend() else State.HELD)
+        return self.wake(now, playback)
+
+    def holders_changed(self, now, playback_id, cells):
+        """Replace the cells that hold the title; a set-up in progress goes on."""
+        if (playback := self.playbacks.get(playback_id)) and playback.state in (State.HELD, State.TRYING):
+            playback.cells = cells
+        return self.wake(now, playback)
+
+    def told_rung(self, now, playback_id, rung):
+        """Record the rung that is in force of a playback, as for one handed over."""
+        if (
+            (playback := self.playbacks.get(playback_id))
+            and playback.streamer
+            and 0 <= rung < len(self.deployment.ladder.rates)
+        ):
+            playback.rung = int(rung)
+            self._update_own_demand(now, playback.streamer)
         return []
 
-    def told_use(self, now, id, streamer, link, uplink):
-        pb, s = self.playbacks.get(id), self.streamers.get(streamer)
-        if s:  # told at a set-up (so in the same batch, or the next) it is of now; later it is of the past
-            self._hear(now, s, link, uplink, pb is not None and now - pb.since < 50 * MS)
+    def told_use(self, now, playback_id, streamer_id, link, uplink):
+        """Record the utilisation of a streamer's link and of its rack's uplink (None: not reported)."""
+        playback, streamer = self.playbacks.get(playback_id), self.streamers.get(streamer_id)
+        # Figures that come with a set-up, in the same batch or the next, are current; later ones lag.
+        if streamer:
+            self._apply_load_report(
+                now, streamer, link, uplink, playback is not None and now - playback.since < 50 * MS
+            )
         return self.wake(now)
 
-    def told_share(self, now, streamer, share):
-        if (s := self.streamers.get(streamer)) and share is not None and 0 <= share <= 1:
-            self._delivered(now, s, share)
+    def told_share(self, now, streamer_id, share):
+        """Record the share of their rates that playbacks at a streamer got, `Links.lag` ago."""
+        if (streamer := self.streamers.get(streamer_id)) and share is not None and 0 <= share <= 1:
+            self._apply_delivery_report(now, streamer, share)
         return self.wake(now)
 
-    def viewer_left(self, now, id):
-        if (pb := self.playbacks.get(id)) and pb.state not in FINAL:
-            self._turn(now, pb, State.ENDED)
+    def viewer_left(self, now, playback_id):
+        """End a playback whose viewer has left."""
+        if (playback := self.playbacks.get(playback_id)) and playback.state not in FINAL_STATES:
+            self._set_state(now, playback, State.ENDED)
         return self.wake(now)
 
-    probe_answer = peer_message = lambda self, now, *_: []  # none are asked for, so none are expected
+    # Probes and peer messages are never sent, so none are expected.
+    probe_answer = peer_message = lambda self, now, *_: []
 
-    def _take(self, now, id, plan, title, cells, top, time_left, hint, rates=None):
-        luck, due, top = self._chance(), now + time_left, min(top, len(self.d.ladder.rates) - 1)
-        pb = self.playbacks[id] = Playback(id, self.d.plans[plan], title, top, due, luck)
-        pb.cells, pb.rates = cells, [kb * pb.plan.scale for kb in rates or self.d.ladder.rates]
-        pb.steps, pb.ends, self.open[pb] = self._steps(pb.plan, pb.rates), now + hint if hint else 0, None
-        return pb
+    def _accept(
+        self, now, playback_id, plan_name, title, cells, top, time_left, expected_duration, rates=None
+    ):
+        draw, deadline, top = (
+            self._chance(),
+            now + time_left,
+            min(top, len(self.deployment.ladder.rates) - 1),
+        )
+        playback = self.playbacks[playback_id] = Playback(
+            playback_id, self.deployment.plans[plan_name], title, top, deadline, draw
+        )
+        playback.cells, playback.rates = (
+            cells,
+            [kb * playback.plan.scale for kb in rates or self.deployment.ladder.rates],
+        )
+        playback.rung_steps, playback.expected_end, self.open[playback] = (
+            self._rung_steps(playback.plan, playback.rates),
+            now + expected_duration if expected_duration else 0,
+            None,
+        )
+        return playback
 
-    def _turn(self, now, pb, state):
-        """Every change of a playback's state."""
-        assert state in ROUTES.get(pb.state, ()), f"{pb.state} to {state}"
-        pb.state, pb.since = state, now
+    def _set_state(self, now, playback, state):
+        """Change the state of a playback; the only place that does."""
+        assert state in STATE_TRANSITIONS.get(playback.state, ()), (
+            f"{playback.state} cannot change to {state}"
+        )
+        playback.state, playback.since = state, now
         if state not in (State.HELD, State.TRYING):
-            self.open.pop(pb, None)
+            self.open.pop(playback, None)
         if state is State.PLAYING:
-            self.played = self.played if len(self.played) <= 4096 else set()  # bounds memory
-            self.played.add(pb.title)
-        if state in FINAL and not pb.out:
-            self.playbacks.pop(pb.id)
+            # bounds memory
+            self.played_titles = self.played_titles if len(self.played_titles) <= 4096 else set()
+            self.played_titles.add(playback.title)
+        if state in FINAL_STATES and not playback.out:
+            self.playbacks.pop(playback.id)
         if state is not State.ENDED:
-            self.changed[pb] = None
-
-    def _reject(self, now, pb):
-        """Rejecting is the last word only where nothing can have run; otherwise the playback aborts."""
-        pb.come_back = self.told[int(pb.luck * len(self.told))] if self.told else self.advice
-        self._turn(now, pb, State.ABORTED if pb.spoilt() else State.REJECTED)
+            self.changed[playback] = None
+
+    def _reject(self, now, playback):
+        """Reject a playback, or abort it where a set-up that must not be repeated may have run."""
+        playback.come_back = (
+            self.fleet_advice[int(playback.draw * len(self.fleet_advice))]
+            if self.fleet_advice
+            else self.advice
+        )
+        self._set_state(now, playback, State.ABORTED if playback.unsafe_to_resend() else State.REJECTED)
         return True
 
-    def wake(self, now, pb=None):
-        """Give held playbacks their next try or their answer, and say when to be called again."""
-        if due := now >= self.next_scan:
-            self.next_scan = now + 50 * MS
-            self._average()
-            for rack in self.stale:
-                self._companion(now, rack)
-            self.stale.clear()
-        tries = 32  # a scan's, every 50 ms, to bound the work of a long queue; the tried go to its end
-        for p in list(self.open if due else {pb} & self.open.keys()):
-            if p.state is State.TRYING and now >= p.due:  # still out at the abandon time
-                self._turn(now, p, State.ABORTED)
-            elif p.state is State.HELD and (tries > 0 or now >= p.hold_until):
-                tries -= 1
-                self.open[p] = self.open.pop(p)
-                if not self._place(now, p) and now >= p.hold_until:
-                    self._reject(now, p)
-        if self.list_at is not None and now >= self.list_at:
-            self.list_calls, self.list_at = self.list_calls + 1, None
-        self.wake_at = self.next_scan if self.open or self.stale else self.list_at
+    def wake(self, now, playback=None):
+        """Retry or answer held playbacks, adjust rungs, set `wake_at`, and return the changed playbacks.
+
+        Everything is looked at every 50 ms; in between only `playback`, if it is held or in set-up.
+        """
+        if scan_due := now >= self.next_scan_at:
+            self.next_scan_at = now + 50 * MS
+            self._update_averages()
+            for rack in self.stale_racks:
+                self._adjust_rungs(now, rack)
+            self.stale_racks.clear()
+        # per scan, to bound the work of a long queue; those looked at go to its end
+        placements_left = 32
+        for pending in list(self.open if scan_due else {playback} & self.open.keys()):
+            if pending.state is State.TRYING and now >= pending.deadline:  # the set-up is still in progress
+                self._set_state(now, pending, State.ABORTED)
+            elif pending.state is State.HELD and (placements_left > 0 or now >= pending.hold_until):
+                placements_left -= 1
+                self.open[pending] = self.open.pop(pending)
+                if not self._place(now, pending) and now >= pending.hold_until:
+                    self._reject(now, pending)
+        if self.list_due_at is not None and now >= self.list_due_at:
+            self.list_calls, self.list_due_at = self.list_calls + 1, None
+        self.wake_at = self.next_scan_at if self.open or self.stale_racks else self.list_due_at
         changed, self.changed = self.changed, {}
         return list(changed)
 
-    def _place(self, now, pb):
-        """The least-loaded holder off the trail, at the companion's rung; False: hold."""
-        plan, rules = pb.plan, self.d.rules
-        if pb.tries >= rules.try_limit or pb.due - now < 20 * MS:
-            return self._reject(now, pb)
-        # of equal ones that were never tried only the first is looked at in one moment: guards the loop
-        # against a long queue with no room, whatever fills it
-        alike = None if pb.trail else (plan.name, pb.title if plan.seats else None, pb.cells, pb.rates[0])
-        if alike and self.jam.get(alike) == now:
+    def _place(self, now, playback):
+        """Send a set-up to the best holder not yet attempted, or reject; return False to keep it held."""
+        plan, rules = playback.plan, self.deployment.rules
+        if playback.tries >= rules.try_limit or playback.deadline - now < 20 * MS:
+            return self._reject(now, playback)
+        # Of equal requests without an attempt only the first is worked out at one moment, which bounds the
+        # work of a long queue without room, whatever fills it.
+        request_key = (
+            None
+            if playback.attempted
+            else (plan.name, playback.title if plan.seats else None, playback.cells, playback.rates[0])
+        )
+        if request_key and self.unplaced_at.get(request_key) == now:
             return False
-        # of very many holders some, by chance, and all if none of them will do: the least loaded of 256 is as
-        # good as that of thousands, and the loop is not held. Could harm where only a few of them have room
-        n = len(pb.cells) // 256
-        some = list(pb.cells)[int(self._chance() * n) :: n] if n > 1 else pb.cells
-        if not (fresh := self._fresh(pb, some) or self._fresh(pb, pb.cells)):
-            return self._reject(now, pb)  # every holder is on the trail, or left to others
-        self.jam[alike] = now  # until something is sent
-        if plan.seats and self.seated(plan, pb.title) >= plan.seats or pb.tries and not self._extra_left(now):
+        # Of very many holders a sample is considered, and all of them if none of it is eligible. The least
+        # loaded of 256 is as good as that of thousands, and the event loop is not blocked. It could harm
+        # where only a few holders have room.
+        stride = len(playback.cells) // 256
+        sample = (
+            list(playback.cells)[int(self._chance() * stride) :: stride] if stride > 1 else playback.cells
+        )
+        if not (
+            eligible := self._eligible_holders(playback, sample)
+            or self._eligible_holders(playback, playback.cells)
+        ):
+            return self._reject(now, playback)  # every holder was attempted, or is left to other controllers
+        self.unplaced_at[request_key] = now  # cleared as soon as a set-up is sent
+        if (
+            plan.seats
+            and self.seated(plan, playback.title) >= plan.seats
+            or playback.tries
+            and not self._extra_left(now)
+        ):
             return False
-        able = [s for s in fresh if now >= s.next_try and self._cold_turn(now, s, len(fresh))]
+        available = [
+            streamer
+            for streamer in eligible
+            if now >= streamer.next_try and self._cold_turn(now, streamer, len(eligible))
+        ]
         if not plan.repeatable:
-            able = [s for s in able if not s.gap] or able
-        order = self._order(now, able, pb)
-        for s in order:
-            if (rung := self._rung(now, pb, s)) is not None:
-                return self._send(now, pb, s, rung)
-        for s in order:
-            # DESIGN looks at the link alone here; an uplink that was measured full would starve them all
-            lines = [s, s.rack] if s.rack.settled(now) < 5 * SECOND else [s]
-            if all(at.asked(now) + pb.rates[plan.floor] <= at.limit(now) for at in lines):
-                return self._send(now, pb, s, plan.floor)
-        for s in {s.rack: s for s in reversed(order)}.values():  # of each rack the least loaded
-            if (rung := self._yielded(now, pb, s)) is not None:
-                return self._send(now, pb, s, rung)
+            available = [streamer for streamer in available if not streamer.gap] or available
+        ordered = self._order(now, available, playback)
+        for streamer in ordered:
+            if (rung := self._choose_rung(now, playback, streamer)) is not None:
+                return self._send(now, playback, streamer, rung)
+        for streamer in ordered:
+            # docs/design.md asks for room on the link alone; set-ups behind an uplink lately measured as full
+            # would slow down all of its playbacks
+            links = (
+                [streamer, streamer.rack] if streamer.rack.since_correction(now) < 5 * SECOND else [streamer]
+            )
+            if all(link.demand(now) + playback.rates[plan.floor] <= link.capacity(now) for link in links):
+                return self._send(now, playback, streamer, plan.floor)
+        # the least loaded of each rack
+        for streamer in {streamer.rack: streamer for streamer in reversed(ordered)}.values():
+            if (rung := self._make_room(now, playback, streamer)) is not None:
+                return self._send(now, playback, streamer, rung)
         return False
 
-    def _yielded(self, now, pb, s):
-        """For a newcomer without room own playbacks above their fair rung go down, so that no more is asked
-        of link and uplink; its rung, None if they can't. Guards against a fleet that turns all away where
-        links are full and not yet cut. Could harm where reports overstate what is asked."""
-        need = pb.rates[pb.plan.floor]
-        # one of a live title frees nothing while others watch its stream
-        own = [p for m in s.rack.streamers for p in m.playbacks if p.plan.adds == 1]
-        if sum([p.rates[p.rung] - p.rates[p.plan.floor] for p in own]) < need:
+    def _make_room(self, now, playback, streamer):
+        """Lower own playbacks above their fair rung for a newcomer without room, and return its rung.
+
+        Returns None if they cannot free enough. Demand on link and uplink doesn't grow. Without it a fleet
+        rejects everyone while links are full but not overloaded enough for rungs to be lowered. It could harm
+        where load reports overstate the demand.
+        """
+        needed = playback.rates[playback.plan.floor]
+        # one viewer of a live title frees nothing while others watch the same stream
+        own_playbacks = [
+            other for peer in streamer.rack.streamers for other in peer.playbacks if other.plan.adds == 1
+        ]
+        if sum([other.rates[other.rung] - other.rates[other.plan.floor] for other in own_playbacks]) < needed:
             return None
-        rungs, at = self._fair(now, s.rack, pb, s, True), s if s.asked(now) + need > s.limit() else s.rack
-        over = {
-            p: p.rates[p.rung] - p.rates[rungs[p]]
-            for p in own
-            if p.streamer in at.streamers and p.state is State.PLAYING and p.rung > rungs[p]
+        fair_rungs, bottleneck = (
+            self._fair_rungs(now, streamer.rack, playback, streamer, True),
+            streamer if streamer.demand(now) + needed > streamer.capacity() else streamer.rack,
+        )
+        excess = {
+            other: other.rates[other.rung] - other.rates[fair_rungs[other]]
+            for other in own_playbacks
+            if other.streamer in bottleneck.streamers
+            and other.state is State.PLAYING
+            and other.rung > fair_rungs[other]
         }
-        if sum(over.values()) < need:
+        if sum(excess.values()) < needed:
             return None
         freed = 0.0
-        for p in sorted(over, key=over.get, reverse=True):
-            if freed < need:
-                freed += over[p]
-                self._step(now, p, rungs[p])
-        most = freed if at is s else min(freed, s.limit() - s.asked(now))
-        return max(r for r in range(pb.plan.floor, rungs[pb] + 1) if pb.rates[r] <= most)
-
-    def _fresh(self, pb, cells):
-        holders = sorted([x for c in cells for x in self.cells.get(c, {}).items() if x[1] not in self.left])
-        return [s for _, s in holders if s.listed.standing is Standing.READY and s not in pb.trail]
-
-    def _order(self, now, able, pb):
-        # workload, then set-up counts among near ties; 0.05 is the noise of the reports
-        use, live, counts = {s: s.use(now) for s in able}, pb.plan.adds < 1, self.counts
-        tie = min(use.values(), default=0.0) + 0.05
-        # least load scatters a live title's viewers, and no stream is shared (DESIGN's first doubt): own ones
-        # gather, near ties go by the title everywhere. Could harm where few titles have nearly all viewers
-        if live:
-            title = zlib.crc32(pb.title.encode())
-            counts = {s: zlib.crc32(b"%d" % s.listed.id, title) * 2654435761 % 2**32 for s in able}
-        order = sorted(able, key=lambda s: (max(use[s], tie), counts.get(s, 0), use[s], self._chance()))
-        return sorted(order, key=lambda s: not s.mates(pb)) if live else order
+        for other in sorted(excess, key=excess.get, reverse=True):
+            if freed < needed:
+                freed += excess[other]
+                self._set_rung(now, other, fair_rungs[other])
+        room = freed if bottleneck is streamer else min(freed, streamer.capacity() - streamer.demand(now))
+        return max(
+            rung
+            for rung in range(playback.plan.floor, fair_rungs[playback] + 1)
+            if playback.rates[rung] <= room
+        )
+
+    def _eligible_holders(self, playback, cells):
+        """Return the ready streamers of the cells, in list order, without those attempted or excluded."""
+        holders = sorted(
+            [
+                item
+                for cell in cells
+                for item in self.by_cell.get(cell, {}).items()
+                if item[1] not in self.left_to_others
+            ]
+        )
+        return [
+            streamer
+            for _, streamer in holders
+            if streamer.listed.standing is Standing.READY and streamer not in playback.attempted
+        ]
+
+    def _order(self, now, available, playback):
+        """Sort by utilisation, and by set-up count among near ties.
+
+        For a live title, the streamers at which own viewers play it go first.
+        """
+        # near ties: within 0.05, which is the noise of the load reports
+        use, is_live, counts = (
+            {streamer: streamer.use(now) for streamer in available},
+            playback.plan.adds < 1,
+            self.setup_counts,
+        )
+        tie_limit = min(use.values(), default=0.0) + 0.05
+        # Placement by load scatters the viewers of a live title, so that no stream is shared. Instead own
+        # viewers gather, and near ties are broken by a hash of title and streamer that is the same at every
+        # controller. It could harm where a few titles have nearly all viewers.
+        if is_live:
+            title_hash = zlib.crc32(playback.title.encode())
+            counts = {
+                streamer: zlib.crc32(b"%d" % streamer.listed.id, title_hash) * 2654435761 % 2**32
+                for streamer in available
+            }
+        ordered = sorted(
+            available,
+            key=lambda streamer: (
+                max(use[streamer], tie_limit),
+                counts.get(streamer, 0),
+                use[streamer],
+                self._chance(),
+            ),
+        )
+        return sorted(ordered, key=lambda streamer: not streamer.live_group(playback)) if is_live else ordered
 
     def seated(self, plan, title):
-        return sum(p.out and p.plan is plan and p.title == title for p in self.playbacks.values())
-
-    def _send(self, now, pb, s, rung):
-        pb.tries += 1
-        if pb.tries > 1:
-            self.extra.append(now)
-            self.lent = self.lent and self.lent - 1
-        pb.streamer, pb.rung, pb.out, pb.time_out = s, rung, True, pb.due - now
-        pb.trail.append(s)
-        if pb.plan.repeatable:  # room for a second try before the startup target. How long a silence is still
-            # usual: six spreads over the mean, as the tail is long and cut off
-            usual = int(max(fmean(self.answers) + 6 * pstdev(self.answers), 250 * MS))
-            pb.time_out = min(pb.time_out, usual, pb.plan.startup_target // 2)
-        self.counts[s] = self.counts.get(s, 0) + 1
-        s.next_try, s.slot = now + s.gap, self._slot(now, s)
-        self._turn(now, pb, State.TRYING)
-        s.playbacks[pb] = None
-        self._note_own(now, s)
+        """Count the playbacks of a title and plan that take a seat: those playing or in set-up."""
+        return sum(
+            playback.out and playback.plan is plan and playback.title == title
+            for playback in self.playbacks.values()
+        )
+
+    def _send(self, now, playback, streamer, rung):
+        """Start a set-up of the playback at the streamer; return True."""
+        playback.tries += 1
+        if playback.tries > 1:
+            self.extra_attempt_times.append(now)
+            self.lent_attempts = self.lent_attempts and self.lent_attempts - 1
+        playback.streamer, playback.rung, playback.out, playback.time_out = (
+            streamer,
+            rung,
+            True,
+            playback.deadline - now,
+        )
+        playback.attempted.append(streamer)
+        # A repeatable set-up leaves time for a second attempt before the startup target. Its timeout is six
+        # standard deviations over the mean duration, as the distribution has a long tail that is cut off.
+        if playback.plan.repeatable:
+            usual = int(max(fmean(self.setup_durations) + 6 * pstdev(self.setup_durations), 250 * MS))
+            playback.time_out = min(playback.time_out, usual, playback.plan.startup_target // 2)
+        self.setup_counts[streamer] = self.setup_counts.get(streamer, 0) + 1
+        streamer.next_try, streamer.last_slot = now + streamer.gap, self._slot(now, streamer)
+        self._set_state(now, playback, State.TRYING)
+        streamer.playbacks[playback] = None
+        self._update_own_demand(now, streamer)
         return True
 
     def _extra_left(self, now):
-        rules, most = self.d.rules, self.d.rules.extra_tries
-        for times in (self.taken, self.extra):
+        """Return whether the budget allows another extra attempt; forget times out of its window."""
+        rules, base_attempts = self.deployment.rules, self.deployment.rules.extra_tries
+        for times in (self.accepted_times, self.extra_attempt_times):
             while times and times[0] <= now - rules.extra_window:
                 times.popleft()
-        return self.lent != 0 and (
-            most is None or len(self.extra) + 1 <= most + rules.extra_share * len(self.taken)
-        )
-
-    def _badly(self, now, s, ending):
-        """Set aside: guards against streamers that err at once (and look idle), hang or are gone."""
-        # from 1 s, doubling to 8 s: a handful of tries lost in the longest trouble
-        s.gap = min(8 * SECOND, max(SECOND, 2 * s.gap))
-        s.next_try = now + s.gap
-        if ending is not Ending.ERRED and s.down is None:
-            s.down, s.slot, s.rack.known = now, None, ()
-
-    def _well(self, now, s):
-        s.gap = s.gap // 2 if s.gap > SECOND // 4 else 0
-        s.next_try = now + s.gap
-        if s.down is not None:  # back before the list said so: its warm-up counts from now
-            s.down, s.slot = None, None
-            s.relist(replace(s.listed, started=now))
-
-    def _slot(self, now, s):
-        """Which set-up of the cold pace is due now, and how far into its turn; None: warm."""
-        rules = self.d.rules
-        # guards a restart with an old list: any streamer may be new
-        start = max(s.listed.started, self.born * (self.began_empty and s not in self.proven))
-        if s.down is None and (not start or now - start >= rules.cold_for):
+        return self.lent_attempts != 0 and (
+            base_attempts is None
+            or len(self.extra_attempt_times) + 1
+            <= base_attempts + rules.extra_share * len(self.accepted_times)
+        )
+
+    def _record_failure(self, now, streamer, ending):
+        """Back off from a streamer that failed: one that errs at once looks idle, or it hangs or is gone."""
+        # backoff from 1 s, doubling to 8 s: even a long fault costs only a few attempts
+        streamer.gap = min(8 * SECOND, max(SECOND, 2 * streamer.gap))
+        streamer.next_try = now + streamer.gap
+        if ending is not Ending.ERRED and streamer.down is None:
+            streamer.down, streamer.last_slot, streamer.rack.demand_cache = now, None, ()
+
+    def _record_success(self, now, streamer):
+        """Halve the interval between set-ups of a streamer, down to none, and end its failure."""
+        streamer.gap = streamer.gap // 2 if streamer.gap > SECOND // 4 else 0
+        streamer.next_try = now + streamer.gap
+        if streamer.down is not None:  # it is back before the list says so: its warm-up counts from now
+            streamer.down, streamer.last_slot = None, None
+            streamer.update_entry(replace(streamer.listed, started=now))
+
+    def _slot(self, now, streamer):
+        """Return the cold-start slot that is due, its elapsed part as the fraction; None if warm."""
+        rules = self.deployment.rules
+        # after a restart with an outdated list any streamer may have just started
+        start = max(
+            streamer.listed.started, self.created_at * (self.began_empty and streamer not in self.proven)
+        )
+        if streamer.down is None and (not start or now - start >= rules.cold_for):
             return None
-        x = max(0, now - (start if s.down is None else s.down)) / rules.cold_for
-        # the integral of the pace, the least where it failed; warmth rises late, as the ramp is not told
-        return s.places * (rules.cold_share * x + (s.down is None) * (1 - rules.cold_share) * x**3 / 3)
-
-    def _cold_turn(self, now, s, choices):
-        """Controllers take turns by rank at the cold pace, so that all together stay under the stated
-        multiple without a word: a whole turn each where two running into a window fit, else a third."""
-        at, rules, (rank, ranks) = self._slot(now, s), self.d.rules, self.turn or (0, 0)
-        if at is None or not ranks:
-            return at is None
-        # set-ups the pace allows in a window, at the least warmth; a tenth of the limit is left unused
-        fit = s.places * rules.cold_share * rules.fall_window / rules.cold_for
-        limit = 0.9 * rules.fall_multiple * fit
-        share = 1 if int(fit) + 2 <= limit else 0.34
-        # where playbacks are rare several ranks share a turn, up to a quarter of a playback: room for surges.
-        # Where the start is known, no more of them than keep a wave that all see at once within the limit and
-        # its spread (two roots of it), as each has a playback for its turn then. Guards idle controllers that
-        # a wave reaches; could harm by filling a lone holder slower. A streamer only suspected to be cold is
-        # one of many choices. A prime, as ids may be in a row
-        turns = (now - self.recent[0] + 5 * SECOND) * fit / rules.fall_window / len(self.recent)
-        known = s.down is not None or now - s.listed.started < rules.cold_for
-        most = (limit + 2 * limit**0.5) / (int(fit) + 2) if known else ranks
-        group = max(1, int(min(0.25 * turns * (1 if known else choices), most, ranks)))
-        mine = (int(at) * group + 7919 * s.listed.id - rank) % ranks < group
-        return mine and at % 1 < share and (s.slot is None or int(s.slot) != int(at))
-
-    def _hear(self, now, s, link, uplink, fresh):
-        """A report: what others ask is what was asked then, less what own playbacks asked then."""
-        s.rack.known, at = (), now if fresh else now - self.d.links.lag
+        progress = max(0, now - (start if streamer.down is None else streamer.down)) / rules.cold_for
+        # The integral of the cold pace, with the least pace for a streamer that failed. The shape of the ramp
+        # is not known, so capacity is assumed to rise late.
+        return streamer.max_playbacks * (
+            rules.cold_share * progress + (streamer.down is None) * (1 - rules.cold_share) * progress**3 / 3
+        )
+
+    def _cold_turn(self, now, streamer, choices):
+        """Return whether a set-up may go to the streamer: it is warm, or the cold-start turn is this one's.
+
+        Controllers take turns by rank at the cold pace, so that all of them together stay under the stated
+        multiple without messages. A turn is a whole slot where two that run into one window fit, else a third
+        of it.
+        """
+        slot, rules, (rank, ranks) = (
+            self._slot(now, streamer),
+            self.deployment.rules,
+            self.cold_start_turn or (0, 0),
+        )
+        if slot is None or not ranks:
+            return slot is None
+        # set-ups per window at the pace of the least warmth; a tenth of the limit stays unused
+        window_setups = streamer.max_playbacks * rules.cold_share * rules.fall_window / rules.cold_for
+        limit = 0.9 * rules.fall_multiple * window_setups
+        slot_share = 1 if int(window_setups) + 2 <= limit else 0.34
+        # Where playbacks are rare several ranks share a turn, up to a quarter of a playback a turn, which
+        # leaves room for surges. Where the start is known, a wave of requests gives each of these ranks a
+        # playback for its turn; so there are at most as many as keep it within the limit and its spread (two
+        # square roots of the limit). This guards idle controllers that a wave reaches, but could harm by
+        # filling a lone holder more slowly. A streamer only suspected to be cold is one of many choices.
+        slots_per_arrival = (
+            (now - self.arrival_times[0] + 5 * SECOND)
+            * window_setups
+            / rules.fall_window
+            / len(self.arrival_times)
+        )
+        start_known = streamer.down is not None or now - streamer.listed.started < rules.cold_for
+        most_ranks = (limit + 2 * limit**0.5) / (int(window_setups) + 2) if start_known else ranks
+        ranks_per_turn = max(
+            1, int(min(0.25 * slots_per_arrival * (1 if start_known else choices), most_ranks, ranks))
+        )
+        # the prime spreads the turns of streamers whose ids are consecutive
+        is_own_turn = (int(slot) * ranks_per_turn + 7919 * streamer.listed.id - rank) % ranks < ranks_per_turn
+        return (
+            is_own_turn
+            and slot % 1 < slot_share
+            and (streamer.last_slot is None or int(streamer.last_slot) != int(slot))
+        )
+
+    def _apply_load_report(self, now, streamer, link, uplink, is_current):
+        """Apply reported utilisations: demand of others is the reported one less own demand at that time.
+
+        A report that is not current is `Links.lag` old.
+        """
+        streamer.rack.demand_cache, at_time = (), now if is_current else now - self.deployment.links.lag
         if link is not None and 0 <= link < 100:
-            s.heard.append((now, max(0.0, link * s.limit() - s.own(at))))
-            self.heard[s] = None
-        if uplink is not None and 0.05 < uplink < 100:  # what it gave, by what was asked
-            # where most of the rack is unheard, a sum of guesses: there the report stands for what is asked
-            rack, late = s.rack, now - 5 * SECOND
-            few = 2 * sum(m.heard[-1][0] > late for m in rack.streamers if m.heard) < len(rack.streamers)
-            rack.heard = (now, max(0.0, uplink * rack.told - rack.own(at))) if few else None
-            rack.seen.append((now, rack.told if few else rack.asked(now, at) / uplink))
-        self.stale[s.rack] = None
+            streamer.heard.append((now, max(0.0, link * streamer.capacity() - streamer.own_demand(at_time))))
+            self.reporting_streamers[streamer] = None
+        # The capacity of an uplink is its demand over its utilisation. Where fewer than half of the rack's
+        # streamers reported lately, the sum of their demands is mostly guesses, and the report of the uplink
+        # is taken as the demand instead.
+        if uplink is not None and 0.05 < uplink < 100:
+            rack, oldest = streamer.rack, now - 5 * SECOND
+            few_reports = 2 * sum(peer.heard[-1][0] > oldest for peer in rack.streamers if peer.heard) < len(
+                rack.streamers
+            )
+            rack.reported_demand = (
+                (now, max(0.0, uplink * rack.nominal_capacity - rack.own_demand(at_time)))
+                if few_reports
+                else None
+            )
+            rack.seen.append(
+                (now, rack.nominal_capacity if few_reports else rack.demand(now, at_time) / uplink)
+            )
+        self.stale_racks[streamer.rack] = None
 
     def _chance(self):
-        self.draws += 1
-        # spread by a product: crc32 alone is linear, two seeds would order all their draws alike
-        return zlib.crc32(b"%d" % self.draws, self.seeded) * 2654435761 % 2**32 / 2**32
-
-    def _note_own(self, now, s):
-        s.rack.known, self.jam = (), {}
-        streams = self._streams([(pb, s) for pb in s.playbacks], lambda pb: pb.rung)
-        s.asks.append((now, sum([pbs[0].rates[pbs[0].rung] * adds for pbs, _, adds in streams])))
-        s.scale = sum([pbs[0].plan.scale * adds for pbs, _, adds in streams])
-        self.used.pop(s, None) if not s.playbacks else self.used.setdefault(s)
-
-    def _streams(self, playing, alike):
-        """[playbacks, streamer, rates that they ask together]: viewers of a live title share a stream."""
-        if not self.live:
-            return [((pb,), s, 1.0) for pb, s in playing]
+        """Return the next number of the seeded random sequence, from 0 up to 1."""
+        self.draw_count += 1
+        # multiplied, as crc32 alone is linear: two seeds would put all their draws in the same order
+        return zlib.crc32(b"%d" % self.draw_count, self.seed_crc) * 2654435761 % 2**32 / 2**32
+
+    def _update_own_demand(self, now, streamer):
+        """Recompute the demand of own playbacks at a streamer, after any change of them or of their rungs."""
+        streamer.rack.demand_cache, self.unplaced_at = (), {}
+        streams = self._group_streams(
+            [(playback, streamer) for playback in streamer.playbacks], lambda playback: playback.rung
+        )
+        streamer.demand_history.append(
+            (now, sum([group[0].rates[group[0].rung] * rate_factor for group, _, rate_factor in streams]))
+        )
+        streamer.own_scale = sum([group[0].plan.scale * rate_factor for group, _, rate_factor in streams])
+        self.used_streamers.pop(streamer, None) if not streamer.playbacks else self.used_streamers.setdefault(
+            streamer
+        )
+
+    def _group_streams(self, placed, group_key):
+        """Group (playback, streamer) pairs into streams: [playbacks, streamer, factor on the rate of one].
+
+        Viewers of a live title at one streamer share a stream if they have the same `group_key(playback)`.
+        """
+        if not self.has_live_plans:
+            return [((playback,), streamer, 1.0) for playback, streamer in placed]
         streams = {}
-        for pb, s in playing:
-            key = (pb.title, pb.plan.name, alike(pb), s) if pb.plan.adds < 1 else pb
-            stream = streams.setdefault(key, [[], s, 1.0 - pb.plan.adds])
-            stream[0].append(pb)
-            stream[2] += pb.plan.adds
+        for playback, streamer in placed:
+            key = (
+                (playback.title, playback.plan.name, group_key(playback), streamer)
+                if playback.plan.adds < 1
+                else playback
+            )
+            stream = streams.setdefault(key, [[], streamer, 1.0 - playback.plan.adds])
+            stream[0].append(playback)
+            stream[2] += playback.plan.adds
         return list(streams.values())
 
-    def _average(self):
-        """Looks at streamers heard of or in use alone: a list may be a hundred times as long."""
-        ready, rates = Standing.READY, self.d.ladder.rates
-        told = [min(kb, s.full) for s in self.heard if s.listed.standing is ready for _, kb in s.heard]
-        used = [s for s in sorted(self.used, key=lambda s: s.place) if s.listed.standing is ready]
-        own, scale = sum(s.own() for s in used), sum(s.scale for s in used)
-        self.usual_kb = max(own / scale if scale else rates[len(rates) // 2], rates[0])  # unknown: middle
-        others = own * (self.d.controllers - 1) / max(1, len(self.streamers) - len(self.gone))
-        self.typical[0] = fmean(told or [others])  # until some are told: as this
+    def _update_averages(self):
+        """Update the typical rate and demand from streamers that report or are in use.
+
+        The others are not looked at: a list may be a hundred times as long.
+        """
+        ready, rates = Standing.READY, self.deployment.ladder.rates
+        reported = [
+            min(kb, streamer.link_capacity)
+            for streamer in self.reporting_streamers
+            if streamer.listed.standing is ready
+            for _, kb in streamer.heard
+        ]
+        used = [
+            streamer
+            for streamer in sorted(self.used_streamers, key=lambda streamer: streamer.position)
+            if streamer.listed.standing is ready
+        ]
+        own_demand, own_scale = (
+            sum(streamer.own_demand() for streamer in used),
+            sum(streamer.own_scale for streamer in used),
+        )
+        # without own playbacks the middle of the ladder
+        self.typical_rate = max(own_demand / own_scale if own_scale else rates[len(rates) // 2], rates[0])
+        # until streamers report, other controllers are taken to be loaded as this one is
+        others_demand = (
+            own_demand
+            * (self.deployment.controllers - 1)
+            / max(1, len(self.streamers) - len(self.gone_since))
+        )
+        self.typical_demand[0] = fmean(reported or [others_demand])
         for rack in self.racks.values():
-            rack.known = ()
-
-    def _delivered(self, now, s, share):
-        """A short-delivery note. It corrects the uplink where the link has room and the rack's others
-        are short too; where they are not, it is the streamer itself that stands still."""
-        before = s.shares[-1][1] if s.shares else 1.0
-        s.shares.append((now, share))
-        self.stale[s.rack] = None
-        if share >= 0.98 or share >= before:
-            return  # a share that rises says that the last cut works
-        rack, lag = s.rack, self.d.links.lag
-        if s.stuck(now):
-            self._badly(now, s, Ending.ERRED)
-        # notes are smoothed over seconds: what they tell in the 2 s after a correction is the old shortage
-        elif s.use(now) < 0.97 and s.mates_short(now) and rack.settled(now) > lag + 2 * SECOND:
-            rack.seen = deque([(now, rack.asked(now, now - lag) * max(0.3, share))], maxlen=4)
-        elif not self.d.links.told and not s.mates_short(now):
-            # no answer tells of the link: guards one that is full and looks idle. Not told of on the average,
-            # as only short ones are heard of; could harm where a streamer is slow by itself
-            s.heard.append((now, max(0.0, s.full / max(0.3, share) - s.own(now - lag))))
-
-    def _budget(self, now, at, extra):
-        """What own playbacks may ask: their part of the mark by number. How many others there are is
-        told by what they ask, at the usual rate. Guards against first comers that take all free room."""
-        mine = sum([s.scale for s in at.streamers]) + extra
-        others = max(0.0, at.asked(now) - at.own()) / self.usual_kb
-        return MARK * at.limit(now) * mine / max(mine + others, 1e-9)
-
-    def _fair(self, now, rack, pb=None, s=None, whole=False):
-        """The rungs that earn most when all own playbacks of a rack share it, a newcomer included."""
-        more = pb.plan.scale * (pb.plan.adds if s.mates(pb) else 1) if pb else 0.0
-        room = {at: self._budget(now, at, more * (at in (s, rack))) for at in [rack, *rack.streamers]}
-        all_of = [(p, m) for m in rack.streamers for p in m.playbacks] + ([(pb, s)] if pb else [])
-        streams = self._streams(all_of, lambda p: p.top)  # whose viewers go up together
-        rungs, steps, drawn, free = [pbs[0].plan.floor for pbs, _, _ in streams], [], set(), room[rack]
-        for n, (pbs, at, adds) in enumerate(streams):
-            p, kb = pbs[0], pbs[0].rates[rungs[n]] * adds
-            room[at], free = room[at] - kb, free - kb
-            if rungs[n] < p.top:
-                steps.append((p.steps[rungs[n]][0] * len(pbs) / adds, n, rungs[n] + 1))
-        heapq.heapify(steps)
-        while steps and free > 0:
-            _, n, rung = steps[0]
-            pbs, at, adds = streams[n]
-            p, here, kb = pbs[0], room[at], pbs[0].steps[rung - 1][1] * adds
-            tight, least = (rack, free) if free < here else (at, here)
-            # the first step that does not fit is taken by chance, so that all controllers together fill it
-            if kb <= least or tight not in drawn and p.luck * kb < least:
-                room[at], free, rungs[n] = room[at] - kb, free - kb, rung
-                if rung < p.top:
-                    heapq.heapreplace(steps, (p.steps[rung][0] * len(pbs) / adds, n, rung + 1))
+            rack.demand_cache = ()
+
+    def _apply_delivery_report(self, now, streamer, share):
+        """Attribute a short delivery to the uplink or to the streamer.
+
+        It corrects the uplink's capacity where the link has room and the rest of the rack falls short too;
+        where the rest doesn't, the streamer itself is stalled.
+        """
+        previous_share = streamer.shares[-1][1] if streamer.shares else 1.0
+        streamer.shares.append((now, share))
+        self.stale_racks[streamer.rack] = None
+        if share >= 0.98 or share >= previous_share:
+            return  # a rising share shows that the last reduction works
+        rack, lag = streamer.rack, self.deployment.links.lag
+        if streamer.stalled(now):
+            self._record_failure(now, streamer, Ending.ERRED)
+        # delivery reports are smoothed over seconds: for 2 s after a correction they show the old shortage
+        elif (
+            streamer.use(now) < 0.97
+            and streamer.rack_is_short(now)
+            and rack.since_correction(now) > lag + 2 * SECOND
+        ):
+            rack.seen = deque([(now, rack.demand(now, now - lag) * max(0.3, share))], maxlen=4)
+        elif not self.deployment.links.told and not streamer.rack_is_short(now):
+            # No set-up answer tells the utilisation here, so a full link would look idle. The figure doesn't
+            # count in the typical demand, as only short streamers give one. It could harm where a streamer is
+            # slow for another reason.
+            streamer.heard.append(
+                (now, max(0.0, streamer.link_capacity / max(0.3, share) - streamer.own_demand(now - lag)))
+            )
+
+    def _own_budget(self, now, link, extra_scale):
+        """Return what own playbacks may use of a link or uplink: of its target, their part by number.
+
+        The number of others follows from their demand at the typical rate. Without the budget the first
+        playbacks to arrive would take all the free room.
+        """
+        own_scale = sum([streamer.own_scale for streamer in link.streamers]) + extra_scale
+        others_scale = max(0.0, link.demand(now) - link.own_demand()) / self.typical_rate
+        return TARGET_UTILISATION * link.capacity(now) * own_scale / max(own_scale + others_scale, 1e-9)
+
+    def _fair_rungs(self, now, rack, newcomer=None, target=None, settle_all=False):
+        """Return playback -> rung: those that earn most when own playbacks share the rack's budgets.
+
+        A newcomer at the streamer `target` is included. Without `settle_all` the search stops as soon as the
+        rung of the newcomer is settled, and the other rungs may be too low.
+        """
+        newcomer_scale = (
+            newcomer.plan.scale * (newcomer.plan.adds if target.live_group(newcomer) else 1)
+            if newcomer
+            else 0.0
+        )
+        room = {
+            link: self._own_budget(now, link, newcomer_scale * (link in (target, rack)))
+            for link in [rack, *rack.streamers]
+        }
+        placed = [(playback, streamer) for streamer in rack.streamers for playback in streamer.playbacks] + (
+            [(newcomer, target)] if newcomer else []
+        )
+        # viewers that share a stream go up together
+        streams = self._group_streams(placed, lambda playback: playback.top)
+        rungs, step_heap, drawn_links, uplink_room = (
+            [group[0].plan.floor for group, _, _ in streams],
+            [],
+            set(),
+            room[rack],
+        )
+        for index, (group, link, rate_factor) in enumerate(streams):
+            playback, kb = group[0], group[0].rates[rungs[index]] * rate_factor
+            room[link], uplink_room = room[link] - kb, uplink_room - kb
+            if rungs[index] < playback.top:
+                step_heap.append(
+                    (playback.rung_steps[rungs[index]][0] * len(group) / rate_factor, index, rungs[index] + 1)
+                )
+        heapq.heapify(step_heap)
+        while step_heap and uplink_room > 0:
+            _, index, rung = step_heap[0]
+            group, link, rate_factor = streams[index]
+            playback, link_room, kb = group[0], room[link], group[0].rung_steps[rung - 1][1] * rate_factor
+            bottleneck, least_room = (rack, uplink_room) if uplink_room < link_room else (link, link_room)
+            # The first step that doesn't fit is taken with a probability, so that all controllers together
+            # use the room that is left.
+            if kb <= least_room or bottleneck not in drawn_links and playback.draw * kb < least_room:
+                room[link], uplink_room, rungs[index] = room[link] - kb, uplink_room - kb, rung
+                if rung < playback.top:
+                    heapq.heapreplace(
+                        step_heap, (playback.rung_steps[rung][0] * len(group) / rate_factor, index, rung + 1)
+                    )
                     continue
             else:
-                drawn.add(tight)
-            heapq.heappop(steps)
-            if pb in pbs and not whole:
-                break  # its rung is settled, and only it is asked for
-        return {p: rung for rung, (pbs, _, _) in zip(rungs, streams, strict=True) for p in pbs}
-
-    def _steps(self, plan, rates):
-        """(order, kB) of the step up from each rung: what earns most for a kB goes first."""
-        earns = self.d.ladder.revenue
+                drawn_links.add(bottleneck)
+            heapq.heappop(step_heap)
+            if newcomer in group and not settle_all:
+                break
+        return {
+            playback: rung for rung, (group, _, _) in zip(rungs, streams, strict=True) for playback in group
+        }
+
+    def _rung_steps(self, plan, rates):
+        """Return (sort key, kB/s) of the step up from each rung; the most revenue for a kB sorts first."""
+        revenue = self.deployment.ladder.revenue
         return [
-            (-plan.revenue * (earns[low + 1] - earns[low]) / max(more - kb, 1e-9), more - kb)
-            for low, (kb, more) in enumerate(zip(rates, rates[1:], strict=False))
+            (-plan.revenue * (revenue[rung + 1] - revenue[rung]) / max(next_kb - kb, 1e-9), next_kb - kb)
+            for rung, (kb, next_kb) in enumerate(zip(rates, rates[1:], strict=False))
         ]
 
-    def _rung(self, now, pb, s):
-        """The highest rung that keeps link and uplink under the mark, and fair to those that play."""
-        free = min(MARK * s.full - s.asked(now), MARK * s.rack.limit(now) - s.rack.asked(now))
-        joins = [
-            p.rung
-            for p in s.mates(pb)
-            if p.plan.floor <= p.rung <= pb.top and p.rates[p.rung] * p.plan.adds <= free
+    def _choose_rung(self, now, playback, streamer):
+        """Return the highest rung within the target utilisation and fair to what plays; None without room."""
+        room = min(
+            TARGET_UTILISATION * streamer.link_capacity - streamer.demand(now),
+            TARGET_UTILISATION * streamer.rack.capacity(now) - streamer.rack.demand(now),
+        )
+        joinable_rungs = [
+            other.rung
+            for other in streamer.live_group(playback)
+            if other.plan.floor <= other.rung <= playback.top
+            and other.rates[other.rung] * other.plan.adds <= room
         ]
-        if pb.rates[pb.plan.floor] > free:
-            return max(joins) if joins else None
-        fair = self._fair(now, s.rack, pb, s)[pb]
-        return max([next(r for r in range(fair, -1, -1) if pb.rates[r] <= free), *joins])
-
-    def _companion(self, now, rack):
-        """Correct the rungs of what plays, as reports and notes arrive."""
-        rungs, known = self._fair(now, rack), rack.settled(now) < 5 * SECOND
-        # what is over goes down; of free room each controller takes its part by what it asks, then waits for
-        # news. A step over that part is taken by chance, if the uplink is known: else none of many rises
-        cut, room, part, ladder, lag = {}, {}, {}, self.d.ladder, self.d.links.lag
-        for at in [rack, *rack.streamers]:
-            asked, own, limit = at.asked(now), at.own(), at.limit(now)
-            # a told uplink is a mean: only one measured lately cuts. A tenth over may be noise of reports,
-            # but not where short notes measured it (one sample)
-            over = 1.03 if at is rack and len(rack.seen) == 1 else 1.1
-            sure = asked > over * limit and (known or at is not rack)
-            told = max([t for t, _ in (at.seen if at is rack else at.heard)], default=lag + 1) - lag
-            cut[at] = (asked - limit) * own / asked if sure and told > at.lowered else 0.0
-            # rises leave a tenth for the next newcomer, but on an uplink known well
-            fill = MARK - (0 if at is rack and known else 0.1)
-            told = now - 2 * SECOND if at is rack else told
-            room[at] = fill * limit - asked if told > at.raised else 0.0
-            part[at] = room[at] * (own / asked if known and asked else 1 / self.d.controllers)
-        for pb in sorted(rungs, key=lambda pb: rungs[pb] - pb.rung):
-            s, fair = pb.streamer, rungs[pb]
-            if pb.state is not State.PLAYING or s.stuck(now):
+        if playback.rates[playback.plan.floor] > room:
+            return max(joinable_rungs) if joinable_rungs else None
+        fair_rung = self._fair_rungs(now, streamer.rack, playback, streamer)[playback]
+        return max(
+            [next(rung for rung in range(fair_rung, -1, -1) if playback.rates[rung] <= room), *joinable_rungs]
+        )
+
+    def _adjust_rungs(self, now, rack):
+        """Correct the rungs of own playbacks in a rack after load or delivery reports."""
+        fair_rungs, uplink_measured = self._fair_rungs(now, rack), rack.since_correction(now) < 5 * SECOND
+        # Excess demand is cut. Of free room each controller takes its part by its share of the demand, then
+        # waits for new reports. A step larger than that part is taken with a probability if the uplink is
+        # measured; otherwise, with many controllers, no playback could ever rise.
+        cut, room, part, ladder, lag = {}, {}, {}, self.deployment.ladder, self.deployment.links.lag
+        for link in [rack, *rack.streamers]:
+            demand, own_demand, capacity = link.demand(now), link.own_demand(), link.capacity(now)
+            # The nominal capacity of an uplink is a mean, so only one measured lately causes cuts. A tenth
+            # over may be noise of the load reports, but not where short deliveries measured it (one sample).
+            tolerance = 1.03 if link is rack and len(rack.seen) == 1 else 1.1
+            overloaded = demand > tolerance * capacity and (uplink_measured or link is not rack)
+            reported_at = (
+                max([t for t, _ in (link.seen if link is rack else link.heard)], default=lag + 1) - lag
+            )
+            cut[link] = (
+                (demand - capacity) * own_demand / demand
+                if overloaded and reported_at > link.lowered_at
+                else 0.0
+            )
+            # rises leave a tenth to the next newcomer, except on an uplink measured lately
+            fill = TARGET_UTILISATION - (0 if link is rack and uplink_measured else 0.1)
+            reported_at = now - 2 * SECOND if link is rack else reported_at
+            room[link] = fill * capacity - demand if reported_at > link.raised_at else 0.0
+            part[link] = room[link] * (
+                own_demand / demand if uplink_measured and demand else 1 / self.deployment.controllers
+            )
+        for playback in sorted(fair_rungs, key=lambda playback: fair_rungs[playback] - playback.rung):
+            streamer, fair_rung = playback.streamer, fair_rungs[playback]
+            if playback.state is not State.PLAYING or streamer.stalled(now):
                 continue
-            if pb.rung > fair and max(cut[s], cut[rack]) > 0:
-                kb = pb.rates[pb.rung] - pb.rates[fair]
-                for at in (s, rack):
-                    at.lowered, cut[at] = now if cut[at] > 0 else at.lowered, cut[at] - kb
-                self._step(now, pb, fair)
-            # 8 s between steps of one playback keep to the three a minute that the design allows
-            elif pb.rung < fair and now - pb.stepped > 8 * SECOND and min(part[s], part[rack]) > 0:
-                left = pb.ends - now if pb.ends else fmean(self.lives or [20 * SECOND])
-                for rung in range(fair, pb.rung, -1):
-                    kb = pb.rates[rung] - pb.rates[pb.rung]
-                    gain = ladder.revenue[rung] - ladder.revenue[pb.rung]
-                    # it must earn twice what the change costs, as the time left is a guess
-                    if kb <= min(room[s], room[rack]) and gain * left > 2 * ladder.switch_cost:
-                        odds, s.raised, rack.raised = min(part[s], part[rack]) / kb, now, now
-                        part[s], part[rack] = part[s] - kb, part[rack] - kb
-                        if odds >= 1 or known and self._chance() < odds:
-                            self._step(now, pb, rung)
+            if playback.rung > fair_rung and max(cut[streamer], cut[rack]) > 0:
+                kb = playback.rates[playback.rung] - playback.rates[fair_rung]
+                for link in (streamer, rack):
+                    link.lowered_at, cut[link] = now if cut[link] > 0 else link.lowered_at, cut[link] - kb
+                self._set_rung(now, playback, fair_rung)
+            # 8 s between steps keep a playback under the three changes a minute that docs/design.md allows
+            elif (
+                playback.rung < fair_rung
+                and now - playback.rung_changed_at > 8 * SECOND
+                and min(part[streamer], part[rack]) > 0
+            ):
+                time_left = (
+                    playback.expected_end - now
+                    if playback.expected_end
+                    else fmean(self.playback_durations or [20 * SECOND])
+                )
+                for rung in range(fair_rung, playback.rung, -1):
+                    kb = playback.rates[rung] - playback.rates[playback.rung]
+                    gain = ladder.revenue[rung] - ladder.revenue[playback.rung]
+                    # the time left is an estimate, so the step must earn twice what the change costs
+                    if kb <= min(room[streamer], room[rack]) and gain * time_left > 2 * ladder.switch_cost:
+                        probability, streamer.raised_at, rack.raised_at = (
+                            min(part[streamer], part[rack]) / kb,
+                            now,
+                            now,
+                        )
+                        part[streamer], part[rack] = part[streamer] - kb, part[rack] - kb
+                        if probability >= 1 or uplink_measured and self._chance() < probability:
+                            self._set_rung(now, playback, rung)
                         break
 
-    def _step(self, now, pb, rung):
-        pb.rung, pb.stepped, self.changed[pb] = rung, now, None
-        self._note_own(now, pb.streamer)
+    def _set_rung(self, now, playback, rung):
+        playback.rung, playback.rung_changed_at, self.changed[playback] = rung, now, None
+        self._update_own_demand(now, playback.streamer)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -22,7 +22,7 @@
     front = Front()
     front.want()
     front.list([line(9, cell=1)])
-    assert not front.c.counts
+    assert not front.c.setup_counts
 
 
 def test_a_refusal_puts_the_streamer_on_the_trail_and_the_last_one_ends_in_rejection():
@@ -63,10 +63,10 @@
         assert front.want(title="u").streamer is not sick
     gap = sick.gap
     front.pass_time(gap)
-    front.c._well(front.now, sick)
+    front.c._record_success(front.now, sick)
     assert sick.gap == gap // 2
     for _ in range(4):
-        front.c._well(front.now, sick)
+        front.c._record_success(front.now, sick)
     assert sick.gap == 0, "back on the ordinary path"
 
 
@@ -76,19 +76,19 @@
         ghost = front.want(title=f"ghost{n}")
         while ghost.state is State.TRYING:
             front.end(ghost, Ending.ERRED)
-        assert ghost.state is State.REJECTED and len(ghost.trail) == 4
+        assert ghost.state is State.REJECTED and len(ghost.attempted) == 4
     assert not any(s.gap for s in front.c.streamers.values())
     assert front.want().state is State.TRYING, "good viewers go on"
     silent = front.want(title="ghost")
     front.pass_time(silent.time_out + 50 * MS)
-    assert silent.trail[0].gap, "silence is a streamer's, whatever was asked of it"
+    assert silent.attempted[0].gap, "silence is a streamer's, whatever was asked of it"
 
 
 def test_times_taken_are_bounded_where_no_budget_prunes_them():
     front = Front(extra_tries=None)
-    front.c.taken.extend([front.now] * 10**5)
+    front.c.accepted_times.extend([front.now] * 10**5)
     front.want()
-    assert len(front.c.taken) == 10**5 and front.c.taken[-1] == front.now
+    assert len(front.c.accepted_times) == 10**5 and front.c.accepted_times[-1] == front.now
 
 
 def test_a_report_said_again_does_not_drown_the_notes():
@@ -98,12 +98,12 @@
         front.play(pb)
     at = old[0].streamer
     front.end(old[0], Ending.PLAYED_OUT, finished=True, report={"link": 0.95, "uplink": 0.5})
-    assert at.others(front.now) > 1000
+    assert at.others_demand(front.now) > 1000
     for pb in old[1:]:
         front.pass_time(2 * S)
         front.use(0, link=0.3)
         front.end(pb, Ending.PLAYED_OUT, finished=True, report={"link": 0.95, "uplink": 0.5})
-    assert at.others(front.now) + at.own() <= 0.4 * at.full
+    assert at.others_demand(front.now) + at.own_demand() <= 0.4 * at.link_capacity
 
 
 def test_a_silent_set_up_leaves_room_for_another_before_the_startup_target():
@@ -176,7 +176,7 @@
     fallen = front.c.streamers[0]
     assert fallen.down is not None
     front.pass_time(8 * S)
-    front.c._well(front.now, fallen)
+    front.c._record_success(front.now, fallen)
     assert fallen.listed.started == front.now, "its warm-up counts from its first answer"
 
 
@@ -202,15 +202,15 @@
     s = shorten(Front(racks=1), [0.9, 0.8])
     assert not s.rack.seen
     s = shorten(Front(streamers=1), [0.9])
-    assert s.rack.limit(s.rack.seen[-1][0]) < 9000, "but with no rack mate in use nobody else tells"
+    assert s.rack.capacity(s.rack.seen[-1][0]) < 9000, "but with no rack mate in use nobody else tells"
     front = Front(racks=1)
     s = shorten(front, [0.9])
     front.share(1, 0.9)
     assert not s.rack.seen, "nor are two of four that stand still"
     front.share(2, 0.9)
-    assert s.rack.limit(front.now) < 9000, "with half of its rack mates short too, it is"
+    assert s.rack.capacity(front.now) < 9000, "with half of its rack mates short too, it is"
     front.pass_time(60 * S)
-    assert s.rack.limit(front.now) == 9000, "and it comes back"
+    assert s.rack.capacity(front.now) == 9000, "and it comes back"
 
 
 def test_a_streamer_that_delivers_nothing_is_set_aside():
@@ -260,11 +260,11 @@
     front = Front(racks=1)
     rack = front.c.streamers[0].rack
     front.use(0, uplink=0.5)
-    assert rack.asked(front.now) == 4500 and rack.limit(front.now) == 9000
+    assert rack.demand(front.now) == 4500 and rack.capacity(front.now) == 9000
     for n in (0, 1, 2):
         front.use(n, link=0.5)
     front.use(0, uplink=0.5)
-    assert rack.asked(front.now) < 4500, "the sum of the links again, once they are heard"
+    assert rack.demand(front.now) < 4500, "the sum of the links again, once they are heard"
 
 
 def test_streamers_that_never_come_back_are_forgotten_and_those_in_use_are_not():
@@ -281,7 +281,7 @@
     assert len(front.c.streamers) < 400 * 200 / 1000 * 5 and 0 in front.c.streamers and held.playbacks
     front.now += 60 * S
     front.list([line(999)])
-    assert len(front.c.streamers) <= 2 * 64 + 4 and sum(map(len, front.c.cells.values())) == len(
+    assert len(front.c.streamers) <= 2 * 64 + 4 and sum(map(len, front.c.by_cell.values())) == len(
         front.c.streamers
     )
 
@@ -336,19 +336,22 @@
     two, three = front.want("live", "match"), front.want("live", "other")
     assert two.streamer is one.streamer, "where the stream runs, though others are idle"
     assert three.streamer is not one.streamer, "another title goes by workload"
-    assert one.rung == two.rung == 3 and one.streamer.own() == 800.0 * 1.25
+    assert one.rung == two.rung == 3 and one.streamer.own_demand() == 800.0 * 1.25
     plain = Front(streamers=4)
     first = plain.want("free", "match")
     plain.play(first)
     second = plain.want("free", "match")
     assert second.streamer is not first.streamer, "what is not live goes by workload alone"
-    assert first.streamer.own() + second.streamer.own() == first.rates[first.rung] + second.rates[second.rung]
+    assert (
+        first.streamer.own_demand() + second.streamer.own_demand()
+        == first.rates[first.rung] + second.rates[second.rung]
+    )
 
 
 def test_near_ties_go_by_the_title_at_every_controller_if_it_is_live():
     fronts = [Front(streamers=8, rank=rank, controllers=6) for rank in range(6)]
     for front in fronts:
-        front.c.draws = front.d.rank  # their seeds differ in service
+        front.c.draw_count = front.d.rank  # their seeds differ in service
     chosen = {
         plan: {front.want(plan, "match", cells=8).streamer.listed.id for front in fronts}
         for plan in ("live", "free")
@@ -364,10 +367,10 @@
             front.play(pb)
         front.pass_time(4 * S)
         s = pbs[0].streamer
-        own = s.own()
+        own = s.own_demand()
         front.share(s.listed.id, 0.5)
         assert [kb for _, kb in s.heard] == ([] if told else [4000.0 - own])
-        assert front.c.typical[0] < 2000.0, "nobody told of the others"
+        assert front.c.typical_demand[0] < 2000.0, "nobody told of the others"
 
 
 def test_nobody_joins_a_stream_that_plays_under_the_floor():
@@ -387,7 +390,9 @@
         front.play(pb)
         front.end(pb, Ending.PLAYED_OUT, finished=True)
         front.pass_time(S)
-    assert len(front.c.taken) <= front.d.rules.extra_window // S + 1 and not front.c.extra
+    assert (
+        len(front.c.accepted_times) <= front.d.rules.extra_window // S + 1 and not front.c.extra_attempt_times
+    )
 
 
 def test_tries_beyond_the_first_end_with_what_the_fleet_lends_and_go_on_with_the_next_word():
@@ -417,8 +422,8 @@
     pb = front.want(title="x")
     assert pb is None and front.c.streamers[1].down == front.now, "answered at once: nobody else has it"
     front.c.limits(front.now, None, {1: True}, ())
-    assert front.c.streamers[1].down is not None and not front.c.left
-    front.c.turn = None
+    assert front.c.streamers[1].down is not None and not front.c.left_to_others
+    front.c.cold_start_turn = None
     assert {front.want(title=f"y{n}").streamer.listed.id for n in range(2)} == {0}, "1 is paced, as cold"
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,8 +51,8 @@
 
 
 def plain_fair(c, now, rack):
-    """`Controller._fair` of a whole rack as the rule is told: one step at a time, the best that is left."""
-    room = {at: c._budget(now, at, 0.0) for at in [rack, *rack.streamers]}
+    """Compute `Controller._fair_rungs` of a rack naively: at each step the best one that is left."""
+    room = {at: c._own_budget(now, at, 0.0) for at in [rack, *rack.streamers]}
     all_of = [(pb, s) for s in rack.streamers for pb in s.playbacks]
     rungs, ended, drawn = {pb: pb.plan.floor for pb, _ in all_of}, set(), set()
     for pb, at in all_of:
@@ -60,16 +60,16 @@
             room[link] -= pb.rates[pb.plan.floor]
     while room[rack] > 0:
         left = [
-            (pb.steps[rungs[pb]][0], n)
+            (pb.rung_steps[rungs[pb]][0], n)
             for n, (pb, _) in enumerate(all_of)
             if pb not in ended and rungs[pb] < pb.top
         ]
         if not left:
             break
         pb, at = all_of[min(left)[1]]
-        kb = pb.steps[rungs[pb]][1]
+        kb = pb.rung_steps[rungs[pb]][1]
         tight = rack if room[rack] < room[at] else at
-        if kb <= room[tight] or tight not in drawn and pb.luck * kb < room[tight]:
+        if kb <= room[tight] or tight not in drawn and pb.draw * kb < room[tight]:
             rungs[pb] += 1
             for link in (at, rack):
                 room[link] -= kb
@@ -90,4 +90,4 @@
         if use < 20:
             front.use(n % 6, link=use / 20, uplink=0.1 + use / 25)
         for rack in front.c.racks.values():
-            assert front.c._fair(front.now, rack) == plain_fair(front.c, front.now, rack)
+            assert front.c._fair_rungs(front.now, rack) == plain_fair(front.c, front.now, rack)
--- a/tests/test_swing.py
+++ b/tests/test_swing.py
@@ -43,11 +43,11 @@
 def test_a_newcomer_without_room_is_made_room_for_by_own_playbacks_above_their_fair_rung():
     front = Front(streamers=1)
     playing = full(front, 1.05)  # over what it gives, and not by the tenth from which what plays goes down
-    before = front.c.streamers[0].own()
+    before = front.c.streamers[0].own_demand()
     pb = front.want()
     assert pb.state is State.TRYING, "held and turned away, where own playbacks have what it needs"
     assert sum(p.rung < 3 for p in playing) == 1
-    assert front.c.streamers[0].own() <= before, "no more is asked than before"
+    assert front.c.streamers[0].own_demand() <= before, "no more is asked than before"
 
 
 def test_nobody_yields_while_there_is_room_or_to_one_who_asks_more_than_they_can_give():
@@ -67,15 +67,15 @@
     front = Front(streamers=1, controllers=8)
     playing = full(front, 1.6)
     front.pass_time(S // 10)
-    own = front.c.streamers[0].own()
+    own = front.c.streamers[0].own_demand()
     assert own < 1600
     told(front, 1.59)  # of a second ago: it tells nothing of the cut
     front.pass_time(S // 2)
-    assert front.c.streamers[0].own() == own, "cut again by what was already answered"
+    assert front.c.streamers[0].own_demand() == own, "cut again by what was already answered"
     front.pass_time(S)
     told(front, 1.58)
     front.pass_time(S // 10)
-    assert front.c.streamers[0].own() < own and any(p.rung < 3 for p in playing)
+    assert front.c.streamers[0].own_demand() < own and any(p.rung < 3 for p in playing)
 
 
 @pytest.mark.parametrize("controllers", [3, 8])
