--- a/terndrift/interface.py
+++ b/terndrift/interface.py
@@ -1,54 +1,63 @@
-"""What is handed to the decisions, and the contract of their calls.
-
-The host makes one `terndrift.decide.Controller(deployment, now)` for each front and calls it with
-what it hears, each call with the time in whole nanoseconds. Every call returns the playbacks that it
-changed, in order, and the host carries out at once what each of them now stands for:
-
-    state TRYING    set the playback up at `streamer`, at `rung`, waiting `time_out` at most; `tries`
-                    counts the set-ups so far, so a higher count than before is a new one to send
-    state PLAYING   a `rung` other than the one last told is a change of rung
-    state REJECTED  answer "not now, come back after `come_back`" (0: no advice)
-    state ABORTED   answer "failed"
-
-and nothing for HELD and ENDED. `Controller.wake_at` is when the host should call `wake` next (None:
-not needed); an early or a late call does no harm. `Controller.list_calls` counts the calls for the
-server list, from then on with its changes: higher than before, it is to be asked for. The calls:
-
-    list_changed(now, entries, whole, old)     the server list: all of it or changes; old: a cached copy
-    list_failed(now)                           what was asked for did not come, or comes no more
-    wanted(now, id, plan, title, cells, top, time_left, hint, moved, rates)    a viewer asks; the
-                                               title's holders are the streamers of these cells
-                                               (a frozenset); rates: its own ladder, kB a second,
-                                               None: the deployment's
-    holders_changed(now, id, cells)            of what is held or trying: from now on these hold it; a
-                                               try that is out goes on
-    handed_over(now, id, ..., streamer)        as `wanted`, but it plays already at that streamer
-    playing(now, id, took)                     the set-up that is out came to play
-    try_ended(now, id, ending, took, finished, streamer, report)   a set-up, or what played, is over
-    told_rung(now, id, rung)                   the rung in force of a playback handed over
-    told_share(now, streamer, share)           the share of their rates playbacks got there a while ago
-    told_use(now, id, streamer, link, uplink)  asked over given, of its link and of the uplink of its
-                                               rack (None: not told): now at the set-up of playback
-                                               `id`, later a while ago
-    viewer_left(now, id)                       nothing more is owed for it
-    peer_message(now, author, data)            from another controller of the same deployment
+"""The contract between a host and the decisions of a session front, and the data handed to them.
+
+A host (`terndrift/core`, `terndrift/adapter`) creates one `terndrift.decide.Controller(deployment, now)` for
+each front and calls it with every event that it receives. Times and durations are whole nanoseconds, rates
+kB/s. Every call returns the playbacks that it changed, in order, and the host acts at once on their states:
+
+    TRYING    send a set-up to `streamer` at `rung` and wait for `time_out` at most; `tries` counts the
+              set-ups so far, so a count higher than before means that a new one is to be sent
+    PLAYING   if `rung` differs from the one last sent, change the rung
+    REJECTED  answer "not now", to be retried after `come_back` (0: no advice)
+    ABORTED   answer "failed"
+
+HELD and ENDED need nothing. The host must call `wake` at `Controller.wake_at` (None: not needed); an early or
+a late call does no harm. `Controller.list_calls` counts the requests for the server list and its later
+changes: when it has risen, the host must request the list. The calls:
+
+    list_changed(now, entries, complete, cached)
+        the server list, all of it or changes; `cached`: a copy from before a restart
+    list_failed(now)
+        the requested list did not come, or its subscription broke off
+    wanted(now, id, plan, title, cells, top, time_left, hint, moved, rates)
+        a viewer requests a playback; the streamers of `cells`, a frozenset, hold the title; `hint`: expected
+        duration, 0: not known; `rates`: the title's own ladder, None: the deployment's
+    holders_changed(now, playback_id, cells)
+        of a playback held or in set-up: the cells that hold its title now; a set-up in progress goes on
+    handed_over(now, id, ..., streamer)
+        as `wanted`, for a playback that already plays at that streamer
+    playing(now, playback_id, took)
+        the set-up in progress succeeded
+    try_ended(now, playback_id, ending, took, finished, streamer_id, report)
+        a set-up, or what played, is over
+    told_rung(now, playback_id, rung)
+        the rung in force of a playback, as of one handed over
+    told_share(now, streamer_id, share)
+        the share of their rates that playbacks at the streamer got, `Links.lag` ago
+    told_use(now, playback_id, streamer_id, link, uplink)
+        the utilisation of a streamer's link and of its rack's uplink (None: not reported); current at the
+        set-up of the playback, `Links.lag` old if it comes later
+    viewer_left(now, playback_id)
+        nothing more is owed for the playback
+    peer_message(now, author, data)
+        a message of another controller of the same deployment
     probe_answer(now, streamer, ending, took, report)
-    among(now, controllers, turn, warm)        what a fleet settles and knows: how many controllers there
-                                               are; this one's turn at the cold pace, (rank, ranks), so
-                                               that no two have the same, or None: none now; ids of
-                                               streamers proven to have run all along since the start
-                                               that the list says
-    limits(now, extra, found, advice)          what a fleet's members together allow and found, until the next
-                                               call: tries beyond the first that may be made (None: no
-                                               limit); id of a streamer -> True: it may be tried now,
-                                               False: it errs, and others try it in turn, None: the same,
-                                               and it seems dead: it may come back cold;
-                                               ns to come back after, of which each who is rejected
-                                               gets one by his luck (none: the decisions' own)
+        the outcome of a probe
+    among(now, controllers, cold_start_turn, warm_ids)
+        what a fleet has agreed on and knows: the number of controllers; this one's turn at the cold pace,
+        (rank, ranks), so that no two have the same, or None: no turn now; ids of streamers proven to have run
+        since the start that the list gives
+    limits(now, extra_attempts, findings, advice)
+        what the members of a fleet together allow and have found, until the next call: attempts beyond the
+        first that may be made (None: no limit); id of a streamer -> True: it may be attempted now, False: it
+        errs, and other members attempt it in turn, None: as False, and it seems dead, so it may come back
+        cold; times to come back after, one of which each rejected playback gets by its random draw (none:
+        the controller's own advice)
     wake(now)
+        time has passed
 
-A `report` is a dict that may hold "streams" (run or set up there), "link" and "uplink" (asked over
-given); any may be missing or absurd. Ids that are no longer held are passed over.
+A `report` is a dict that may hold "streams" (those that run or are in set-up at the streamer), "link" and
+"uplink" (utilisation: demand over capacity). Any of them may be missing or have an absurd value. Ids that are
+not known are ignored.
 """
 
 from dataclasses import dataclass
@@ -56,10 +65,10 @@
 
 
 class State(Enum):
-    """Of a playback, as the decisions hand it back."""
+    """State of a playback as the controller returns it."""
 
-    HELD = 0  # taken, waiting for room
-    TRYING = 1  # one set-up is out
+    HELD = 0  # accepted, waiting for a placement
+    TRYING = 1  # one set-up is in progress
     PLAYING = 2
     REJECTED = 3
     ABORTED = 4
@@ -67,7 +76,10 @@
 
 
 class Standing(Enum):
-    """What the server list says of a streamer."""
+    """What the server list says of a streamer.
+
+    Member names appear in logs and command output.
+    """
 
     GONE = 0
     READY = 1
@@ -75,7 +87,10 @@
 
 
 class Ending(Enum):
-    """How a set-up, or what it began, ended; the value says whether it may have run."""
+    """How a set-up, or the playback that it started, ended.
+
+    The value is a description and whether the set-up may have run. Member names appear in logs.
+    """
 
     PLAYED_OUT = "played out", True
     ERRED = "erred", True
@@ -88,62 +103,78 @@
 
     @property
     def may_have_run(self):
+        """Whether the playback may have started at the streamer."""
         return self.value[1]
 
 
 @dataclass(frozen=True)
 class Plan:
+    """A plan that viewers play titles under; immutable, as all settings here."""
+
     name: str
-    revenue: float  # of a second at a rung of revenue 1
-    scale: float  # its rates over those of the ladder
+    revenue: float  # per second on a rung whose ladder revenue is 1
+    scale: float  # factor on the rates of the ladder
     floor: int  # lowest rung that may play
-    top: int  # highest rung that it offers
-    seats: int  # playbacks of one title a controller may hold; 0: no cap
-    startup_target: int  # time within which an answer is wanted
-    repeatable: bool  # may be set up again and rejected without harm
-    adds: float = 1.0  # part of its rate a further viewer of a title adds at a streamer and rung; 1: all
+    top: int  # highest rung offered
+    seats: int  # playbacks of one title that a controller may have at once; 0: no limit
+    startup_target: int  # ns within which an answer is wanted
+    repeatable: bool  # a set-up that may have run can be repeated or rejected without harm
+    # share of its rate that each further viewer of a title adds at one streamer and rung; 1: all of it
+    adds: float = 1.0
 
 
 @dataclass(frozen=True)
 class Ladder:
-    rates: tuple  # kB a second, rung by rung
-    revenue: tuple  # what each rung earns
-    shortfall_cost: float  # points lost for each point of the rate that is missing
-    switch_cost: int  # a change of rung while playing costs the revenue of so much time
+    """The rungs of a deployment, from the lowest."""
+
+    rates: tuple  # kB/s of each rung
+    revenue: tuple  # of each rung
+    shortfall_cost: float  # points lost for each point of the rate that is not delivered
+    switch_cost: int  # a change of rung while playing costs the revenue of so many ns
 
 
 @dataclass(frozen=True)
 class Links:
-    unit_kb: float  # link of a streamer for each unit of its weight, rough
-    uplink_kb: float  # mean uplink of a rack
-    places: dict  # kind of streamer -> playbacks it runs at most
-    lag: int  # how late shares, link and uplink figures of playing streamers are
-    refuses_from: float  # a streamer turns set-ups away from this link use on; 0: never
-    told: bool = True  # answers say what is asked of the link
+    """Capacities of links and uplinks, and how their load is reported."""
+
+    unit_kb: float  # kB/s of a streamer's link for each unit of its weight; approximate
+    uplink_kb: float  # kB/s of a rack's uplink on average
+    places: dict  # kind of streamer -> most playbacks that it runs
+    lag: int  # ns by which delivered shares and the utilisation reported while playing are out of date
+    refuses_from: float  # link utilisation from which a streamer refuses set-ups; 0: never
+    told: bool = True  # answers to set-ups report the utilisation of the link
 
 
 @dataclass(frozen=True)
 class Rules:
-    answer_slack: int
-    cold_for: int  # a started streamer is warm after this long at most
-    cold_share: float  # and starts at this share of its capacity or higher
-    fall_multiple: float  # times the cold pace
-    fall_window: int  # within so long
-    try_limit: int
-    extra_tries: int | None  # set-ups beyond the first: so many and
-    extra_share: float  # this share of the playbacks taken, in any
-    extra_window: int  # window so long; extra_tries None: no limit
-    longest_advice: int  # clients follow advice on coming back up to this; 0: none can be given
-    probes: bool
-    peers: bool
-    list_within: int = 0  # the list must be asked for, at least this often if it does not come; 0: it comes
+    """Limits that all controllers of a deployment must keep; times in ns."""
+
+    answer_slack: int  # an answer may come so long after its deadline
+    cold_for: int  # a streamer is warm this long after its start, at the latest
+    cold_share: float  # share of its capacity that it has at its start, at least
+    # most set-ups sent to a cold streamer, as a multiple of the cold pace, in any window of this length
+    fall_multiple: float
+    fall_window: int
+    try_limit: int  # most set-ups of one playback
+    # most set-ups beyond the first, over all playbacks, in any window of this length: so many and this share
+    # of the playbacks accepted in it; extra_tries None: no limit
+    extra_tries: int | None
+    extra_share: float
+    extra_window: int
+    longest_advice: int  # longest advice on coming back that clients follow; 0: no advice can be given
+    probes: bool  # controllers may probe streamers
+    peers: bool  # controllers may send each other messages
+    # the list must be requested, and again at least this often until it comes; 0: it comes unrequested
+    list_within: int = 0
 
 
 @dataclass(frozen=True)
 class Deployment:
-    seed: int
-    rank: int
-    controllers: int
+    """The settings of one controller in its deployment."""
+
+    seed: int  # of this controller's random draws
+    rank: int  # of this controller, from 0
+    controllers: int  # number of controllers
     zone: str
     plans: dict  # name -> Plan
     ladder: Ladder
@@ -153,13 +184,13 @@
 
 @dataclass(frozen=True)
 class Listed:
-    """A line of the server list."""
+    """An entry of the server list."""
 
     id: int
     kind: str
     zone: str
-    cell: int  # a playback names the cells that hold its title; one cell may have several streamers
+    cell: int  # playbacks name the cells that hold their title; several streamers may share a cell
     rack: int
     standing: Standing
-    weight: float
-    started: int  # 0: long ago
+    weight: float  # capacity of the link in units of `Links.unit_kb`
+    started: int  # time of its last start; 0: long ago
