--- a/tests/cases.py
+++ b/tests/cases.py
@@ -1,5 +1,7 @@
-"""Cases over processes of the program, each with its own controllers and network. All of a file run at once,
-as they mostly wait, as many as there is memory for; each is judged by itself."""
+"""Test cases that run a fleet of controller processes, each case with its own controllers and network.
+
+The cases of a file mostly wait, so they run concurrently, as many as memory allows; each has its own outcome.
+"""
 
 import asyncio
 import shutil
@@ -7,58 +9,62 @@
 
 from terndrift.rehearse.several import Several
 
-MOST = 45  # controllers at once: about 50 MB each
-WITHIN = 200  # s for one case once its fleet stands
+MAX_CONTROLLERS = 45  # running at once; each takes about 50 MB
+CASE_TIMEOUT_S = 200  # for one case, from when its fleet is up
 
 
-class Gate:
-    """Lets cases in while there is room for their controllers."""
+class ControllerLimit:
+    """Limits the controllers that run at once; cases wait until theirs fit in."""
 
     def __init__(self):
-        self.left, self.changed = MOST, asyncio.Event()
+        self.available, self.changed = MAX_CONTROLLERS, asyncio.Event()
 
-    async def enter(self, count):
-        while self.left < count:
+    async def acquire(self, count):
+        """Wait until so many controllers may start, and count them."""
+        while self.available < count:
             await self.changed.wait()
-        self.left -= count
+        self.available -= count
 
-    def leave(self, count):
-        self.left += count
+    def release(self, count):
+        """Give back the controllers of a case that is over."""
+        self.available += count
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class Cases(dict):
-    """name -> (what happens, controllers, voters, what else the fleet is made with)."""
+    """Decorator that registers cases: name -> (coroutine function, controllers, voters, options)."""
+
+    def __call__(self, names, voters=5, **options):
+        """Register the decorated function; `options` go to the `Several` that it is called with."""
 
-    def __call__(self, names, voters=5, **more):
         def registered(run):
-            self[run.__name__] = run, names, voters, more
+            self[run.__name__] = run, names, voters, options
             return run
 
         return registered
 
     def outcomes(self):
-        """name of a case -> None, or what it raised."""
+        """Run all cases and return name -> None, or the exception that the case raised."""
 
-        async def every():
-            gate = Gate()
-            runs = (self._one(*of, gate) for of in self.values())
-            got = await asyncio.gather(*runs, return_exceptions=True)
-            return dict(zip(self, got, strict=True))
+        async def run_all():
+            limit = ControllerLimit()
+            runs = (self._run_case(*case, limit) for case in self.values())
+            results = await asyncio.gather(*runs, return_exceptions=True)
+            return dict(zip(self, results, strict=True))
 
-        return asyncio.run(every())
+        return asyncio.run(run_all())
 
-    async def _one(self, run, names, voters, more, gate):
-        await gate.enter(len(names))
+    async def _run_case(self, run, names, voters, options, limit):
+        await limit.acquire(len(names))
         folder = tempfile.mkdtemp()
-        several = Several(folder, names, names[:voters], **more)
+        several = Several(folder, names, names[:voters], **options)
         try:
             await several.start()
             await several.begin()
             await several.until(several.settled)
-            await asyncio.wait_for(run(several), WITHIN)
+            await asyncio.wait_for(run(several), CASE_TIMEOUT_S)
         finally:
             await several.close()
-            gate.leave(len(names))
+            limit.release(len(names))
             shutil.rmtree(folder, ignore_errors=True)
