--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""The ramp of a streamer that just started holds for the sum of all controllers, each on its own list."""
+"""All controllers together keep a just started streamer within its cold pace, each with its own list."""
 
 import random
 from dataclasses import replace
@@ -8,79 +8,86 @@
 
 from terndrift.decide import Controller, State
 
-COLD, STEP, ANSWER = 100, 50 * MS, 100 * MS
+COLD_ID, STEP, SETUP_TIME = 100, 50 * MS, 100 * MS
 
 
 class Fleet:
-    """Controllers without a word between them; one streamer starts, and alone holds what all ask for.
+    """Controllers that exchange no messages; one streamer starts, the only holder of all requested titles.
 
-    `rate` playbacks a second come over all of them, `wave` more in the 4 s after the start; the list reaches
-    each up to 3 s late; `restarts` of them begin anew at some time, without memory but for what the list
-    says."""
+    The streamer starts `idle` s after the controllers. Over all controllers `rate` playbacks a second are
+    requested, and `wave` more a second in the 4 s after the start. The list reaches each controller up to 3 s
+    late. `restarts` of them restart within 6 s of the start, with no state but the list.
+    """
 
     def __init__(self, seed, size, rate, wave, restarts, idle):
         self.random, self.size, self.rate, self.wave = random.Random(seed), size, rate, wave
-        self.start, self.now, self.count, self.sends = T0 + idle * S, T0, 0, []
-        self.rules = deployment(controllers=size)
-        self.controllers = [self._made(rank) for rank in range(size)]
-        self.told = [self.start + int(self.random.random() * 3 * S) for _ in range(size)]
-        some = self.random.sample(range(size), restarts)
-        self.restarts = {rank: self.start + int(self.random.random() * 6 * S) for rank in some}
-        self.out = []  # (when it comes to play, controller, playback)
-
-    def _made(self, rank, rows=()):
-        own = replace(self.rules, rank=rank, seed=self.random.getrandbits(32))
-        controller = Controller(own, self.now)
-        controller.began_empty = bool(rows)  # a restart may be of all
-        controller.list_changed(self.now, list(rows), True, bool(rows))
+        self.start, self.now, self.requested, self.setup_times = T0 + idle * S, T0, 0, []
+        self.deployment = deployment(controllers=size)
+        self.controllers = [self._new_controller(rank) for rank in range(size)]
+        self.list_due = [self.start + int(self.random.random() * 3 * S) for _ in range(size)]
+        restarting = self.random.sample(range(size), restarts)
+        self.restarts = {rank: self.start + int(self.random.random() * 6 * S) for rank in restarting}
+        self.out = []  # set-ups in progress: (when it succeeds, rank, playback)
+
+    def _new_controller(self, rank, entries=()):
+        own_deployment = replace(self.deployment, rank=rank, seed=self.random.getrandbits(32))
+        controller = Controller(own_deployment, self.now)
+        controller.began_empty = bool(entries)  # after a restart any streamer may be new
+        controller.list_changed(self.now, list(entries), True, bool(entries))
         return controller
 
-    def play(self):
-        """Until the streamer is warm; returns when each set-up was sent to it."""
-        row = line(COLD, started=self.start)
-        while self.now < self.start + self.rules.rules.cold_for - STEP:
+    def run(self):
+        """Run until the streamer is warm and return the time of each set-up sent to it."""
+        entry = line(COLD_ID, started=self.start)
+        while self.now < self.start + self.deployment.rules.cold_for - STEP:
             self.now += STEP
             for rank in range(self.size):
                 if self.now >= self.restarts.get(rank, self.now + 1):
                     del self.restarts[rank]
-                    self.told[rank], self.controllers[rank] = 0, self._made(rank, [row])
-                elif 0 < self.told[rank] <= self.now:
-                    self.told[rank] = 0
-                    self._did(self.controllers[rank].list_changed(self.now, [row], False, False), rank)
-                self._did(self._asked(rank), rank)
+                    self.list_due[rank], self.controllers[rank] = 0, self._new_controller(rank, [entry])
+                elif 0 < self.list_due[rank] <= self.now:
+                    self.list_due[rank] = 0
+                    self._record_setups(
+                        self.controllers[rank].list_changed(self.now, [entry], False, False), rank
+                    )
+                self._record_setups(self._request_playbacks(rank), rank)
                 if (at := self.controllers[rank].wake_at) is not None and self.now >= at:
-                    self._did(self.controllers[rank].wake(self.now), rank)
-            self._answered()
-        return self.sends
+                    self._record_setups(self.controllers[rank].wake(self.now), rank)
+            self._finish_setups()
+        return self.setup_times
 
-    def _asked(self, rank):
+    def _request_playbacks(self, rank):
         wave = self.wave if self.start <= self.now < self.start + 4 * S else 0
         chance = (self.rate + wave) / self.size * STEP / S
         changed = []
         while self.random.random() < chance:
             chance -= 1
-            self.count += 1
-            id, title = f"pb{self.count}", f"t{self.count % 50}"
+            self.requested += 1
+            id, title = f"pb{self.requested}", f"t{self.requested % 50}"
             changed += self.controllers[rank].wanted(
                 self.now, id, "free", title, frozenset([0]), 3, 4 * S, 0, False
             )
         return changed
 
-    def _did(self, changed, rank):
-        for pb in changed:
-            if pb.state is State.TRYING and not any(one is pb for _, _, one in self.out):
-                self.sends.append(self.now)
-                self.out.append((self.now + ANSWER, rank, pb))
+    def _record_setups(self, changed, rank):
+        for playback in changed:
+            if playback.state is State.TRYING and not any(one is playback for _, _, one in self.out):
+                self.setup_times.append(self.now)
+                self.out.append((self.now + SETUP_TIME, rank, playback))
 
-    def _answered(self):
+    def _finish_setups(self):
         due, self.out = [o for o in self.out if o[0] <= self.now], [o for o in self.out if o[0] > self.now]
-        for _, rank, pb in due:
-            if self.controllers[rank].playbacks.get(pb.id) is pb and pb.state is State.TRYING:
-                self.controllers[rank].playing(self.now, pb.id, ANSWER)
+        for _, rank, playback in due:
+            if (
+                self.controllers[rank].playbacks.get(playback.id) is playback
+                and playback.state is State.TRYING
+            ):
+                self.controllers[rank].playing(self.now, playback.id, SETUP_TIME)
 
 
-def most_in_a_window(sends, window):
-    return max((sum(at <= t < at + window for t in sends) for at in sends), default=0)
+def most_in_a_window(setup_times, window):
+    """Return the most set-ups in any window of this length, in ns."""
+    return max((sum(start <= t < start + window for t in setup_times) for start in setup_times), default=0)
 
 
 @pytest.mark.parametrize("size", [20, 30])
@@ -94,13 +101,15 @@
     ],
     ids=["wave", "wave and restarts", "wave after thin traffic", "wave after two idle minutes"],
 )
-def test_a_cold_streamer_gets_what_the_settings_allow_and_chance_adds_from_all_together(size, load):
-    """Beyond their budget of N set-ups in a window 2 roots of N and 2 are put down to chance. N is reckoned
-    with the least warmth that the settings tell, all along."""
-    rules, worst = deployment().rules, []
+def test_set_ups_at_a_cold_streamer_stay_within_the_budget_and_its_random_spread(size, load):
+    """In a window the budget is N set-ups; 2 square roots of N and 2 more are allowed as random spread.
+
+    N is computed with the least warmth of the settings for the whole warm-up.
+    """
+    rules, most_per_seed = deployment().rules, []
     for seed in range(20):
-        worst.append(most_in_a_window(Fleet(seed, size, **load).play(), rules.fall_window))
+        most_per_seed.append(most_in_a_window(Fleet(seed, size, **load).run(), rules.fall_window))
     places = deployment().links.places["box"]
     budget = rules.fall_multiple * places * rules.cold_share * rules.fall_window / rules.cold_for
-    assert max(worst) <= budget + 2 * budget**0.5 + 2, worst
-    assert min(worst) >= 1, "it is filled at all"
+    assert max(most_per_seed) <= budget + 2 * budget**0.5 + 2, most_per_seed
+    assert min(most_per_seed) >= 1, "the streamer got no set-up"
--- a/tests/test_swing.py
+++ b/tests/test_swing.py
@@ -1,4 +1,7 @@
-"""The fleet stands still by itself: the loop of reports, cuts and newcomers in virtual time."""
+"""The feedback loop of load reports, rung changes and new playbacks doesn't oscillate.
+
+It is tested on single calls, on days in virtual time and on the report of the audit.
+"""
 
 import asyncio
 
@@ -14,7 +17,8 @@
 from terndrift.rehearse import run, virtual
 
 
-def calm(seed, controllers, lag=None, length=25):
+def run_calm_day(seed, controllers, lag=None, length=25):
+    """Run `length` s of the day calm-fleet in virtual time and return its world."""
     day = run.load("calm-fleet")
     if lag:
         day["deployment"]["links"]["lag"] = lag
@@ -23,78 +27,84 @@
     return world
 
 
-def full(front, link):
-    """Two own playbacks at the top of one streamer of 2,000 kB a second, which is then told as so full."""
+def fill(front, link):
+    """Return two playbacks placed at the top rung of a streamer of 2,000 kB/s, whose link reports `link`."""
     front.use(0, link=0.0)
     playing = [front.want(), front.want()]
-    for pb in playing:
-        front.play(pb)
-    assert [pb.rung for pb in playing] == [3, 3]
+    for playback in playing:
+        front.play(playback)
+    assert [playback.rung for playback in playing] == [3, 3]
     front.pass_time(3 * S)
-    told(front, link)
+    report_link(front, link)
     return playing
 
 
-def told(front, link):
+def report_link(front, link):
+    """Report this utilisation of the streamer's link."""
     for _ in range(2):  # the last two reports are averaged
         front.use(0, link=link)
 
 
-def test_a_newcomer_without_room_is_made_room_for_by_own_playbacks_above_their_fair_rung():
+def test_playbacks_above_their_fair_rung_are_lowered_for_a_newcomer_without_room():
     front = Front(streamers=1)
-    playing = full(front, 1.05)  # over what it gives, and not by the tenth from which what plays goes down
+    playing = fill(front, 1.05)  # over capacity, but not by the tenth that lowers rungs without a newcomer
     before = front.c.streamers[0].own_demand()
-    pb = front.want()
-    assert pb.state is State.TRYING, "held and turned away, where own playbacks have what it needs"
-    assert sum(p.rung < 3 for p in playing) == 1
-    assert front.c.streamers[0].own_demand() <= before, "no more is asked than before"
+    playback = front.want()
+    assert playback.state is State.TRYING, "not placed though own playbacks can free what it needs"
+    assert sum(other.rung < 3 for other in playing) == 1
+    assert front.c.streamers[0].own_demand() <= before, "demand must not rise"
 
 
-def test_nobody_yields_while_there_is_room_or_to_one_who_asks_more_than_they_can_give():
+def test_no_playback_is_lowered_while_there_is_room_or_when_too_little_can_be_freed():
     front = Front(streamers=1)
-    playing = full(front, 0.85)
-    assert front.want().state is State.TRYING and [p.rung for p in playing] == [3, 3]
+    playing = fill(front, 0.85)
+    assert front.want().state is State.TRYING and [other.rung for other in playing] == [3, 3]
     front = Front(streamers=1)
     front.use(0, link=0.0)
-    pb = front.want(top=0)
-    front.play(pb)
+    playback = front.want(top=0)
+    front.play(playback)
     front.pass_time(3 * S)
-    told(front, 1.05)
-    assert front.want().state is State.HELD and pb.rung == 0
+    report_link(front, 1.05)
+    assert front.want().state is State.HELD and playback.rung == 0
 
 
-def test_a_cut_waits_for_a_report_of_the_time_after_it():
+def test_a_second_cut_waits_for_a_report_from_after_the_first():
     front = Front(streamers=1, controllers=8)
-    playing = full(front, 1.6)
+    playing = fill(front, 1.6)
     front.pass_time(S // 10)
     own = front.c.streamers[0].own_demand()
     assert own < 1600
-    told(front, 1.59)  # of a second ago: it tells nothing of the cut
+    report_link(front, 1.59)  # a second old, from before the cut
     front.pass_time(S // 2)
-    assert front.c.streamers[0].own_demand() == own, "cut again by what was already answered"
+    assert front.c.streamers[0].own_demand() == own, "cut again by a report from before the cut"
     front.pass_time(S)
-    told(front, 1.58)
+    report_link(front, 1.58)
     front.pass_time(S // 10)
-    assert front.c.streamers[0].own_demand() < own and any(p.rung < 3 for p in playing)
+    assert front.c.streamers[0].own_demand() < own and any(playback.rung < 3 for playback in playing)
 
 
 @pytest.mark.parametrize("controllers", [3, 8])
-def test_no_second_of_a_calm_day_turns_most_viewers_away(controllers):
+def test_no_second_of_a_calm_day_rejects_most_viewers(controllers):
     for seed in (77, 79):
-        report = calm(seed, controllers).report()
+        report = run_calm_day(seed, controllers).report()
         assert report["swing"]["low_share"] == 0 and report["swing"]["refused_share"] < 0.01
         assert not any(report["rules"].values())
 
 
-def test_the_same_seed_gives_the_same_day_to_the_last_note():
-    one, two = calm(5, 3, length=6), calm(5, 3, length=6)
+def test_the_same_seed_gives_identical_notes():
+    one, two = run_calm_day(5, 3, length=6), run_calm_day(5, 3, length=6)
     assert len(one.notes["streamers"]) > 200
-    strip = [[{k: v for k, v in n.items() if k != "pb"} for n in w.notes["streamers"]] for w in (one, two)]
-    assert strip[0] == strip[1]
+    without_ids = [
+        [{k: v for k, v in n.items() if k != "pb"} for n in w.notes["streamers"]] for w in (one, two)
+    ]
+    assert without_ids[0] == without_ids[1]
 
 
-def second(asked, answered, *, link=1_000_000.0, playing=0, fault=()):
-    """Facts of one second: so many asked, so many of them answered, beside what plays at the top rung."""
+def facts_of_second(requested, answered, *, link=1_000_000.0, playing=0, fault=()):
+    """Facts of one second: the numbers of playbacks requested, answered and playing at the top rung.
+
+    `link` is the capacity of the only streamer in bytes per second, `fault` holds further streamer notes.
+    """
     begin, notes = 10 * S, {"viewers": [], "streamers": [*fault], "runner": []}
     notes["runner"] += [
         {
@@ -114,8 +124,8 @@
             {"what": "media", "t": begin - S, "rung": 3, "streamer": 1, "pb": f"c0~1-{n}"},
             {"what": "farewell", "t": begin + 5 * S, "streamer": 1, "pb": f"c0~1-{n}"},
         ]
-    for n in range(asked):
-        ask = {"ask": f"v{n}/1", "visit": f"v{n}"}
+    for n in range(requested):
+        request = {"ask": f"v{n}/1", "visit": f"v{n}"}
         notes["viewers"] += [
             {
                 "what": "ask",
@@ -124,22 +134,25 @@
                 "plan": "recorded",
                 "controller": "c0",
                 "until": begin + 3 * S,
-                **ask,
+                **request,
             },
-            {"what": "answer", "t": begin + S // 2, "code": 200 if n < answered else 503, **ask},
+            {"what": "answer", "t": begin + S // 2, "code": 200 if n < answered else 503, **request},
         ]
     return Facts(run.load("calm-fleet")["deployment"], notes, told_within=0.0)
 
 
-def test_a_second_is_low_only_where_all_would_have_been_carried_at_the_floor():
+def test_a_second_counts_as_low_only_if_capacity_was_enough_for_all_at_the_floor():
     def low(facts):
         return seconds.report(facts, 1)["swing"]["low_share"]
 
-    assert low(second(10, 4)) == 1.0 and low(second(10, 5)) == 0.0
-    # 10 asked and 30 playing, 25 kB a second each: a link of 1 MB carries them, one of 900 kB does not
-    assert low(second(10, 4, playing=30)) == 1.0 and low(second(10, 4, playing=30, link=900_000.0)) == 0.0
-    assert low(second(3, 0)) == 0.0, "three are chance"
-    down = {
+    assert low(facts_of_second(10, 4)) == 1.0 and low(facts_of_second(10, 5)) == 0.0
+    # 10 requested and 30 playing, 25 kB/s each: a link of 1 MB/s carries them, one of 900 kB/s does not
+    assert (
+        low(facts_of_second(10, 4, playing=30)) == 1.0
+        and low(facts_of_second(10, 4, playing=30, link=900_000.0)) == 0.0
+    )
+    assert low(facts_of_second(3, 0)) == 0.0, "three requests are too few to judge"
+    streamer_down = {
         "what": "fault",
         "t": 9 * S,
         "kind": "die",
@@ -148,16 +161,16 @@
         "size": 1.0,
         "lasts": 5 * S,
     }
-    assert low(second(10, 4, fault=[down])) == 0.0
+    assert low(facts_of_second(10, 4, fault=[streamer_down])) == 0.0
 
 
-def test_without_a_word_of_the_fleet_there_is_no_swing_to_report():
-    facts = second(4, 4)
+def test_without_notes_of_the_fleet_there_is_no_swing_report():
+    facts = facts_of_second(4, 4)
     facts.runner = []
     assert seconds.report(facts, 1) == {}
 
 
-def test_a_day_is_played_in_virtual_time_and_drawn(tmp_path):
+def test_rehearse_runs_a_day_in_virtual_time_and_plots_it(tmp_path):
     out = CliRunner().invoke(
         cli,
         [
@@ -179,13 +192,13 @@
 
 
 @in_world
-async def test_a_set_up_is_not_asked_for_on_a_connection_that_the_controller_is_closing(world):
-    """`catalogue-swap`, seed 990005 under load: a request on an idle connection that the controller closed in
-    that moment was never taken, and was judged as taken and lost."""
+async def test_a_player_does_not_send_a_request_on_a_connection_that_the_controller_is_closing(world):
+    """A request on an idle connection that the controller closed at that moment was never accepted, but the
+    audit counted it as accepted and lost (`catalogue-swap`, seed 990005, under load)."""
     player = world.player(visit="v1")
     await player.watch()
     await asyncio.sleep(0.05)
     for stream in list(world.service.server.peers):
-        stream.close()  # its end has not been read on the player's side
+        stream.close()  # the player hasn't read the end yet
     await player.ask()
     assert not [n for n in world.notes("no answer")] and world.breaks()["rules"]["answers"] == 0
