--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -44,7 +44,7 @@
         self.demand_cache = ()  # (now, at_time, demand); cleared by reports and changes of own playbacks
 
     def capacity(self, now):
-        """Estimate the uplink's capacity from recent measurements, or return the nominal one without any."""
+        """Estimate the uplink's capacity: the mean of recent measurements, or else the nominal capacity."""
         measured = fmean(kb for _, kb in self.seen) if self.seen else self.nominal_capacity
         # A fault ends unannounced, so the estimate returns to nominal by 4% a second; a jump would overload a
         # small uplink.
@@ -210,7 +210,7 @@
         # playbacks held or in set-up, in order; racks with new reports; playbacks to return from this call
         self.open, self.stale_racks, self.changed = {}, {}, {}
         self.seed_crc = zlib.crc32(b"%d:" % deployment.seed)
-        # cell -> {position in the list: streamer}; the last position given
+        # cell -> {position: streamer}, positions being in the order of first listing; the last position
         self.by_cell, self.last_position = {}, 0
         # streamer -> since when it is gone; streamer -> set-ups sent since the server list last changed
         self.gone_since, self.setup_counts = {}, {}
@@ -227,7 +227,7 @@
         # of successful set-ups; 200 ms until some are known
         self.setup_durations = deque([200 * MS], maxlen=32)
         self.playback_durations = deque(maxlen=64)
-        # the last word of the fleet, see `limits`
+        # attempts lent, retry times and excluded streamers as the fleet last said, see `limits`
         self.lent_attempts, self.fleet_advice, self.left_to_others = None, (), ()
         self.draw_count, self.typical_rate, self.wake_at, self.next_scan_at = 0, 1.0, None, 0
         # no longer than viewers pause anyway; less brings them back into the same congestion
@@ -239,7 +239,7 @@
         )
 
     def list_changed(self, now, entries, complete, cached):
-        """Apply entries of the server list, which are all of it if `complete`, changes otherwise."""
+        """Apply entries of the server list: all of it if `complete`, else changes. `cached` is not used."""
         # A streamer that joins must not get all set-ups until its count has caught up with the others.
         self.setup_counts.clear()
         self.list_retry_pause, listed_ids = 0, {entry.id for entry in entries}
@@ -490,7 +490,7 @@
     def wake(self, now, playback=None):
         """Retry or answer held playbacks, adjust rungs, set `wake_at`, and return the changed playbacks.
 
-        Everything is looked at every 50 ms; in between only `playback`, if it is held or in set-up.
+        All held playbacks and set-ups are checked every 50 ms; in between only `playback`, if it is one.
         """
         if scan_due := now >= self.next_scan_at:
             self.next_scan_at = now + 50 * MS
@@ -604,7 +604,7 @@
         for other in sorted(excess, key=excess.get, reverse=True):
             if freed < needed:
                 freed += excess[other]
-                self._set_rung(now, other, fair_rungs[other])
+                self._step(now, other, fair_rungs[other])
         room = freed if bottleneck is streamer else min(freed, streamer.capacity() - streamer.demand(now))
         return max(
             rung
@@ -757,8 +757,8 @@
         # Where playbacks are rare several ranks share a turn, up to a quarter of a playback a turn, which
         # leaves room for surges. Where the start is known, a wave of requests gives each of these ranks a
         # playback for its turn; so there are at most as many as keep it within the limit and its spread (two
-        # square roots of the limit). This guards idle controllers that a wave reaches, but could harm by
-        # filling a lone holder more slowly. A streamer only suspected to be cold is one of many choices.
+        # square roots of the limit). This guards against a wave that reaches idle controllers, but could harm
+        # by filling a lone holder more slowly. A streamer only suspected to be cold is one of many choices.
         slots_per_arrival = (
             (now - self.arrival_times[0] + 5 * SECOND)
             * window_setups
@@ -1004,8 +1004,8 @@
         """Correct the rungs of own playbacks in a rack after load or delivery reports."""
         fair_rungs, uplink_measured = self._fair_rungs(now, rack), rack.since_correction(now) < 5 * SECOND
         # Excess demand is cut. Of free room each controller takes its part by its share of the demand, then
-        # waits for new reports. A step larger than that part is taken with a probability if the uplink is
-        # measured; otherwise, with many controllers, no playback could ever rise.
+        # waits for new reports. A step larger than that part is taken with a probability, if the uplink is
+        # measured: without that none of many controllers would ever raise a rung.
         cut, room, part, ladder, lag = {}, {}, {}, self.deployment.ladder, self.deployment.links.lag
         for link in [rack, *rack.streamers]:
             demand, own_demand, capacity = link.demand(now), link.own_demand(), link.capacity(now)
@@ -1036,7 +1036,7 @@
                 kb = playback.rates[playback.rung] - playback.rates[fair_rung]
                 for link in (streamer, rack):
                     link.lowered_at, cut[link] = now if cut[link] > 0 else link.lowered_at, cut[link] - kb
-                self._set_rung(now, playback, fair_rung)
+                self._step(now, playback, fair_rung)
             # 8 s between steps keep a playback under the three changes a minute that docs/design.md allows
             elif (
                 playback.rung < fair_rung
@@ -1060,9 +1060,10 @@
                         )
                         part[streamer], part[rack] = part[streamer] - kb, part[rack] - kb
                         if probability >= 1 or uplink_measured and self._chance() < probability:
-                            self._set_rung(now, playback, rung)
+                            self._step(now, playback, rung)
                         break
 
-    def _set_rung(self, now, playback, rung):
+    def _step(self, now, playback, rung):
+        """Change the rung of a playback that plays; the host is told by the result of the call."""
         playback.rung, playback.rung_changed_at, self.changed[playback] = rung, now, None
         self._update_own_demand(now, playback.streamer)
