--- a/terndrift/deployment.py
+++ b/terndrift/deployment.py
@@ -1,4 +1,8 @@
-"""From records to what the decisions are handed: `interface.Deployment` and the titles."""
+"""Checks a parsed deployment record (`#Deployment`) and builds the controller's `interface` values from it.
+
+Called by the front service, the command line, the stand-in streamers and the rehearsals with a record that
+already matches its schema. Must not do I/O or make placement decisions.
+"""
 
 import zlib
 from dataclasses import dataclass
@@ -7,60 +11,67 @@
 
 
 class Amiss(ValueError):
-    """Records that are well formed but don't fit together; says all that is amiss, a line each."""
+    """Records that match their schema but contradict each other; the message has one line per fault."""
 
 
 @dataclass(frozen=True)
 class Title:
+    """A title of a deployment record, with its playing time rounded up to whole segments."""
+
     name: str
     plan: str
-    segments: int
+    segments: int  # number of segments
     length: int  # ns
-    holders: frozenset | None  # cells; None: every streamer listed
-
-
-def check(value):
-    """Every reference of a deployment record that leads nowhere."""
-    out, rungs = [], value["ladder"]["rates"]
-    if not rungs or len(rungs) != len(value["ladder"]["revenue"]):
-        out.append(f"ladder: {len(rungs)} rates and {len(value['ladder']['revenue'])} revenues")
-    if any(b <= a for a, b in zip(rungs, rungs[1:], strict=False)):
-        out.append("ladder.rates: not rising")
-    for name, plan in value["plans"].items():
-        if plan["floor"] >= len(rungs):
-            out.append(f"plans.{name}.floor: {plan['floor']} where the ladder has {len(rungs)} rungs")
+    holders: frozenset | None  # cells that hold it; None: every listed streamer does
+
+
+def check(record):
+    """Raises Amiss, naming all faults, if a deployment record names missing plans or contradicts itself."""
+    faults, rates = [], record["ladder"]["rates"]
+    if not rates or len(rates) != len(record["ladder"]["revenue"]):
+        faults.append(f"ladder: {len(rates)} rates, but {len(record['ladder']['revenue'])} revenues")
+    if any(rate <= previous for previous, rate in zip(rates, rates[1:], strict=False)):
+        faults.append("ladder.rates: not strictly increasing")
+    for name, plan in record["plans"].items():
+        if plan["floor"] >= len(rates):
+            faults.append(f"plans.{name}.floor: {plan['floor']}, but the ladder has {len(rates)} rungs")
         if plan["floor"] > plan["top"]:
-            out.append(f"plans.{name}: floor {plan['floor']} over top {plan['top']}")
+            faults.append(f"plans.{name}: floor {plan['floor']} is over top {plan['top']}")
         if plan["startup_target"] > plan["abandon"]:
-            out.append(f"plans.{name}: startup target after the abandon time")
-    for name, title in value["titles"].items():
-        if title["plan"] not in value["plans"]:
-            out.append(f"titles.{name}.plan: no plan '{title['plan']}'")
-    if out:
-        raise Amiss("\n".join(out))
+            faults.append(f"plans.{name}: startup_target is over abandon")
+    for name, title in record["titles"].items():
+        if title["plan"] not in record["plans"]:
+            faults.append(f"titles.{name}.plan: no plan '{title['plan']}'")
+    if faults:
+        raise Amiss("\n".join(faults))
 
 
-def plans(value):
-    top = len(value["ladder"]["rates"]) - 1
+def plans(record):
+    """Returns plan name -> `interface.Plan`, with `top` limited to the rungs of the ladder."""
+    highest_rung = len(record["ladder"]["rates"]) - 1
     return {
         name: Plan(
             name,
-            p["revenue"],
-            p["scale"],
-            p["floor"],
-            min(p["top"], top),
-            p["seats"],
-            p["startup_target"],
-            p["repeatable"],
-            p["adds"],
+            plan["revenue"],
+            plan["scale"],
+            plan["floor"],
+            min(plan["top"], highest_rung),
+            plan["seats"],
+            plan["startup_target"],
+            plan["repeatable"],
+            plan["adds"],
         )
-        for name, p in value["plans"].items()
+        for name, plan in record["plans"].items()
     }
 
 
-def made(value, controller):
-    """`value`: a deployment record, `controller`: that record of a front file."""
-    ladder, links, rules = value["ladder"], value["links"], value["rules"]
+def made(record, controller):
+    """Builds the `interface.Deployment` of one controller.
+
+    `record` is a deployment record with rates in B/s, which become kB/s here; `controller` is the record of
+    that name in a front file. Without a seed there, the seed is derived from the controller's name.
+    """
+    ladder, links, rules = record["ladder"], record["links"], record["rules"]
     seed = controller.get("seed")
     if seed is None:
         seed = zlib.crc32(controller["name"].encode())
@@ -69,9 +80,9 @@
         rank=controller["rank"],
         controllers=controller["of"],
         zone=controller["zone"],
-        plans=plans(value),
+        plans=plans(record),
         ladder=Ladder(
-            tuple(r / 1000 for r in ladder["rates"]),
+            tuple(rate / 1000 for rate in ladder["rates"]),
             tuple(ladder["revenue"]),
             ladder["shortfall_cost"],
             ladder["switch_cost"],
@@ -96,12 +107,17 @@
     )
 
 
-def titles(value):
-    segment = value["segment"]
+def titles(record):
+    """Returns title name -> `Title` for all titles of a deployment record."""
+    segment = record["segment"]  # ns
     out = {}
-    for name, t in value["titles"].items():
-        count = max(1, -(-t["seconds"] * 10**9 // segment))
+    for name, title in record["titles"].items():
+        count = max(1, -(-title["seconds"] * 10**9 // segment))
         out[name] = Title(
-            name, t["plan"], count, count * segment, frozenset(t["holders"]) if t["holders"] else None
+            name,
+            title["plan"],
+            count,
+            count * segment,
+            frozenset(title["holders"]) if title["holders"] else None,
         )
     return out
