--- a/terndrift/adapter/__init__.py
+++ b/terndrift/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: `codec` reads and writes its lines, `host` runs the instances."""
+"""Simulator adapter: `codec` parses the lines of the text protocol, `host` runs the controller instances."""
--- a/terndrift/adapter/__main__.py
+++ b/terndrift/adapter/__main__.py
@@ -1,4 +1,9 @@
-"""`python -m terndrift.adapter`: batches on standard input, replies on standard output."""
+"""Entry point of the simulator adapter, `python -m terndrift.adapter`.
+
+The simulator starts it and writes batches of events to its standard input; each batch is answered with the
+actions of the controllers on standard output. Standard output must carry nothing else; diagnostics go to
+standard error. Malformed input ends the process with status 2.
+"""
 
 import sys
 
@@ -7,44 +12,48 @@
 
 
 def serve(source, sink):
-    """Answers batches until the input ends; returns what is wrong with it, if anything."""
-    host, at = Host(), 0
+    """Answers batches read from `source` on `sink` until the input ends.
+
+    Returns None, or the error message for the line at which the input was malformed.
+    """
+    host, line_number = Host(), 0
 
     def lines():
-        """The lines of the batch in hand, up to its end."""
-        nonlocal at
+        """Yields the non-empty lines of the current batch up to its `go`."""
+        nonlocal line_number
         for line in source:
-            at += 1
+            line_number += 1
             line = line.rstrip("\r\n")
             if line == "go":
                 return
             if line:
                 yield line
-        raise codec.Malformed("the input ends within a batch")
+        raise codec.Malformed("the input ends in the middle of a batch")
 
     for line in source:
-        at += 1
+        line_number += 1
         line = line.rstrip("\r\n")
         try:
             if not line:
                 continue
-            name, f = codec.fields(line)
+            name, fields = codec.parse_line(line)
             if name != "sync":
-                raise codec.Malformed(f"'sync' expected, not '{name}'")
-            reply = host.batch(codec.whole(f, "now_ns"), lines())
-        except codec.Malformed as wrong:
-            return f"terndrift: line {at}: {wrong}"
+                raise codec.Malformed(f"expected 'sync', got '{name}'")
+            reply = host.process_batch(codec.whole(fields, "now_ns"), lines())
+        except codec.Malformed as error:
+            return f"terndrift: line {line_number}: {error}"
         sink.write("\n".join([*reply, "end", ""]))
         sink.flush()
     return None
 
 
 def main():
+    """Serves standard input and output; exits with status 2 on malformed input."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
-    wrong = serve(sys.stdin, sys.stdout)
-    if wrong:
-        print(wrong, file=sys.stderr)
+    error = serve(sys.stdin, sys.stdout)
+    if error:
+        print(error, file=sys.stderr)
         sys.exit(2)
 
 
--- a/terndrift/adapter/codec.py
+++ b/terndrift/adapter/codec.py
@@ -1,10 +1,15 @@
-"""The text wire: lines to fields and back. Knows names and forms, decides nothing."""
+"""Parser for the simulator's text protocol: one event per line, a name followed by `key=value` fields.
+
+Called by `adapter.host` and `adapter.__main__`. Translates the protocol's names and codes to those of
+`interface`; must not keep state or make placement decisions.
+"""
 
 import contextlib
 
 from terndrift.interface import Ending, Listed, Standing
-from terndrift.terms import Malformed, number, reported, text, whole
+from terndrift.terms import Malformed, read_float, read_text, reported, whole
 
+# Result code of a set-up or a probe on the wire -> Ending.
 ENDINGS = {
     "completed": Ending.PLAYED_OUT,
     "errored": Ending.ERRED,
@@ -17,49 +22,57 @@
 }
 
 
-def fields(line):
-    """A line's name and its fields."""
+def parse_line(line):
+    """Returns a line's name and its fields, a dict key -> text; raises Malformed."""
     name, _, rest = line.partition(" ")
-    out = {}
+    fields = {}
     for part in rest.split(" ") if rest else ():
-        key, eq, value = part.partition("=")
-        if not eq or not key:
-            raise Malformed(f"'{part}' is not name=value")
-        out[key] = value
-    return name, out
+        key, separator, value = part.partition("=")
+        if not separator or not key:
+            raise Malformed(f"'{part}' is not of the form name=value")
+        fields[key] = value
+    return name, fields
+
 
+def read_choice(fields, key, choices):
+    """Returns the value that `choices` has for the text `fields[key]`; raises Malformed if it has none."""
+    value = read_text(fields, key)
+    if value not in choices:
+        raise Malformed(f"'{key}={value}' is not a known value")
+    return choices[value]
 
-def one_of(f, key, table):
-    value = text(f, key)
-    if value not in table:
-        raise Malformed(f"'{key}={value}' is not known")
-    return table[value]
 
+# State of a streamer in a line of the server list -> Standing.
+STANDINGS = {str(standing.value): standing for standing in Standing}
 
-STANDINGS = {str(s.value): s for s in Standing}
 
+def parse_list_entry(line):
+    """Parses an `entry` line of the server list to a Listed; raises Malformed.
 
-def listed(line):
-    """A line of the server list; its rack follows from the cell once the settings are known."""
-    name, f = fields(line)
+    The rack is left at 0: it follows from the cell by the settings of each instance, which the caller has.
+    """
+    name, fields = parse_line(line)
     if name != "entry":
-        raise Malformed(f"'entry' expected, not '{name}'")
+        raise Malformed(f"expected 'entry', got '{name}'")
     return Listed(
-        id=whole(f, "streamer"),
-        kind=f.get("generation_hw", ""),
-        zone=f.get("az", ""),
-        cell=int(number(f, "place", 0)),
+        id=whole(fields, "streamer"),
+        kind=fields.get("generation_hw", ""),
+        zone=fields.get("az", ""),
+        cell=int(read_float(fields, "place", 0)),
         rack=0,
-        standing=one_of(f, "state", STANDINGS),
-        weight=number(f, "weight", 1),
-        started=whole(f, "online_since_ns", 0),
+        standing=read_choice(fields, "state", STANDINGS),
+        weight=read_float(fields, "weight", 1),
+        started=whole(fields, "online_since_ns", 0),
     )
 
 
-def report(f, names):
-    """The load report of an answer, by our names; values that can't be read are left out."""
-    said = {}
-    for name, value in zip(names, f.get("telemetry", "").split(","), strict=False):
+def parse_load_report(fields, report_fields):
+    """Returns the load report in an answer's fields as a dict of the names that the controller reads.
+
+    `report_fields` names the values of the report in order. Values that aren't numbers are left out.
+    """
+    values = {}
+    for name, value in zip(report_fields, fields.get("telemetry", "").split(","), strict=False):
         with contextlib.suppress(ValueError):
-            said[name] = float(value)
-    return reported(said)
+            values[name] = float(value)
+    return reported(values)
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -1,4 +1,9 @@
-"""Hosts instances of the decisions: decodes batches into calls, encodes what the calls hand back."""
+"""Runs the simulated controllers: turns batches of events into calls and the changed playbacks into actions.
+
+`adapter.__main__` hands each batch to `Host.process_batch`. Times are in ns of the simulator's clock, which
+alone counts here: no clock may be read, no decision made and no I/O done but a warning on standard error.
+The methods named in EVENT_HANDLERS have the names of the protocol's events.
+"""
 
 import base64
 import binascii
@@ -8,192 +13,235 @@
 from terndrift import terms
 from terndrift.adapter import codec
 from terndrift.decide import Controller, State
-from terndrift.terms import Malformed, number, text, whole
+from terndrift.terms import Malformed, read_float, read_text, whole
 
 
 class Instance:
-    """One controller, and what the wire has been told of its playbacks."""
+    """One controller with its settings, and the state of its playbacks as last sent to the simulator."""
 
     def __init__(self, settings, now):
         settings = terms.Read(settings)
-        self.deployment, self.report_names, self.layout = terms.deployment(settings)
-        self.unknown = settings.unknown()
+        self.deployment, self.report_fields, self.layout = terms.deployment(settings)
+        self.unknown_settings = settings.unknown()
         self.controller = Controller(self.deployment, now)
-        self.told = {}  # playback id -> [tries, rung] as last sent
-        self.list_calls = 0
-        self.ring_at = None
+        self.last_sent = {}  # playback id -> [number of attempts, rung]
+        self.list_requests_sent = 0  # value of the controller's list_calls at the last `subscribe`
+        self.timer_at = None  # ns at which the simulator's timer fires; None: no timer is set
 
     def encode(self, changed, out):
-        if self.controller.list_calls > self.list_calls:
-            self.list_calls = self.controller.list_calls
+        """Appends to `out` the actions that are due for the playbacks that a call has changed.
+
+        Only differences from what was last sent become actions. Rejected and failed playbacks are forgotten
+        afterwards, as nothing more is sent for them.
+        """
+        if self.controller.list_calls > self.list_requests_sent:
+            self.list_requests_sent = self.controller.list_calls
             out.append("subscribe on=1")
-        for pb in changed:
-            told = self.told.setdefault(pb.id, [0, pb.plan.floor])
-            if pb.state in (State.TRYING, State.PLAYING) and pb.rung != told[1]:
-                out.append(f"quality corr={pb.id} tier_no={pb.rung}")
-                told[1] = pb.rung
-            if pb.state is State.TRYING and pb.tries > told[0]:
-                out.append(f"relay corr={pb.id} streamer={pb.streamer.listed.id} allow_for_ns={pb.time_out}")
-                told[0] = pb.tries
-            elif pb.state is State.REJECTED:
-                advice = f" hold_off_ns={pb.come_back}" if pb.come_back else ""
-                out.append(f"not_now corr={pb.id}{advice}")
-                self.told.pop(pb.id)
-            elif pb.state is State.ABORTED:
-                out.append(f"respond_error corr={pb.id}")
-                self.told.pop(pb.id)
+        for playback in changed:
+            sent = self.last_sent.setdefault(playback.id, [0, playback.plan.floor])
+            if playback.state in (State.TRYING, State.PLAYING) and playback.rung != sent[1]:
+                out.append(f"quality corr={playback.id} tier_no={playback.rung}")
+                sent[1] = playback.rung
+            if playback.state is State.TRYING and playback.tries > sent[0]:
+                out.append(
+                    f"relay corr={playback.id} streamer={playback.streamer.listed.id} "
+                    f"allow_for_ns={playback.time_out}"
+                )
+                sent[0] = playback.tries
+            elif playback.state is State.REJECTED:
+                advice = f" hold_off_ns={playback.come_back}" if playback.come_back else ""
+                out.append(f"not_now corr={playback.id}{advice}")
+                self.last_sent.pop(playback.id)
+            elif playback.state is State.ABORTED:
+                out.append(f"respond_error corr={playback.id}")
+                self.last_sent.pop(playback.id)
 
 
 class Host:
+    """All instances of one simulation, and the server lists that they are sent by number."""
+
     def __init__(self):
-        self.instances = {}
-        self.lists = {}  # number -> entries
-        self.said = False
-
-    def batch(self, now, lines):
-        """The reply to one batch; `lines` yields the lines between its clock and its end."""
-        actions = {}  # instance -> its lines
-        who, inst = None, None
+        self.instances = {}  # instance number -> Instance
+        self.lists = {}  # list number -> entries
+        self.unknown_settings_reported = False
+
+    def process_batch(self, now, lines):
+        """Returns the lines that answer one batch; raises Malformed.
+
+        `now` is the batch's time in ns, `lines` yields its lines after `sync` and before `go`. An exception
+        in a controller is answered with a `die` action of its instance, so that the simulator reports it.
+        """
+        actions = {}  # instance number -> lines of the reply
+        instance_id, instance = None, None
         for line in lines:
-            name, f = codec.fields(line)
+            name, fields = codec.parse_line(line)
             if name == "switch_to":
-                who = whole(f, "who")
-                inst = self.instances.get(who)
+                instance_id = whole(fields, "who")
+                instance = self.instances.get(instance_id)
             elif name == "directory":
-                table, count = whole(f, "table"), whole(f, "lines")
-                self.lists[table] = [codec.listed(next(lines, "")) for _ in range(count)]
-            elif who is None:
-                raise Malformed(f"'{name}' before any 'switch_to'")
+                table, count = whole(fields, "table"), whole(fields, "lines")
+                self.lists[table] = [codec.parse_list_entry(next(lines, "")) for _ in range(count)]
+            elif instance_id is None:
+                raise Malformed(f"'{name}' comes before any 'switch_to'")
             elif name == "enlist":
-                inst = self.instances[who] = Instance(f, now)
-                if inst.unknown and not self.said:  # once: all instances of a deployment are told the same
-                    self.said = True
-                    print("terndrift: settings not known:", *inst.unknown, file=sys.stderr)
+                instance = self.instances[instance_id] = Instance(fields, now)
+                # reported once, as all instances of a deployment get the same settings
+                if instance.unknown_settings and not self.unknown_settings_reported:
+                    self.unknown_settings_reported = True
+                    print("terndrift: settings not known:", *instance.unknown_settings, file=sys.stderr)
             elif name == "crash_now":
-                inst = None
-                self.instances.pop(who, None)
-                actions.pop(who, None)
-            elif name not in CALLS:
-                raise Malformed(f"'{name}' is not known")
-            elif inst is None:
-                continue  # nothing more is owed for an instance that has stopped
+                instance = None
+                self.instances.pop(instance_id, None)
+                actions.pop(instance_id, None)
+            elif name not in EVENT_HANDLERS:
+                raise Malformed(f"unknown event '{name}'")
+            elif instance is None:
+                continue  # a stopped instance has nothing to answer
             else:
-                out = actions.setdefault(who, [])
+                out = actions.setdefault(instance_id, [])
                 try:
-                    inst.encode(CALLS[name](self, inst, now, f), out)
+                    instance.encode(EVENT_HANDLERS[name](self, instance, now, fields), out)
                 except Malformed:
                     raise
-                except Exception as fault:  # reported on the wire, never swallowed
-                    out.append(f"die reason_text={type(fault).__name__}: {fault}".replace("\n", " "))
+                except Exception as error:  # sent to the simulator, so that no fault goes unnoticed
+                    out.append(f"die reason_text={type(error).__name__}: {error}".replace("\n", " "))
         reply = []
-        for who, out in actions.items():
-            inst = self.instances[who]
-            at = inst.controller.wake_at
-            if at is not None and (inst.ring_at is None or at < inst.ring_at or inst.ring_at <= now):
-                inst.ring_at = max(at, now + 1)
-                out.append(f"sleep in_ns={inst.ring_at - now} handle={inst.ring_at}")
+        for instance_id, out in actions.items():
+            instance = self.instances[instance_id]
+            wake_at = instance.controller.wake_at
+            if wake_at is not None and (
+                instance.timer_at is None or wake_at < instance.timer_at or instance.timer_at <= now
+            ):
+                instance.timer_at = max(wake_at, now + 1)
+                out.append(f"sleep in_ns={instance.timer_at - now} handle={instance.timer_at}")
             if out:
-                reply.append(f"instance who={who}")
+                reply.append(f"instance who={instance_id}")
                 reply += out
         return reply
 
-    def endpoints(self, inst, now, f):
-        how = whole(f, "how")
+    def endpoints(self, instance, now, fields):
+        """Handles a server list: `how` 0 is a change, 1 a whole list, 2 a cached whole list, 3 a failure."""
+        how = whole(fields, "how")
         if how == 3:
-            return inst.controller.list_failed(now)
+            return instance.controller.list_failed(now)
         if how not in (0, 1, 2):
-            raise Malformed(f"'how={how}' is not known")
-        table = whole(f, "table")
+            raise Malformed(f"'how={how}' is not a known value")
+        table = whole(fields, "table")
         if table not in self.lists:
-            raise Malformed(f"no directory {table}")
-        entries = [replace(e, rack=inst.layout.rack(e.cell)) for e in self.lists[table]]
-        return inst.controller.list_changed(now, entries, how != 0, how == 2)
-
-    def asked(self, inst, now, f):
-        plan = text(f, "qos")
-        if plan not in inst.deployment.plans:
-            raise Malformed(f"'qos={plan}' is not known")
-        marks = whole(f, "opts", 0)
-        row = inst.deployment.plans[plan]
-        top = min(int(number(f, "top", 1e9)), row.top, len(inst.deployment.ladder.rates) - 1)
-        first = int(number(f, "start_cell", 0))
+            raise Malformed(f"unknown directory {table}")
+        entries = [replace(entry, rack=instance.layout.rack(entry.cell)) for entry in self.lists[table]]
+        return instance.controller.list_changed(now, entries, how != 0, how == 2)
+
+    def playback_request(self, instance, now, fields):
+        """Returns the keyword arguments of `Controller.wanted` for a request's fields; raises Malformed.
+
+        `opts` is a bit set: with 1, `work_ns` is an estimate of the playing time in ns; with 8, the viewer
+        was moved here.
+        """
+        plan_name = read_text(fields, "qos")
+        if plan_name not in instance.deployment.plans:
+            raise Malformed(f"'qos={plan_name}' is not a known value")
+        options = whole(fields, "opts", 0)
+        plan = instance.deployment.plans[plan_name]
+        top = min(int(read_float(fields, "top", 1e9)), plan.top, len(instance.deployment.ladder.rates) - 1)
+        first_cell = int(read_float(fields, "start_cell", 0))
         return dict(
-            id=text(f, "corr"),
-            plan=plan,
-            title=f.get("title", ""),
-            cells=inst.layout.holders(first, int(number(f, "spread", 0))),
+            id=read_text(fields, "corr"),
+            plan=plan_name,
+            title=fields.get("title", ""),
+            cells=instance.layout.holders(first_cell, int(read_float(fields, "spread", 0))),
             top=top,
-            time_left=whole(f, "expires_in_ns"),
-            hint=whole(f, "work_ns", 0) if marks & 1 else 0,
-            moved=bool(marks & 8),
+            time_left=whole(fields, "expires_in_ns"),
+            hint=whole(fields, "work_ns", 0) if options & 1 else 0,
+            moved=bool(options & 8),
         )
 
-    def new_request(self, inst, now, f):
-        return inst.controller.wanted(now, **self.asked(inst, now, f))
+    def new_request(self, instance, now, fields):
+        """Handles a viewer's request for a playback."""
+        return instance.controller.wanted(now, **self.playback_request(instance, now, fields))
 
-    def existing(self, inst, now, f):
-        asked = self.asked(inst, now, f)
-        # its rung is told by a note; until then nothing is to be sent of it
-        inst.told[asked["id"]] = [1, inst.deployment.plans[asked["plan"]].floor]
-        return inst.controller.handed_over(now, **asked, streamer=whole(f, "streamer"))
+    def existing(self, instance, now, fields):
+        """Handles a playback that is handed over while it plays at a streamer."""
+        request = self.playback_request(instance, now, fields)
+        # A status note tells its rung; until then it counts as sent with the plan's floor, so that no
+        # action goes out for it.
+        instance.last_sent[request["id"]] = [1, instance.deployment.plans[request["plan"]].floor]
+        return instance.controller.handed_over(now, **request, streamer=whole(fields, "streamer"))
 
-    def accepted(self, inst, now, f):
-        return inst.controller.playing(now, text(f, "corr"), whole(f, "took_ns", 0))
+    def accepted(self, instance, now, fields):
+        """Handles a set-up that succeeded: the playback plays; `took_ns` is how long the set-up took."""
+        return instance.controller.playing(now, read_text(fields, "corr"), whole(fields, "took_ns", 0))
 
-    def done(self, inst, now, f):
-        id, finished = text(f, "corr"), f.get("settled") == "1"
-        ending = codec.one_of(f, "rc", codec.ENDINGS)
+    def done(self, instance, now, fields):
+        """Handles the end of a set-up or a playback; with `settled=1` no attempt follows."""
+        id, finished = read_text(fields, "corr"), fields.get("settled") == "1"
+        ending = codec.read_choice(fields, "rc", codec.ENDINGS)
         if finished:
-            inst.told.pop(id, None)
-        return inst.controller.try_ended(
+            instance.last_sent.pop(id, None)
+        return instance.controller.try_ended(
             now,
             id,
             ending,
-            whole(f, "took_ns", 0),
+            whole(fields, "took_ns", 0),
             finished,
-            whole(f, "streamer"),
-            codec.report(f, inst.report_names),
+            whole(fields, "streamer"),
+            codec.parse_load_report(fields, instance.report_fields),
         )
 
-    def gone(self, inst, now, f):
-        return inst.controller.viewer_left(now, text(f, "corr"))
+    def gone(self, instance, now, fields):
+        """Handles a viewer that left: nothing more is sent for it."""
+        return instance.controller.viewer_left(now, read_text(fields, "corr"))
 
-    def ring(self, inst, now, f):
-        if whole(f, "handle") == inst.ring_at:
-            inst.ring_at = None
-        return inst.controller.wake(now)
+    def ring(self, instance, now, fields):
+        """Handles an expired timer; one that has been replaced meanwhile wakes the controller too."""
+        if whole(fields, "handle") == instance.timer_at:
+            instance.timer_at = None
+        return instance.controller.wake(now)
 
-    def status_note(self, inst, now, f):
-        id, streamer, sort, x = text(f, "corr"), whole(f, "streamer"), whole(f, "sort"), number(f, "x")
-        c = inst.controller
+    def status_note(self, instance, now, fields):
+        """Handles a figure about a playback or a streamer, by its `sort`; unknown sorts are ignored.
+
+        1: share of their rates that playbacks got at the streamer; 2: rung in force of a playback handed
+        over; 3 and 4: utilisation of the streamer's link and of its rack's uplink.
+        """
+        id, streamer, sort, value = (
+            read_text(fields, "corr"),
+            whole(fields, "streamer"),
+            whole(fields, "sort"),
+            read_float(fields, "x"),
+        )
+        controller = instance.controller
         if sort == 1:
-            return c.told_share(now, streamer, x)
+            return controller.told_share(now, streamer, value)
         if sort == 2:
-            if id in inst.told:
-                inst.told[id][1] = int(x)
-            return c.told_rung(now, id, int(x))
+            if id in instance.last_sent:
+                instance.last_sent[id][1] = int(value)
+            return controller.told_rung(now, id, int(value))
         if sort in (3, 4):
-            return c.told_use(now, id, streamer, *((x, None) if sort == 3 else (None, x)))
+            return controller.told_use(now, id, streamer, *((value, None) if sort == 3 else (None, value)))
         return []
 
-    def memo(self, inst, now, f):
+    def memo(self, instance, now, fields):
+        """Handles a message from another controller; one that is not valid base64 is dropped."""
         try:
-            data = base64.b64decode(f.get("octets", "-").replace("-", ""), validate=True)
+            data = base64.b64decode(fields.get("octets", "-").replace("-", ""), validate=True)
         except binascii.Error:
-            return []  # cut short on the way
-        return inst.controller.peer_message(now, whole(f, "author"), data)
+            return []  # truncated in transit
+        return instance.controller.peer_message(now, whole(fields, "author"), data)
 
-    def echo(self, inst, now, f):
-        return inst.controller.probe_answer(
+    def echo(self, instance, now, fields):
+        """Handles the result of a probe."""
+        return instance.controller.probe_answer(
             now,
-            whole(f, "streamer"),
-            codec.one_of(f, "rc", codec.ENDINGS),
-            whole(f, "took_ns", 0),
-            codec.report(f, inst.report_names),
+            whole(fields, "streamer"),
+            codec.read_choice(fields, "rc", codec.ENDINGS),
+            whole(fields, "took_ns", 0),
+            codec.parse_load_report(fields, instance.report_fields),
         )
 
 
-CALLS = {
+# Event name on the wire -> method that handles it and returns the playbacks that changed.
+EVENT_HANDLERS = {
     name: getattr(Host, name)
     for name in (
         "endpoints",
--- a/terndrift/terms.py
+++ b/terndrift/terms.py
@@ -1,8 +1,11 @@
-"""The operators' settings of a deployment, as the simulator and the platform both hand them out.
+"""Reads the operators' settings of a deployment and builds the controller's `interface.Deployment`.
 
-One object, flat here: path -> text, `profiles.0.name` and the like; a list of plain values is joined with
-commas, a list of objects has its length under `.count` (WIRE, "The settings"). Reads them into what the
-decisions are handed; decides nothing and needs the standard library alone.
+The simulator and the platform hand out the same settings object. It is read here in its flat form, a dict
+path -> text with paths such as `profiles.0.name`: a list of plain values is joined with commas, the length
+of a list of objects is under `.count` (WIRE, "The settings").
+
+Called by `adapter.host` for each simulated controller and by `platform.settings` at start-up. Must not make
+placement decisions, do I/O or import anything beyond the standard library and `terndrift.interface`.
 """
 
 from dataclasses import dataclass
@@ -11,34 +14,46 @@
 
 
 class Malformed(Exception):
-    """Something that can't be read; the text says what is wrong with it."""
+    """Input that can't be parsed; the message names the setting or field and what is wrong with it."""
+
 
+# Field of a load report -> name of the value in `interface`. Where several fields of a report give one value,
+# the last of them in this dict wins: `cpu` is the demand over the capacity of the link too, but capped at 1.
+REPORT_VALUE_NAMES = {"active": "streams", "cpu": "link", "x0": "link", "x1": "uplink"}
 
-# Values of a load report, by our names. Of two that say the same the later one here holds: `cpu` is what is
-# asked of the link too, but 1 at most.
-REPORTED = {"active": "streams", "cpu": "link", "x0": "link", "x1": "uplink"}
 
+def reported(values):
+    """Translates a load report, field name -> number, to the value names that the controller reads.
 
-def reported(said):
-    """name -> number, as a load report has it, by our names."""
-    return {ours: said[name] for name, ours in REPORTED.items() if name in said}
+    Fields that the controller doesn't use are left out.
+    """
+    return {ours: values[name] for name, ours in REPORT_VALUE_NAMES.items() if name in values}
 
 
-def whole(f, key, default=None, least=None, most=None):
-    """A whole number from `least` to `most`; raises Malformed, which names the key."""
-    value = f.get(key, default)
+def whole(fields, key, default=None, minimum=None, maximum=None):
+    """Returns `fields[key]` as an int from `minimum` to `maximum`.
+
+    `default` stands in for a missing key. Raises Malformed, naming the key, if the value is missing without a
+    default, no integer or out of range.
+    """
+    value = fields.get(key, default)
     if value is None:
         raise Malformed(f"'{key}' is missing")
     try:
-        value = int(value) if not str(value).endswith(".0") else int(str(value)[:-2])  # as JSON may have it
+        # JSON writers may write an integer as 7.0
+        value = int(value) if not str(value).endswith(".0") else int(str(value)[:-2])
     except ValueError:
-        raise Malformed(f"'{key}={str(value)[:40]}' is not a whole number") from None
-    return _bounded(key, value, least, most)
+        raise Malformed(f"'{key}={str(value)[:40]}' is not an integer") from None
+    return _check_bounds(key, value, minimum, maximum)
+
 
+def read_float(fields, key, default=None, minimum=None, maximum=None):
+    """Returns `fields[key]` as a finite float from `minimum` to `maximum`.
 
-def number(f, key, default=None, least=None, most=None):
-    """A finite number from `least` to `most`; raises Malformed, which names the key."""
-    value = f.get(key, default)
+    `default` stands in for a missing key. Raises Malformed, naming the key, if the value is missing without a
+    default, no finite number or out of range.
+    """
+    value = fields.get(key, default)
     if value is None:
         raise Malformed(f"'{key}' is missing")
     try:
@@ -47,37 +62,43 @@
         raise Malformed(f"'{key}={str(value)[:40]}' is not a number") from None
     if value != value or value in (float("inf"), float("-inf")):
         raise Malformed(f"'{key}' is not a finite number")
-    return _bounded(key, value, least, most)
+    return _check_bounds(key, value, minimum, maximum)
 
 
-def _bounded(key, value, least, most):
-    if least is not None and value < least:
-        raise Malformed(f"'{key}={value}' is under {least}")
-    if most is not None and value > most:
-        raise Malformed(f"'{key}={value}' is over {most}")
+def _check_bounds(key, value, minimum, maximum):
+    if minimum is not None and value < minimum:
+        raise Malformed(f"'{key}={value}' is under {minimum}")
+    if maximum is not None and value > maximum:
+        raise Malformed(f"'{key}={value}' is over {maximum}")
     return value
 
 
-def text(f, key):
-    value = f.get(key)
+def read_text(fields, key):
+    """Returns `fields[key]`; raises Malformed if it is missing."""
+    value = fields.get(key)
     if value is None:
         raise Malformed(f"'{key}' is missing")
     return value
 
 
-def numbers(f, key, count=None, default=0.0, least=None, most=None):
-    """A list of plain numbers; with `count` there are so many, or none, which makes them all `default`."""
-    parts = [p for p in f.get(key, "").split(",") if p != ""]
-    out = [number({key: p}, key, None, least, most) for p in parts]
+def read_floats(fields, key, count=None, default=0.0, minimum=None, maximum=None):
+    """Returns the comma-separated list `fields[key]` as floats, each from `minimum` to `maximum`.
+
+    With `count` the list must have that many values; if it is missing or empty, all of them are `default`.
+    Raises Malformed, naming the key.
+    """
+    parts = [part for part in fields.get(key, "").split(",") if part != ""]
+    out = [read_float({key: part}, key, None, minimum, maximum) for part in parts]
     if count is None or len(out) == count:
         return out
     if out:
-        raise Malformed(f"'{key}' has {len(out)} values where there are {count}")
+        raise Malformed(f"'{key}' has {len(out)} values, expected {count}")
     return [default] * count
 
 
-# Names that the pages have (WIRE, "The settings") and that nothing here needs, or not always; * is any place.
-UNNEEDED = frozenset(
+# Settings that are documented (WIRE, "The settings") and either never read or read only by some hosts or for
+# some values of other settings: they are not reported as unknown. `*` stands for any list index.
+IGNORED_SETTINGS = frozenset(
     [
         "areas",
         "counted_by",
@@ -133,45 +154,53 @@
 
 
 class Read(dict):
-    """Settings that keep in mind which of them were asked for."""
+    """Flat settings that record which keys were read, so that misspelt ones can be reported."""
 
-    def __init__(self, f):
-        super().__init__(f)
-        self.used = set()
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.read_keys = set()
 
     def get(self, key, default=None):
-        self.used.add(key)
+        """Works as `dict.get` and marks the key as read."""
+        self.read_keys.add(key)
         return super().get(key, default)
 
     def unknown(self):
-        """Names that nothing asked for and no page has: misspelt ones show up here."""
+        """Returns the sorted names of settings that are neither read so far nor documented.
+
+        To be called once everything is read. List indexes are replaced by `*`.
+        """
         return sorted(
             {
                 ".".join("*" if part.isdecimal() else part for part in key.split("."))
-                for key in self.keys() - self.used
+                for key in self.keys() - self.read_keys
             }
-            - UNNEEDED
+            - IGNORED_SETTINGS
         )
 
 
 def flat(value, path="", out=None):
-    """The same object nested, as JSON has it, brought into the flat form."""
+    """Flattens nested settings, as parsed from JSON, to the dict path -> text that this module reads.
+
+    `path` is the prefix of all paths; entries are added to `out` if it is given. None values are left out.
+    """
     out = {} if out is None else out
     if isinstance(value, dict):
         for key, part in value.items():
             flat(part, f"{path}.{key}" if path else key, out)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
         out[f"{path}.count"] = str(len(value))
-        for n, part in enumerate(value):
-            flat(part, f"{path}.{n}", out)
+        for index, part in enumerate(value):
+            flat(part, f"{path}.{index}", out)
     elif isinstance(value, list):
-        out[path] = ",".join(_plain(part) for part in value)
+        out[path] = ",".join(_flat_text(part) for part in value)
     elif value is not None:
-        out[path] = _plain(value)
+        out[path] = _flat_text(value)
     return out
 
 
-def _plain(value):
+def _flat_text(value):
+    """Spaces and commas separate fields and list values in the flat form, so they become underscores."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return value.replace(" ", "_").replace(",", "_") if isinstance(value, str) else str(value)
@@ -179,122 +208,154 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """How many cells and racks there are: which cells hold a title, and which rack a cell stands in."""
+    """Distribution of titles over cells and of cells over racks.
+
+    Cells are numbered from 0; a cell is the group of streamers that hold the same titles.
+    """
 
-    cells: int
-    racks: int
+    cells: int  # number of cells
+    racks: int  # number of racks
 
     def holders(self, first, count):
-        return frozenset((first + j) % self.cells for j in range(count))
+        """Returns the cells that hold a title: `count` consecutive ones from `first`, wrapping around."""
+        return frozenset((first + offset) % self.cells for offset in range(count))
 
     def rack(self, cell):
+        """Returns the number of the rack that `cell` is in."""
         return cell % self.racks
 
 
-def _count(f, key):
-    """How many objects a list holds; a bound, as each is then looked for."""
-    return whole(f, key + ".count", 0, 0, 1000)
+def _object_count(settings, key):
+    """Returns the length of a list of objects.
 
+    Limited to 1000, as the keys of each object are looked up afterwards.
+    """
+    return whole(settings, key + ".count", 0, 0, 1000)
 
-def deadlines(f):
-    """Plan -> ns after which its viewers give up at the latest."""
+
+def deadlines(settings):
+    """Returns plan name -> ns after which the plan's viewers stop waiting for an answer (0 if not set).
+
+    Raises Malformed.
+    """
     return {
-        text(f, f"profiles.{n}.name"): whole(f, f"profiles.{n}.deadline_ns", 0, 0)
-        for n in range(_count(f, "profiles"))
+        read_text(settings, f"profiles.{index}.name"): whole(settings, f"profiles.{index}.deadline_ns", 0, 0)
+        for index in range(_object_count(settings, "profiles"))
     }
 
 
-def _plans(f, rungs):
-    count = _count(f, "profiles")
-    names = [text(f, f"profiles.{n}.name") for n in range(count)]
-    floors = numbers(f, "family_info.lowest_rung", count, 0, 0, rungs - 1)
-    seats = numbers(f, "family_info.class_seats", count, 0, 0)
-    scales = numbers(f, "family_info.scale_by_class", count, 1.0, 1e-6, 1e6)
-    tops = numbers(f, "family_info.top_by_class", count, 1e9, 0)
-    live = f.get("family_info.class_live", "").split(",")
+def _read_plans(settings, rung_count):
+    count = _object_count(settings, "profiles")
+    names = [read_text(settings, f"profiles.{index}.name") for index in range(count)]
+    floors = read_floats(settings, "family_info.lowest_rung", count, 0, 0, rung_count - 1)
+    seats = read_floats(settings, "family_info.class_seats", count, 0, 0)
+    scales = read_floats(settings, "family_info.scale_by_class", count, 1.0, 1e-6, 1e6)
+    tops = read_floats(settings, "family_info.top_by_class", count, 1e9, 0)
+    live = settings.get("family_info.class_live", "").split(",")
     if live != [""] and len(live) != count:
-        raise Malformed(f"'family_info.class_live' has {len(live)} values where there are {count}")
-    adds = number(f, "family_info.shared_adds", 1, 1e-6, 1)
+        raise Malformed(f"'family_info.class_live' has {len(live)} values, expected {count}")
+    shared_adds = read_float(settings, "family_info.shared_adds", 1, 1e-6, 1)
     plans = {}
-    for n in range(count):
-        key, name = f"profiles.{n}.", names[n]
+    for index in range(count):
+        prefix, name = f"profiles.{index}.", names[index]
         if name in plans:
-            raise Malformed(f"'{key}name={name}' comes twice")
-        if floors[n] > tops[n]:
-            raise Malformed(f"'family_info.lowest_rung' of {name} is {floors[n]:g}, its highest {tops[n]:g}")
-        target, abandon = whole(f, key + "slo_ns", 0, 0), whole(f, key + "deadline_ns", 0, 0)
-        if abandon and target > abandon:
-            raise Malformed(f"'{key}slo_ns={target}' is over '{key}deadline_ns={abandon}'")
+            raise Malformed(f"'{prefix}name={name}' appears twice")
+        if floors[index] > tops[index]:
+            raise Malformed(
+                f"'family_info.lowest_rung' of {name} is {floors[index]:g}, "
+                f"over its highest rung {tops[index]:g}"
+            )
+        target, deadline = (
+            whole(settings, prefix + "slo_ns", 0, 0),
+            whole(settings, prefix + "deadline_ns", 0, 0),
+        )
+        if deadline and target > deadline:
+            raise Malformed(f"'{prefix}slo_ns={target}' is over '{prefix}deadline_ns={deadline}'")
         plans[name] = Plan(
             name=name,
-            revenue=number(f, key + "worth", 1, 0),
-            scale=scales[n],
-            floor=int(floors[n]),
-            top=int(tops[n]),
-            seats=int(seats[n]),
-            startup_target=target or abandon,
-            # any other effect is taken as paid at set-up, the strictest: also one that is not known here
-            repeatable=f.get(key + "effect") == "idempotent",
-            adds=adds if live[min(n, len(live) - 1)] in ("true", "1") else 1.0,
+            revenue=read_float(settings, prefix + "worth", 1, 0),
+            scale=scales[index],
+            floor=int(floors[index]),
+            top=int(tops[index]),
+            seats=int(seats[index]),
+            startup_target=target or deadline,
+            # any other effect, also an unknown one, is treated as charged at set-up: the strictest reading
+            repeatable=settings.get(prefix + "effect") == "idempotent",
+            adds=shared_adds if live[min(index, len(live) - 1)] in ("true", "1") else 1.0,
         )
     return plans
 
 
-def _ladder(f):
-    rates = tuple(numbers(f, "family_info.rung_kb", None, 0, 1e-6))
+def _read_ladder(settings):
+    rates = tuple(read_floats(settings, "family_info.rung_kb", None, 0, 1e-6))
     if not rates:
         raise Malformed("'family_info.rung_kb' is missing")
-    if any(b <= a for a, b in zip(rates, rates[1:], strict=False)):
-        raise Malformed("'family_info.rung_kb' does not rise")
+    if any(rate <= previous for previous, rate in zip(rates, rates[1:], strict=False)):
+        raise Malformed("'family_info.rung_kb' is not strictly increasing")
     return Ladder(
         rates=rates,
-        revenue=tuple(numbers(f, "family_info.worth_by_rung", len(rates), 1.0, 0)),
-        shortfall_cost=number(f, "family_info.shortfall_cost", 0, 0),
-        switch_cost=int(number(f, "family_info.switch_cost_s", 0, 0, 1e6) * 1e9),
+        revenue=tuple(read_floats(settings, "family_info.worth_by_rung", len(rates), 1.0, 0)),
+        shortfall_cost=read_float(settings, "family_info.shortfall_cost", 0, 0),
+        switch_cost=int(read_float(settings, "family_info.switch_cost_s", 0, 0, 1e6) * 1e9),
     )
 
 
-def deployment(f):
-    """What the decisions are handed, names of a load report's values, the layout; raises Malformed."""
-    ladder = _ladder(f)
-    kinds = [k for k in f.get("host_types", "").split(",") if k]
-    fields = f.get("load_report.fields", "").split(",")
-    extra, share = number(f, "rules.free_resends", -1), number(f, "rules.repeat_ratio", 0, 0)
-    asked = f.get("registry_mode") == "subscribe"
-    allows = {k: f.get("ceilings." + k) in ("true", "1") for k in ("retry_after", "probes", "peer_messages")}
-    controllers = whole(f, "replicas_of_me", 1, 1)
-    places = numbers(f, "family_info.places_by_kind", len(kinds), 0, 0)
-    made = Deployment(
-        seed=whole(f, "seed", 0),
-        rank=whole(f, "rank", 0, 0, controllers - 1),
+def deployment(settings):
+    """Builds what a controller needs from flat settings; raises Malformed, naming the setting.
+
+    Returns (`interface.Deployment`, names of the fields of a load report in order, `Layout`).
+    """
+    ladder = _read_ladder(settings)
+    kinds = [kind for kind in settings.get("host_types", "").split(",") if kind]
+    report_fields = settings.get("load_report.fields", "").split(",")
+    extra, share = (
+        read_float(settings, "rules.free_resends", -1),
+        read_float(settings, "rules.repeat_ratio", 0, 0),
+    )
+    list_on_request = settings.get("registry_mode") == "subscribe"
+    allowed = {
+        feature: settings.get("ceilings." + feature) in ("true", "1")
+        for feature in ("retry_after", "probes", "peer_messages")
+    }
+    controllers = whole(settings, "replicas_of_me", 1, 1)
+    places = read_floats(settings, "family_info.places_by_kind", len(kinds), 0, 0)
+    result = Deployment(
+        seed=whole(settings, "seed", 0),
+        rank=whole(settings, "rank", 0, 0, controllers - 1),
         controllers=controllers,
-        zone=f.get("zone", ""),
-        plans=_plans(f, len(ladder.rates)),
+        zone=settings.get("zone", ""),
+        plans=_read_plans(settings, len(ladder.rates)),
         ladder=ladder,
         links=Links(
-            unit_kb=number(f, "family_info.link_unit_kb", 1, 1e-6),
-            uplink_kb=number(f, "family_info.rack_kb", 0, 0) or number(f, "family_info.fleet_kb", 1e12, 1e-6),
-            places={kind: n for kind, n in zip(kinds, places, strict=True) if n},
-            lag=whole(f, "family_info.see_ns", 0, 0),
-            refuses_from=number(f, "family_info.refuses_from", 0, 0),
-            told=f.get("load_report.how", "answers") == "answers"
-            and any(REPORTED.get(name) == "link" for name in fields),
+            unit_kb=read_float(settings, "family_info.link_unit_kb", 1, 1e-6),
+            uplink_kb=read_float(settings, "family_info.rack_kb", 0, 0)
+            or read_float(settings, "family_info.fleet_kb", 1e12, 1e-6),
+            places={kind: limit for kind, limit in zip(kinds, places, strict=True) if limit},
+            lag=whole(settings, "family_info.see_ns", 0, 0),
+            refuses_from=read_float(settings, "family_info.refuses_from", 0, 0),
+            told=settings.get("load_report.how", "answers") == "answers"
+            and any(REPORT_VALUE_NAMES.get(field) == "link" for field in report_fields),
         ),
         rules=Rules(
-            answer_slack=whole(f, "rules.grace_to_answer_ns", 0, 0),
-            cold_for=max(1, whole(f, "rules.cold_ns", 1, 0)),
-            cold_share=number(f, "rules.start_capacity", 1, 0, 1),
-            fall_multiple=number(f, "rules.tip_multiple", 1, 0),
-            fall_window=max(1, whole(f, "rules.overload_for_ns", 1, 0)),
-            try_limit=whole(f, "ceilings.try_limit", 1, 0),
+            answer_slack=whole(settings, "rules.grace_to_answer_ns", 0, 0),
+            cold_for=max(1, whole(settings, "rules.cold_ns", 1, 0)),
+            cold_share=read_float(settings, "rules.start_capacity", 1, 0, 1),
+            fall_multiple=read_float(settings, "rules.tip_multiple", 1, 0),
+            fall_window=max(1, whole(settings, "rules.overload_for_ns", 1, 0)),
+            try_limit=whole(settings, "ceilings.try_limit", 1, 0),
             extra_tries=None if extra < 0 and not share else max(0, int(extra)),
             extra_share=share,
-            extra_window=whole(f, "rules.budget_span_ns", 0, 0),
-            longest_advice=whole(f, "ceilings.max_retry_after_ns", 0, 0) if allows["retry_after"] else 0,
-            probes=allows["probes"],
-            peers=allows["peer_messages"],
-            list_within=max(1, whole(f, "rules.ask_within_ns", 1, 0)) if asked else 0,
+            extra_window=whole(settings, "rules.budget_span_ns", 0, 0),
+            longest_advice=whole(settings, "ceilings.max_retry_after_ns", 0, 0)
+            if allowed["retry_after"]
+            else 0,
+            probes=allowed["probes"],
+            peers=allowed["peer_messages"],
+            list_within=max(1, whole(settings, "rules.ask_within_ns", 1, 0)) if list_on_request else 0,
         ),
     )
-    layout = Layout(max(1, whole(f, "family_info.places", 1, 0)), max(1, whole(f, "family_info.racks", 1, 0)))
-    return made, fields, layout
+    layout = Layout(
+        max(1, whole(settings, "family_info.places", 1, 0)),
+        max(1, whole(settings, "family_info.racks", 1, 0)),
+    )
+    return result, report_fields, layout
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -111,7 +111,7 @@
         ("waiting,rps", "3,9", None),
         ("x0", "?", None),
     ):
-        assert codec.report({"telemetry": said}, fields.split(",")).get("link") == want
+        assert codec.parse_load_report({"telemetry": said}, fields.split(",")).get("link") == want
         links = terms.deployment({"family_info.rung_kb": "100", "load_report.fields": fields})[0].links
         assert links.told == (fields != "waiting,rps")
     probed = {"family_info.rung_kb": "100", "load_report.fields": "x0", "load_report.how": "probe"}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -124,7 +124,7 @@
     ):
         told = changed(**odd)
         line = " ".join(f"{key}={value}" for key, value in terms.flat(told).items() if value != "")
-        _, flat = codec.fields(f"enlist seed=5 {line}")
+        _, flat = codec.parse_line(f"enlist seed=5 {line}")
         here, fields, layout = terms.deployment(flat)
         there = settings.configuration({**TOLD, "settings": told})
         assert replace(there.deployment, seed=5) == here and there.layout == layout and fields
