--- a/terndrift/terms.py
+++ b/terndrift/terms.py
@@ -306,7 +306,7 @@
     Returns (`interface.Deployment`, names of the fields of a load report in order, `Layout`).
     """
     ladder = _read_ladder(settings)
-    kinds = [kind for kind in settings.get("host_types", "").split(",") if kind]
+    kinds = [name for name in settings.get("host_types", "").split(",") if name]
     report_fields = settings.get("load_report.fields", "").split(",")
     extra, share = (
         read_float(settings, "rules.free_resends", -1),
@@ -314,8 +314,8 @@
     )
     list_on_request = settings.get("registry_mode") == "subscribe"
     allowed = {
-        feature: settings.get("ceilings." + feature) in ("true", "1")
-        for feature in ("retry_after", "probes", "peer_messages")
+        name: settings.get("ceilings." + name) in ("true", "1")
+        for name in ("retry_after", "probes", "peer_messages")
     }
     controllers = whole(settings, "replicas_of_me", 1, 1)
     places = read_floats(settings, "family_info.places_by_kind", len(kinds), 0, 0)
