--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,8 @@
-"""The operators' settings as both ways in are handed them: what is amiss is named, what is odd works."""
+"""Tests of the operators' settings as the platform and the adapter read them.
+
+Invalid values must be rejected by an error that names the setting, before anything starts; unusual but legal
+ones must work.
+"""
 
 import io
 import json
@@ -18,53 +22,66 @@
 from terndrift.platform import settings
 
 S = 1_000_000_000
-FLAT = terms.flat(SETTINGS)
-TOLD = {
+FLAT_SETTINGS = terms.flat(SETTINGS)
+CONFIGURATION = {
     "name": "n",
     "listen": "127.0.0.1:0",
     "feed": "127.0.0.1:1",
     "known": {"events": []},
     "settings": SETTINGS,
 }
-ODD = ["", "x", "-1", "nan", "0", "1", "1e999", "7.0", "99999999999999999999", "0,0,0,0", "true"]
+UNUSUAL_VALUES = ["", "x", "-1", "nan", "0", "1", "1e999", "7.0", "99999999999999999999", "0,0,0,0", "true"]
 
 
-def changed(**with_dots):
-    """The settings with some of them other, by the last part of their names; None: left out."""
-    out = json.loads(json.dumps(SETTINGS))
-    for name, value in with_dots.items():
-        parts = [part for part in (*out.values(), *out["profiles"]) if isinstance(part, dict)]
-        at = next((part for part in parts if name in part), out)
-        at[name] = value
+def changed_settings(**changes):
+    """Returns a copy of SETTINGS with changes by the last part of a path; None deletes the setting."""
+    result = json.loads(json.dumps(SETTINGS))
+    for name, value in changes.items():
+        parts = [part for part in (*result.values(), *result["profiles"]) if isinstance(part, dict)]
+        parent = next((part for part in parts if name in part), result)
+        parent[name] = value
         if value is None:
-            del at[name]
-    return out
-
-
-def use(made, layout, entries):
-    """A controller that is handed a list, asked for a playback of each plan, and lives for five seconds."""
-    c = Controller(made, S)
-    c.list_changed(S, entries, True, True)
-    out = [
-        pb
-        for n, plan in enumerate(made.plans)
-        for pb in c.wanted(
-            2 * S, f"r{n}", plan, "t", layout.holders(0, 3), len(made.ladder.rates) - 1, 3 * S, 0, False
+            del parent[name]
+    return result
+
+
+def run_controller(deployment, layout, entries):
+    """Runs a controller for 5 s with a server list and a playback of each plan.
+
+    Returns it and the playbacks that the requests changed.
+    """
+    controller = Controller(deployment, S)
+    controller.list_changed(S, entries, True, True)
+    changed = [
+        playback
+        for n, plan in enumerate(deployment.plans)
+        for playback in controller.wanted(
+            2 * S,
+            f"r{n}",
+            plan,
+            "t",
+            layout.holders(0, 3),
+            len(deployment.ladder.rates) - 1,
+            3 * S,
+            0,
+            False,
         )
     ]
     for n, entry in enumerate(entries[:3]):
-        c.told_use(3 * S, "r0", entry.id, 0.5 * n, 0.7)
-        c.told_share(3 * S, entry.id, 0.6)
+        controller.told_use(3 * S, "r0", entry.id, 0.5 * n, 0.7)
+        controller.told_share(3 * S, entry.id, 0.6)
     for tick in range(60, 140):
-        c.wake(tick * S // 20)
-    return c, out
+        controller.wake(tick * S // 20)
+    return controller, changed
 
 
-def listed(count, racks=1, started=0):
+def list_entries(count, racks=1, started=0):
+    """Returns entries of `count` ready streamers in 4 cells and `racks` racks; `started` is in ns."""
     return [Listed(n, "box", "here", n % 4, n % racks, Standing.READY, 1.0, started) for n in range(count)]
 
 
-AMISS = {
+# Text that the error must contain -> setting to change, values that must be rejected.
+INVALID = {
     "family_info.rung_kb": ("rung_kb", None, [], [200, 100, 400], [-1, 100, 400]),
     "family_info.worth_by_rung": ("worth_by_rung", [0.1, 1], [0.1, 0.2, float("inf")]),
     "family_info.lowest_rung": ("lowest_rung", [0], [0, 7]),
@@ -88,57 +105,66 @@
 }
 
 
-@pytest.mark.parametrize("named, name, value", [(n, of[0], v) for n, of in AMISS.items() for v in of[1:]])
-def test_settings_that_are_amiss_are_named_and_nothing_starts_on_either_way_in(named, name, value):
-    amiss = changed(**{name: value})
-    with pytest.raises(terms.Malformed, match=re.escape(named)):
-        settings.configuration({**TOLD, "settings": amiss})
-    line = " ".join(f"{key}={value}" for key, value in terms.flat(amiss).items() if value != "")
-    wrong = serve(io.StringIO(f"sync now_ns=1\nswitch_to who=3\nenlist seed=5 {line}\ngo\n"), io.StringIO())
-    assert wrong.startswith("terndrift: line 3: ") and named in wrong
+@pytest.mark.parametrize(
+    "expected, name, value",
+    [(expected, row[0], value) for expected, row in INVALID.items() for value in row[1:]],
+)
+def test_invalid_settings_are_named_in_the_error_by_platform_and_adapter(expected, name, value):
+    invalid = changed_settings(**{name: value})
+    with pytest.raises(terms.Malformed, match=re.escape(expected)):
+        settings.configuration({**CONFIGURATION, "settings": invalid})
+    fields = " ".join(f"{key}={value}" for key, value in terms.flat(invalid).items() if value != "")
+    error = serve(io.StringIO(f"sync now_ns=1\nswitch_to who=3\nenlist seed=5 {fields}\ngo\n"), io.StringIO())
+    assert error.startswith("terndrift: line 3: ") and expected in error
 
 
 @pytest.mark.parametrize("limits", [7, {"sockets": "many"}, {"sockets": 0}, {"sockets": [1]}])
-def test_limits_that_are_amiss_are_named(limits):
+def test_invalid_limits_are_named_in_the_error(limits):
     with pytest.raises(terms.Malformed, match="limits"):
-        settings.configuration({**TOLD, "limits": limits})
+        settings.configuration({**CONFIGURATION, "limits": limits})
 
 
-def test_any_one_setting_made_odd_is_named_or_works():
-    for key in FLAT:
-        for value in ODD:
+def test_any_setting_with_an_unusual_value_is_named_in_an_error_or_works():
+    for key in FLAT_SETTINGS:
+        for value in UNUSUAL_VALUES:
             try:
-                made, _, layout = terms.deployment({**FLAT, key: value})
-            except terms.Malformed as wrong:
-                assert "'" in str(wrong), f"{key}={value}: {wrong}"
+                deployment, _, layout = terms.deployment({**FLAT_SETTINGS, key: value})
+            except terms.Malformed as error:
+                assert "'" in str(error), f"{key}={value}: {error}"
                 continue
-            use(made, layout, listed(5, started=S // 2))
+            run_controller(deployment, layout, list_entries(5, started=S // 2))
 
 
-def test_both_ways_in_hand_the_decisions_the_same():
-    for odd in (
+def test_platform_and_adapter_build_the_same_deployment():
+    for changes in (
         {},
         dict(class_live=[True, False], shared_adds=0.2, registry_mode="subscribe"),
         dict(how="probe", fields=["cpu", "waiting"]),
         dict(host_types=["big box", "box"], places_by_kind=[9, 4]),
     ):
-        told = changed(**odd)
-        line = " ".join(f"{key}={value}" for key, value in terms.flat(told).items() if value != "")
+        changed = changed_settings(**changes)
+        line = " ".join(f"{key}={value}" for key, value in terms.flat(changed).items() if value != "")
         _, flat = codec.parse_line(f"enlist seed=5 {line}")
-        here, fields, layout = terms.deployment(flat)
-        there = settings.configuration({**TOLD, "settings": told})
-        assert replace(there.deployment, seed=5) == here and there.layout == layout and fields
+        deployment, report_fields, layout = terms.deployment(flat)
+        configuration = settings.configuration({**CONFIGURATION, "settings": changed})
+        assert (
+            replace(configuration.deployment, seed=5) == deployment
+            and configuration.layout == layout
+            and report_fields
+        )
 
 
-def test_none_one_and_very_many_of_everything_work():
-    many = [
+def test_empty_single_and_very_long_lists_in_settings_work():
+    many_plans = [
         {"name": f"plan{n}", "slo_ns": S, "deadline_ns": 3 * S, "effect": "idempotent"} for n in range(300)
     ]
-    base = dict.fromkeys(("lowest_rung", "top_by_class", "class_seats", "scale_by_class", "class_live"))
-    for odd in (
-        dict(profiles=[], **base),
-        dict(profiles=many[:1], **base),
-        dict(profiles=many, **base),
+    no_plan_lists = dict.fromkeys(
+        ("lowest_rung", "top_by_class", "class_seats", "scale_by_class", "class_live")
+    )
+    for changes in (
+        dict(profiles=[], **no_plan_lists),
+        dict(profiles=many_plans[:1], **no_plan_lists),
+        dict(profiles=many_plans, **no_plan_lists),
         dict(rung_kb=[100], worth_by_rung=[1], lowest_rung=None),
         dict(racks=0),
         dict(racks=1),
@@ -148,30 +174,32 @@
         dict(host_types=[], places_by_kind=None),
         dict(rung_kb=list(range(1, 200)), worth_by_rung=None),
     ):
-        made, _, layout = terms.deployment(terms.flat(changed(**odd)))
+        deployment, _, layout = terms.deployment(terms.flat(changed_settings(**changes)))
         for count, racks in ((0, 1), (1, 1), (600, 600)):
-            use(made, layout, listed(count, racks))
+            run_controller(deployment, layout, list_entries(count, racks))
 
 
-def test_an_empty_list_rejects_at_once_and_with_advice_where_it_is_allowed():
+def test_empty_server_list_rejects_at_once_with_retry_advice_only_if_allowed():
     for allowed, advice in ((True, S // 2), (False, 0)):
-        made, _, layout = terms.deployment(terms.flat(changed(retry_after=allowed)))
-        c, out = use(made, layout, [])
-        assert [(pb.state, pb.come_back, pb.since) for pb in out] == [(State.REJECTED, advice, 2 * S)] * 2
+        deployment, _, layout = terms.deployment(terms.flat(changed_settings(retry_after=allowed)))
+        controller, changed = run_controller(deployment, layout, [])
+        assert [(playback.state, playback.come_back, playback.since) for playback in changed] == [
+            (State.REJECTED, advice, 2 * S)
+        ] * 2
 
 
-def test_an_unknown_setting_is_told_once_on_either_way_in(tmp_path):
-    odd = {**SETTINGS, "colour": "red", "walls": [{"of": "brick"}, {"of": "wood"}]}
-    unknown = settings.configuration({**TOLD, "settings": odd}).unknown
+def test_unknown_settings_are_reported_once_by_platform_and_adapter(tmp_path):
+    with_unknown = {**SETTINGS, "colour": "red", "walls": [{"of": "brick"}, {"of": "wood"}]}
+    unknown = settings.configuration({**CONFIGURATION, "settings": with_unknown}).unknown
     assert unknown == ["colour", "walls.*.of", "walls.count"]
-    assert settings.configuration(TOLD).unknown == []
-    line = " ".join(f"{key}={value}" for key, value in FLAT.items())
+    assert settings.configuration(CONFIGURATION).unknown == []
+    line = " ".join(f"{key}={value}" for key, value in FLAT_SETTINGS.items())
     batch = (
         "sync now_ns=1\n"
         + "".join(f"switch_to who={who}\nenlist seed=5 colour=red {line}\n" for who in (1, 2))
         + "go\n"
     )
-    got = subprocess.run(
+    run = subprocess.run(
         [sys.executable, "-m", "terndrift.adapter"], input=batch, capture_output=True, text=True
     )
-    assert got.returncode == 0 and got.stderr.count("colour") == 1
+    assert run.returncode == 0 and run.stderr.count("colour") == 1
