--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -1,4 +1,8 @@
-"""Settings drawn over their whole legal range: each can be read, and a short day by it keeps the rules."""
+"""Property tests over the whole legal range of the settings.
+
+Whatever legal settings are drawn, they must be read without an unknown name, and a short simulated day of
+playbacks under them must keep the rules that every controller promises.
+"""
 
 import heapq
 import itertools
@@ -17,60 +21,60 @@
 
 MS, S = 1_000_000, 1_000_000_000
 T0 = 1000 * S
-ENDINGS = [Ending.FULL, Ending.ERRED, Ending.UNREACHED, Ending.BROKEN, Ending.NEVER_SENT]
+ATTEMPT_ENDINGS = [Ending.FULL, Ending.ERRED, Ending.UNREACHED, Ending.BROKEN, Ending.NEVER_SENT]
 
 
 @st.composite
 def drawn(draw):
-    """A configuration's settings and limits."""
+    """Draws settings from their whole legal range; the order of the draws decides what a seed gives."""
 
-    def whole(least, most):
-        return draw(st.integers(least, most))
+    def integer(minimum, maximum):
+        return draw(st.integers(minimum, maximum))
 
-    def number(least, most):
-        return draw(st.floats(least, most, allow_nan=False))
+    def real(minimum, maximum):
+        return draw(st.floats(minimum, maximum, allow_nan=False))
 
-    plans, rungs, kinds = draw(st.sampled_from([2, 4, 1, 0])), whole(1, 8), whole(0, 3)
-    floors = [whole(0, rungs - 1) for _ in range(plans)]
-    deadlines = [draw(st.sampled_from([1500, 5000, 20_000, 240, 50, 1])) * MS for _ in range(plans)]
+    plan_count, rung_count, kind_count = draw(st.sampled_from([2, 4, 1, 0])), integer(1, 8), integer(0, 3)
+    lowest_rungs = [integer(0, rung_count - 1) for _ in range(plan_count)]
+    deadlines = [draw(st.sampled_from([1500, 5000, 20_000, 240, 50, 1])) * MS for _ in range(plan_count)]
     controllers = draw(st.sampled_from([1, 2, 30, 300]))
-    asked = draw(st.booleans())
+    list_on_request = draw(st.booleans())
     return {
-        "rank": whole(0, controllers - 1),
+        "rank": integer(0, controllers - 1),
         "replicas_of_me": controllers,
         "zone": "here",
-        "areas": [f"z{n}" for n in range(whole(0, 5))],
-        "host_types": [f"k{n}" for n in range(kinds)],
-        "registry_mode": "subscribe" if asked else "automatic",
+        "areas": [f"z{n}" for n in range(integer(0, 5))],
+        "host_types": [f"k{n}" for n in range(kind_count)],
+        "registry_mode": "subscribe" if list_on_request else "automatic",
         "profiles": [
             {
                 "name": f"p{n}",
-                "worth": number(0, 10),
+                "worth": real(0, 10),
                 "slo_ns": deadlines[n] // draw(st.sampled_from([1, 2, 10**12])),
                 "deadline_ns": deadlines[n],
                 "effect": draw(st.sampled_from(["at_most_once", "idempotent", "deduplicated", "new"])),
             }
-            for n in range(plans)
+            for n in range(plan_count)
         ],
         "family_info": {
-            "rung_kb": [100.0 * (n + 1) * (1 + n) for n in range(rungs)],
-            "worth_by_rung": [(n + 1) / rungs for n in range(rungs)],
-            "lowest_rung": floors,
-            "top_by_class": [whole(floor, 9) for floor in floors],
-            "class_seats": [whole(0, 3) for _ in floors],
-            "scale_by_class": [draw(st.sampled_from([1.0, 0.1, 4.0])) for _ in floors],
-            "class_live": [draw(st.booleans()) for _ in floors],
-            "shared_adds": number(0.01, 1),
+            "rung_kb": [100.0 * (n + 1) * (1 + n) for n in range(rung_count)],
+            "worth_by_rung": [(n + 1) / rung_count for n in range(rung_count)],
+            "lowest_rung": lowest_rungs,
+            "top_by_class": [integer(lowest, 9) for lowest in lowest_rungs],
+            "class_seats": [integer(0, 3) for _ in lowest_rungs],
+            "scale_by_class": [draw(st.sampled_from([1.0, 0.1, 4.0])) for _ in lowest_rungs],
+            "class_live": [draw(st.booleans()) for _ in lowest_rungs],
+            "shared_adds": real(0.01, 1),
             "places": draw(st.sampled_from([4, 8, 1, 40])),
-            "racks": whole(1, 12),
-            "places_by_kind": [whole(0, 50) for _ in range(kinds)],
+            "racks": integer(1, 12),
+            "places_by_kind": [integer(0, 50) for _ in range(kind_count)],
             "link_unit_kb": draw(st.sampled_from([10_000.0, 1000.0, 1.0])),
             "rack_kb": draw(st.sampled_from([50_000.0, 0, 500.0])),
-            "see_ns": whole(0, 2 * S),
-            "reports_every_ns": whole(0, 5 * S),
-            "refuses_from": number(0, 2),
-            "switch_cost_s": number(0, 2),
-            "shortfall_cost": number(0, 10),
+            "see_ns": integer(0, 2 * S),
+            "reports_every_ns": integer(0, 5 * S),
+            "refuses_from": real(0, 2),
+            "switch_cost_s": real(0, 2),
+            "shortfall_cost": real(0, 10),
         },
         "load_report": {
             "how": draw(st.sampled_from(["answers", "probe", "none"])),
@@ -80,27 +84,28 @@
             "try_limit": draw(st.sampled_from([5, 9, 2, 1, 0])),
             "retry_after": draw(st.booleans()),
             "probes": draw(st.booleans()),
-            "max_retry_after_ns": whole(0, 5 * S),
-            "connect_timeout_ns": whole(1, 2 * S),
-            "keepalive_ns": whole(1, 60 * S),
-            "max_streams": whole(1, 2**20),
+            "max_retry_after_ns": integer(0, 5 * S),
+            "connect_timeout_ns": integer(1, 2 * S),
+            "keepalive_ns": integer(1, 60 * S),
+            "max_streams": integer(1, 2**20),
         },
         "rules": {
-            "cold_ns": whole(0, 60 * S),
-            "start_capacity": number(0, 1),
-            "tip_multiple": number(0, 5),
-            "overload_for_ns": whole(0, 10 * S),
-            "drain_grace_ns": whole(0, 3 * S),
-            "grace_to_answer_ns": whole(0, 100 * MS),
-            "ask_within_ns": whole(0, 10 * S),
+            "cold_ns": integer(0, 60 * S),
+            "start_capacity": real(0, 1),
+            "tip_multiple": real(0, 5),
+            "overload_for_ns": integer(0, 10 * S),
+            "drain_grace_ns": integer(0, 3 * S),
+            "grace_to_answer_ns": integer(0, 100 * MS),
+            "ask_within_ns": integer(0, 10 * S),
             "free_resends": draw(st.sampled_from([3, 1, 0])),
-            "repeat_ratio": number(0, 0.3),
-            "budget_span_ns": whole(0, 20 * S),
+            "repeat_ratio": real(0, 0.3),
+            "budget_span_ns": integer(0, 20 * S),
         },
     }
 
 
 def configured(drawn_settings, sockets=256):
+    """Returns the platform's configuration for settings and a limit of sockets."""
     return settings.configuration(
         {
             "name": "n0",
@@ -114,26 +119,37 @@
 
 
 class Day:
-    """A core in virtual time among streamers that do what chance says; holds it to the rules."""
+    """A core in virtual time, with itself as carrier, whose streamers answer at random.
+
+    Asserts the rules at every call of the core: one attempt out at a time, no set-up of a non-repeatable
+    plan that may have run, rungs, seats and attempts within their limits, one answer by the deadline.
+    """
 
     def __init__(self, configuration, seed):
-        self.random, self.now, self.d = random.Random(seed), T0, configuration.deployment
-        self.core = Core(self.d, T0, "n0", configuration.drain_grace, self._watch)
+        self.random, self.now, self.deployment = random.Random(seed), T0, configuration.deployment
+        self.core = Core(self.deployment, T0, "n0", configuration.drain_grace, self._watch)
         self.cells, self.layout = configuration.layout.cells, configuration.layout
-        self.count, self.due = itertools.count(), []
-        self.out, self.ran, self.playing, self.extra, self.taken = {}, set(), set(), [], []
-        self.standing, self.off = {}, {}
-        self.core.controller.began_empty = self.random.random() < 0.3  # else no streamer may be a new one
-        self.streamers = min(10, self.cells + 1)
-        self._list([self._row(n) for n in range(self.streamers)])
+        self.event_numbers, self.events = itertools.count(), []
+        self.pending, self.may_have_run, self.playing, self.extra_attempts, self.requests = (
+            {},  # carried -> streamer of the attempt that is out
+            set(),
+            set(),
+            [],  # times of attempts after the first
+            [],  # times at which playbacks were requested
+        )
+        self.standing, self.unready_since = {}, {}
+        # False: no streamer counts as newly started, as all entries have `started` 0
+        self.core.controller.began_empty = self.random.random() < 0.3
+        self.streamer_count = min(10, self.cells + 1)
+        self._update_list([self._list_entry(n) for n in range(self.streamer_count)])
 
     def _watch(self, event, carried, **facts):
         assert event != "fault", facts
-        # they look at what is held 50 ms apart: of a shorter wait the core's own last answer is the only one
-        assert event != "last word" or carried.wanted.time_left < 300 * MS, "not answered by the decisions"
+        # Playbacks are scanned 50 ms apart, so for a shorter wait the core's own last answer is the only one.
+        assert event != "last word" or carried.wanted.time_left < 300 * MS, "not answered by the controller"
 
-    def _row(self, n, standing=Standing.READY):
-        kinds = list(self.d.links.places) or ["other"]
+    def _list_entry(self, n, standing=Standing.READY):
+        kinds = list(self.deployment.links.places) or ["other"]
         cell = n % self.cells
         return Listed(
             n,
@@ -146,128 +162,146 @@
             0,
         )
 
-    def _list(self, rows):
-        for row in rows:
-            self.standing[row.id] = row.standing
-            if row.standing is Standing.READY:
-                self.off.pop(row.id, None)
+    def _update_list(self, entries):
+        for entry in entries:
+            self.standing[entry.id] = entry.standing
+            if entry.standing is Standing.READY:
+                self.unready_since.pop(entry.id, None)
             else:
-                self.off.setdefault(row.id, self.now)
-        self.core.list_changed(self.now, rows, False, False)
+                self.unready_since.setdefault(entry.id, self.now)
+        self.core.list_changed(self.now, entries, False, False)
 
-    # What the core calls as its carrier.
+    # The calls of core.carried.Carrier.
 
     def set_up(self, carried, streamer, rung, time_out):
-        plan = self.d.plans[carried.wanted.plan]
-        assert carried not in self.out and carried not in self.playing, "two attempts out at once"
-        assert plan.repeatable or carried not in self.ran, "sent again though it may have run"
+        """Checks the rules for an attempt and schedules its end, or none if the streamer stays silent."""
+        plan = self.deployment.plans[carried.wanted.plan]
+        assert carried not in self.pending and carried not in self.playing, "two attempts out at once"
+        assert plan.repeatable or carried not in self.may_have_run, "sent again though it may have run"
         assert plan.floor <= rung <= max(plan.floor, carried.wanted.top)
-        assert self.standing[streamer.id] is Standing.READY, "it drains or is gone"
-        assert carried.tries <= self.d.rules.try_limit and carried.answer is None
+        assert self.standing[streamer.id] is Standing.READY, "the streamer drains or is gone"
+        assert carried.tries <= self.deployment.rules.try_limit and carried.answer is None
         if carried.tries > 1:
-            self.extra.append(self.now)
-            since, rules = self.now - self.d.rules.extra_window, self.d.rules
+            self.extra_attempts.append(self.now)
+            window_start, rules = (
+                self.now - self.deployment.rules.extra_window,
+                self.deployment.rules,
+            )
             if rules.extra_tries is not None:
-                taken = sum(t > since for t in self.taken)
-                assert sum(t > since for t in self.extra) <= rules.extra_tries + rules.extra_share * taken
-        self.out[carried] = streamer
+                requests = sum(t > window_start for t in self.requests)
+                assert (
+                    sum(t > window_start for t in self.extra_attempts)
+                    <= rules.extra_tries + rules.extra_share * requests
+                )
+        self.pending[carried] = streamer
         seated = [
-            c
-            for c in [*self.out, *self.playing]
-            if c.wanted.plan == plan.name and c.wanted.title == carried.wanted.title
+            other
+            for other in [*self.pending, *self.playing]
+            if other.wanted.plan == plan.name and other.wanted.title == carried.wanted.title
         ]
         assert not plan.seats or len(seated) <= plan.seats
-        ending = self.random.choice([None, None, *ENDINGS, "silent"])
+        ending = self.random.choice([None, None, *ATTEMPT_ENDINGS, "silent"])
         if ending != "silent":
             longest = self.random.choice([100 * MS, 100 * MS, 2 * time_out])
-            self._at(self.random.randrange(longest), self._ended, carried, carried.tries, ending)
+            self._schedule(self.random.randrange(longest), self._end_attempt, carried, carried.tries, ending)
 
     def call_off(self, carried):
-        self._at(50 * MS, self._ended, carried, carried.tries, Ending.CALLED_OFF)
+        """Reports the attempt as called off 50 ms later."""
+        self._schedule(50 * MS, self._end_attempt, carried, carried.tries, Ending.CALLED_OFF)
 
     def set_rung(self, carried, rung):
-        assert self.d.plans[carried.wanted.plan].floor <= rung < len(self.d.ladder.rates)
+        """Checks that the rung is one that the plan and the ladder have."""
+        assert self.deployment.plans[carried.wanted.plan].floor <= rung < len(self.deployment.ladder.rates)
 
     def let_go(self, carried, streamer):
+        """Drops a playback that is over."""
         self.playing.discard(carried)
 
-    def _ended(self, carried, number, ending):
-        if carried not in self.out or carried.tries != number:
+    def _end_attempt(self, carried, number, ending):
+        if carried not in self.pending or carried.tries != number:
             return
-        streamer = self.out.pop(carried)
+        streamer = self.pending.pop(carried)
         if ending is None and carried.stage is Stage.TRYING:
             self.playing.add(carried)
             self.core.began(self.now, carried, {"link": self.random.random() * 2, "uplink": 0.5})
-            self._at(self.random.randrange(10 * S), self.core_over, carried)
+            self._schedule(self.random.randrange(10 * S), self.end_playback, carried)
             return
         if ending is None or ending.may_have_run:
-            self.ran.add(carried)
+            self.may_have_run.add(carried)
         report = {"link": 1.5, "streams": 3} if streamer.id % 2 else None
         self.core.try_over(self.now, carried, ending or Ending.CALLED_OFF, report)
 
-    def core_over(self, carried):
+    def end_playback(self, carried):
+        """Ends what plays, played out or broken."""
         self.core.over(self.now, carried, self.random.choice([Ending.PLAYED_OUT, Ending.BROKEN]))
 
-    # The day.
+    # The simulated day.
 
-    def _at(self, after, call, *args):
-        heapq.heappush(self.due, (self.now + after, next(self.count), call, args))
+    def _schedule(self, after, call, *args):
+        heapq.heappush(self.events, (self.now + after, next(self.event_numbers), call, args))
 
-    def want(self):
-        plan = self.random.choice(list(self.d.plans.values()))
+    def request(self):
+        """Requests a random playback; returns the list that its one answer is appended to."""
+        plan = self.random.choice(list(self.deployment.plans.values()))
         longest = max(1, plan.startup_target)
-        left = self.random.choice([longest, self.random.randrange(longest) + 1, 5 * S])
-        home, copies = self.random.randrange(self.cells), self.random.randrange(self.cells) + 1
+        time_left = self.random.choice([longest, self.random.randrange(longest) + 1, 5 * S])
+        first_cell, holder_count = (
+            self.random.randrange(self.cells),
+            self.random.randrange(self.cells) + 1,
+        )
         wanted = Wanted(
             plan.name,
             f"t{self.random.randrange(3)}",
-            self.layout.holders(home, copies),
+            self.layout.holders(first_cell, holder_count),
             self.random.choice([9, 9, self.random.randrange(10)]),
-            left,
+            time_left,
             self.random.choice([0, 5 * S]),
         )
-        answers, box = [], []
+        # an answer may come within the call of `want`, before the playback is known
+        answers, taken = [], []
 
         def answered(answer):
             assert not answers, "answered twice"
-            assert self.now <= taken_at + left, "answered after its deadline"
-            spoilt = box and box[0] in self.ran or box and box[0] in self.out
-            assert answer.kind is not Kind.REJECTED or plan.repeatable or not spoilt, "may have run"
+            assert self.now <= taken_at + time_left, "answered after its deadline"
+            may_run = taken and taken[0] in self.may_have_run or taken and taken[0] in self.pending
+            assert answer.kind is not Kind.REJECTED or plan.repeatable or not may_run, "may have run"
             answers.append(answer)
 
         taken_at = self.now
-        self.taken.append(self.now)
-        box.append(self.core.want(self.now, wanted, self, answered))
+        self.requests.append(self.now)
+        taken.append(self.core.want(self.now, wanted, self, answered))
         return answers
 
-    def pass_time(self, ns):
+    def advance(self, ns):
+        """Advances the virtual time by `ns`, running events and the core's timers as they come due."""
         until = self.now + ns
         while True:
-            times = [self.due[0][0]] if self.due else []
+            times = [self.events[0][0]] if self.events else []
             if (wake := self.core.next_at()) is not None:
                 times.append(max(wake, self.now))
             if not times or min(times) > until:
                 break
             self.now = max(self.now, min(times))
-            while self.due and self.due[0][0] <= self.now:
-                _, _, call, args = heapq.heappop(self.due)
+            while self.events and self.events[0][0] <= self.now:
+                _, _, call, args = heapq.heappop(self.events)
                 call(*args)
             self.core.tick(self.now)
         self.now = until
 
     def play(self, steps):
+        """Plays a day of `steps` requests, list changes or pauses; asserts that all got their answer."""
         answers = []
         for _ in range(steps):
-            what = self.random.random()
-            if what < 0.85 and self.d.plans:
-                answers.append(self.want())
-            elif what < 0.9:
-                n = self.random.randrange(self.streamers)
-                self._list([self._row(n, self.random.choice(list(Standing)))])
-            self.pass_time(self.random.choice([0, 0, 50 * MS, 400 * MS]))
-        self.pass_time(30 * S)
-        assert all(len(one) == 1 for one in answers), "not answered"
-        assert not self.core.open and not self.out
+            action = self.random.random()
+            if action < 0.85 and self.deployment.plans:
+                answers.append(self.request())
+            elif action < 0.9:
+                n = self.random.randrange(self.streamer_count)
+                self._update_list([self._list_entry(n, self.random.choice(list(Standing)))])
+            self.advance(self.random.choice([0, 0, 50 * MS, 400 * MS]))
+        self.advance(30 * S)
+        assert all(len(received) == 1 for received in answers), "not answered"
+        assert not self.core.open and not self.pending
 
 
 @hypothesis(derandomize=True, database=None, deadline=None, max_examples=150)
@@ -281,7 +315,7 @@
 @pytest.mark.parametrize("deadline_ms", [60, 120, 240, 1500, 12_000])
 def test_short_deadlines_are_served_too(deadline_ms):
     profiles = [{**SETTINGS["profiles"][0], "deadline_ns": deadline_ms * MS, "slo_ns": deadline_ms * MS}]
-    info = {
+    family_info = {
         **SETTINGS["family_info"],
         "lowest_rung": [0],
         "top_by_class": [2],
@@ -289,16 +323,16 @@
         "scale_by_class": [1.0],
         "class_live": [False],
     }
-    configuration = configured({**SETTINGS, "profiles": profiles, "family_info": info})
+    configuration = configured({**SETTINGS, "profiles": profiles, "family_info": family_info})
     assert 0 < margin(deadline_ms * MS) < deadline_ms * MS / 2
     core = Core(configuration.deployment, T0, "n0", 0)
     core.controller.began_empty = False
     core.list_changed(T0, [Listed(1, "box", "here", 0, 0, Standing.READY, 1, 0)], True, False)
-    sent = []
+    time_outs = []
 
     class Carrier:
         def set_up(self, carried, streamer, rung, time_out):
-            sent.append(time_out)
+            time_outs.append(time_out)
 
     core.want(T0, Wanted("free", "t", frozenset([0]), 2, deadline_ms * MS, 0), Carrier(), lambda answer: None)
-    assert len(sent) == 1 and sent[0] > 0
+    assert len(time_outs) == 1 and time_outs[0] > 0
