--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize(
     "expected, name, value",
-    [(expected, row[0], value) for expected, row in INVALID.items() for value in row[1:]],
+    [(text, row[0], rejected) for text, row in INVALID.items() for rejected in row[1:]],
 )
 def test_invalid_settings_are_named_in_the_error_by_platform_and_adapter(expected, name, value):
     invalid = changed_settings(**{name: value})
