--- a/terndrift/platform/attempt.py
+++ b/terndrift/platform/attempt.py
@@ -1,14 +1,17 @@
-"""One set-up sent, or to be sent, to one streamer: its states and every way from one to another."""
+"""One attempt to set up a playback at one streamer: its states and the allowed transitions.
+
+Created by the carrier, which also drives it; performs no I/O itself.
+"""
 
 from enum import Enum
 
 
 class AttemptState(Enum):
-    """Where a set-up attempt stands."""
+    """State of a set-up attempt."""
 
     CONNECTING = "connecting"  # no byte of it has been sent
     SENT = "sent"
-    CANCELLED = "cancelled"  # given up; out until its streamer confirms that, or must have heard of it
+    CANCELLED = "cancelled"  # outstanding until the streamer confirms the cancel or must have received it
     OVER = "over"
 
 
@@ -21,18 +24,25 @@
 
 
 class Attempt:
-    """`viewing` is what the front knows of the viewer; `due`: when it is of no more use, in ns."""
+    """A set-up attempt for `carried` at `peer`.
+
+    `session` is the front's ViewerSession of the playback; `due` is the time, in ns of the host's clock,
+    after which a set-up is of no use.
+    """
 
     def __init__(self, carried, peer, rung, due):
         self.carried, self.peer, self.rung, self.due = carried, peer, rung, due
-        self.viewing = carried.wanted.about
-        self.id = self.viewing.id
+        self.session = carried.wanted.about
+        self.id = self.session.id
         self.state = AttemptState.CONNECTING
         self.connection = self.task = None
-        self.queued_at = 0  # when it was to begin in the next turn of the loop
-        self.turns = None  # of the loop that it waits for what its viewer still says; None: not known yet
+        self.queued_at = 0  # when it was queued to start in the next turn of the event loop (ns)
+        # turns of the event loop to wait for unread input of its viewer; None: not determined yet
+        self.remaining_turns = None
 
     def turn(self, state):
-        """Every change of the attempt's state."""
-        assert state in TRANSITIONS[self.state], f"{self.id.hex()}: {self.state} to {state}"
+        """Sets the state; every state change goes through here."""
+        assert state in TRANSITIONS[self.state], (
+            f"{self.id.hex()}: invalid transition from {self.state} to {state}"
+        )
         self.state = state
--- a/terndrift/platform/carrier.py
+++ b/terndrift/platform/carrier.py
@@ -1,4 +1,9 @@
-"""Carries set-up attempts to streamers in the platform's messages, and hears what they say of what plays."""
+"""The streamer side of the platform controller: sends set-up attempts and receives reports on playbacks.
+
+Created by the service; called by the core (see `core.carried.Carrier`) and by the front. It owns the
+connections to streamers. It reports how each attempt ended, but never chooses a streamer, a rung or a retry
+itself.
+"""
 
 import asyncio
 
@@ -8,418 +13,469 @@
 from terndrift.interface import Ending, Standing
 from terndrift.platform import message as m
 from terndrift.platform.attempt import Attempt, AttemptState
-from terndrift.platform.connection import Connection, stream
-from terndrift.platform.message import Unusable, encode
+from terndrift.platform.connection import Connection, new_stream
+from terndrift.platform.message import InvalidMessageError, encode
 from terndrift.platform.peer import MOST, Peer
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-# A message of a streamer that has begun is whole within so long: it is written in one piece, ways take ms.
-HALF = SECOND // 2
-# A streamer with playbacks says something of its link at least as often as the settings tell; silence over
-# this many times that is checked by a new connection, which what has vanished never lets come up.
-SILENT = 1.25
-# An attempt given up is out until its streamer has heard of it: connections run side by side, the next
-# attempt must not overtake the word (two attempts of one playback were out at once, under load). Streamers
-# may say "release heard"; so long is waited for it: the slack of the platform's own time limits.
+# ns within which a streamer's message must be complete once begun: streamers write a message in one piece,
+# and network delays are some ms.
+PARTIAL_MESSAGE_TIMEOUT_NS = SECOND // 2
+# A streamer with playbacks reports on its link at least once per interval of the settings. After silence for
+# this many intervals it is checked by a new connection, which does not come up if the machine has vanished.
+SILENT_INTERVALS = 1.25
+# Seconds after which a cancelled attempt counts as over if its streamer has not confirmed the cancel by
+# "release heard", which is optional. Connections are independent, so without the wait the next attempt could
+# overtake the cancel, and two attempts of one playback would be outstanding at once (seen under load). The
+# value is the tolerance that the platform gives its own time limits.
 CONFIRM = 0.05
-# Connections in a row that were turned away, or did not come up, until what played there counts as cut.
-GONE_AFTER = 2
-AGAIN = 0.15  # seconds between them
-# Between looks at what is idle (ns), as often as `every_quarter` is called.
-QUARTER = SECOND // 4
-# Turns of the loop within which bytes that wait in a viewer's socket are read and acted on: one for the read,
-# one for the task that it wakes, and one as this turn's read may be over already.
-TURNS = 3
-# A loop that took so long (ns) from the choice of an attempt to its beginning may have a cancel of it unread
-# on any connection: half of the 0.1 s within which no attempt may begin any more.
+# Consecutive connections that were refused or did not come up until the playbacks at a streamer count as cut.
+MAX_FAILED_CONNECTIONS = 2
+RECONNECT_DELAY_S = 0.15  # between those connections
+# ns between checks for idle connections: the interval at which `every_quarter` is called.
+IDLE_CHECK_INTERVAL_NS = SECOND // 4
+# Turns of the event loop within which bytes that wait in a viewer's socket are read and acted on: one for the
+# read, one for the task that it wakes, and one because the read of the current turn may be over already.
+READ_TURNS = 3
+# ns from the choice of an attempt to its start. If the event loop took longer, a cancel of the attempt may be
+# unread on any connection. No attempt may start more than 0.1 s after its cancel; this is half of that.
 HELD_UP = SECOND // 20
 
 
-class ListedAnew(Unreached):
-    """The streamer's line of the list changed while the connection was made: it may lead to another one."""
+class ListEntryChangedError(Unreached):
+    """The streamer's list entry changed while connecting, so the connection may lead to another streamer."""
 
 
-class NoDescriptor(Unreached):
-    """As many connections to streamers are held as may be, and none of them is idle."""
+class ConnectionLimitError(Unreached):
+    """The limit of connections to streamers is reached and none of them is idle, or no descriptor is left."""
 
 
 class Carrier:
-    """`ended(carried, by_viewer)` tells the front that what played is over, as its streamer says."""
+    """Set-up attempts, playbacks and connections, by streamer.
+
+    The front sets `on_ended(carried, by_viewer)`, which is called when a streamer reports that a playback is
+    over or when it counts as cut; `by_viewer` says whether the viewer ended it.
+    """
 
     def __init__(self, host, configuration, log):
         self.host, self.configuration, self.log = host, configuration, log
-        self.peers, self.attempts = {}, {}  # id -> Peer; Carried -> Attempt
-        self.cancelled = {}  # playback's id -> Attempt that was given up and may still be out
-        self.queue = []  # attempts that begin in the next turn of the loop
-        self.ended, self.closing = lambda carried, by_viewer: None, False
+        self.peers, self.attempts = {}, {}  # streamer ID -> Peer; Carried -> Attempt
+        self.cancelled = {}  # playback ID -> cancelled Attempt that may still be outstanding
+        self.start_queue = []  # attempts to start in the next turn of the event loop
+        self.on_ended, self.closing = lambda carried, by_viewer: None, False
         keepalive = configuration.keepalive
-        # a set-up that goes out now is there within the time to connect: where that and a look at what is
-        # idle come before the streamer's own time is up, the connection is still its
-        self.stale_after = max(keepalive - configuration.connect - QUARTER, keepalive // 2)
+        # A set-up sent now arrives within the connect timeout. A connection is in use only as long as that
+        # and one check for idle connections end before the streamer's own idle timeout.
+        self.stale_after = max(keepalive - configuration.connect - IDLE_CHECK_INTERVAL_NS, keepalive // 2)
 
     def listed(self, entry, name, address):
-        """A line of the list; called before the core hears of it."""
+        """Applies one entry of the server list; must be called before the core gets the entry."""
         peer = self.peers.get(entry.id)
-        gone = entry.standing is Standing.GONE
+        delisted = entry.standing is Standing.GONE
         if peer is None:
-            if gone:
+            if delisted:
                 return
             peer = self.peers[entry.id] = Peer(entry, name, address)
-        if entry.started != peer.started or address and address != peer.address and not gone:
-            # started anew: what played there before is over, and its connections are of the old process
-            self._cut(peer, "started anew")
+        if entry.started != peer.started or address and address != peer.address and not delisted:
+            # restarted: the earlier playbacks are over, and its connections belong to the old process
+            self._cut(peer, "streamer restarted")
             for connection in list(peer.connections):
-                connection.close("streamer started anew")
-        peer.gone, peer.started = gone, entry.started
-        if address and not gone:
+                connection.close("streamer restarted")
+        peer.delisted, peer.started = delisted, entry.started
+        if address and not delisted:
             peer.address = address
 
     def only(self, ids):
-        """A whole list: what it does not name is gone."""
+        """Applies a complete server list: streamers that are not in `ids` are delisted."""
         for id, peer in self.peers.items():
-            peer.gone |= id not in ids
+            peer.delisted |= id not in ids
 
-    # What the core calls.
+    # Called by the core.
 
     def set_up(self, carried, streamer, rung, time_out):
+        """Starts an attempt; its set-up is not sent any more once `time_out` ns have passed."""
         peer = self.peers.get(streamer.id)
         attempt = self.attempts[carried] = Attempt(carried, peer, rung, self.host.clock.now() + time_out)
         if peer is None:
-            return self._over(attempt, Ending.UNREACHED)
-        self._begin_soon(attempt)
+            return self._attempt_over(attempt, Ending.UNREACHED)
+        self._queue_start(attempt)
         return None
 
     def call_off(self, carried):
+        """Cancels the outstanding attempt; the core hears of its end once the streamer knows of the
+        cancel."""
         attempt = self.attempts[carried]
         if attempt.state is AttemptState.CONNECTING:
             if attempt.task is not None:
                 attempt.task.cancel()
-            return self._over(attempt, Ending.NEVER_SENT)
+            return self._attempt_over(attempt, Ending.NEVER_SENT)
         attempt.turn(AttemptState.CANCELLED)
         attempt.peer.connections.get(attempt.connection, {}).pop(attempt.id, None)
         attempt.connection.send(m.release(attempt.id, m.OVER))
         self.cancelled[attempt.id] = attempt
-        return self._over_soon(attempt, Ending.CALLED_OFF)
+        return self._attempt_over_later(attempt, Ending.CALLED_OFF)
 
     def set_rung(self, carried, rung):
+        """Tells the streamer to play at another rung."""
         if peer := self.peers.get(carried.streamer.id):
-            self._say(peer, encode(m.RUNG, carried.wanted.about.id, (m.RUNG_NO, str(rung))))
+            self._send_to_peer(peer, encode(m.RUNG, carried.wanted.about.id, (m.RUNG_NO, str(rung))))
 
     def let_go(self, carried, streamer):
-        """What played is over; unless its streamer said so itself, it is told."""
+        """Drops a playback that is over and, unless its streamer reported the end itself, tells the
+        streamer."""
         peer = self.peers.get(streamer.id)
-        if peer and peer.playing.pop(carried.wanted.about.id, None):
-            self._say(peer, m.release(carried.wanted.about.id, m.OVER))
+        if peer and peer.playbacks.pop(carried.wanted.about.id, None):
+            self._send_to_peer(peer, m.release(carried.wanted.about.id, m.OVER))
 
-    # What the front calls.
+    # Called by the front.
 
     def holds(self, id):
-        """Whether an earlier use of a playback's id is not over yet at some streamer: what that streamer
-        says of it could not be told from what it says of a new one."""
+        """Whether a cancelled attempt with this playback ID may still be outstanding at some streamer.
+
+        Reports of that streamer on the earlier use of the ID could not be told from those on a new one.
+        """
         return id in self.cancelled
 
-    def expect(self, streamer, id, told):
-        """What plays there already is to be handed over: `told(rung)` is called when its streamer says at
-        which rung (None: that it is over). False: no such streamer is listed."""
+    def register_hand_over(self, streamer, id, on_rung):
+        """Registers a running playback that is to be handed over; returns False if the streamer is not
+        listed.
+
+        `on_rung(rung)` is called when the streamer reports the playback's rung, with None if the playback is
+        over.
+        """
         peer = self.peers.get(streamer)
         if peer is None:
             return False
-        peer.expected[id] = told
-        self._keep(peer)
+        peer.hand_overs[id] = on_rung
+        self._maintain_connection(peer)
         return True
 
-    def handed_over(self, carried):
-        self.peers[carried.streamer.id].playing[carried.wanted.about.id] = carried
+    def track_playback(self, carried):
+        """Adds a playback whose hand-over is complete to those of its streamer."""
+        self.peers[carried.streamer.id].playbacks[carried.wanted.about.id] = carried
 
-    def expect_no_more(self, streamer, id, ended=False):
-        """`ended`: its viewer has ended it."""
+    def cancel_hand_over(self, streamer, id, ended_by_viewer=False):
+        """Removes a registered hand-over; if its viewer has ended the playback, the streamer is told."""
         if peer := self.peers.get(streamer):
-            peer.expected.pop(id, None)
-            if ended:
-                self._say(peer, m.release(id, m.OVER))
+            peer.hand_overs.pop(id, None)
+            if ended_by_viewer:
+                self._send_to_peer(peer, m.release(id, m.OVER))
 
     # Connections.
 
-    def _stale(self, connection):
+    def _is_stale(self, connection):
         return self.host.clock.now() - connection.idle_since() >= self.stale_after
 
-    def _for_set_up(self, peer):
-        return peer.for_set_up(self._stale, self.configuration.most_on_connection)
+    def _connection_for_set_up(self, peer):
+        return peer.connection_for_set_up(self._is_stale, self.configuration.most_on_connection)
+
+    def _ensure_capacity(self):
+        """Closes the connection that was idle for longest if the limit is reached.
 
-    def _make_room(self):
-        """Closes the one that was idle for longest if as many are held as may be; raises NoDescriptor."""
-        held = sum(len(peer.connections) + peer.connecting for peer in self.peers.values())
-        if held < self.configuration.descriptors.streamers:
+        Raises ConnectionLimitError if none can be closed.
+        """
+        open_count = sum(len(peer.connections) + peer.connecting for peer in self.peers.values())
+        if open_count < self.configuration.descriptors.streamers:
             return
         spare = [
-            one
+            connection
             for peer in self.peers.values()
-            for one, attempts in peer.connections.items()
-            if one.up() and not attempts and (len(peer.connections) > 1 or not peer.playing)
+            for connection, attempts in peer.connections.items()
+            if connection.up() and not attempts and (len(peer.connections) > 1 or not peer.playbacks)
         ]
         if not spare:
-            raise NoDescriptor(f"{held} connections to streamers")
-        min(spare, key=Connection.idle_since).close("room for another")
+            raise ConnectionLimitError(f"{open_count} connections to streamers are open and in use")
+        min(spare, key=Connection.idle_since).close("closed in favour of a new connection")
 
     async def _open(self, peer):
-        """A new connection; raises Unreached."""
-        self._make_room()
-        listed = peer.address, peer.started
+        """Returns a new connection to a streamer; raises Unreached."""
+        self._ensure_capacity()
+        listed_as = peer.address, peer.started
         peer.connecting += 1
         try:
-            to = stream()
-            await connect(to, peer.address, self.configuration.connect / SECOND)
-        except OSError as wrong:  # no descriptor is left for it
-            raise NoDescriptor(str(wrong)) from None
+            stream = new_stream()
+            await connect(stream, peer.address, self.configuration.connect / SECOND)
+        except OSError as error:  # no descriptor is left
+            raise ConnectionLimitError(str(error)) from None
         finally:
             peer.connecting -= 1
-        if self.closing or peer.gone or listed != (peer.address, peer.started):
-            to.close()
-            raise ListedAnew("listed anew while the connection was made")
+        if self.closing or peer.delisted or listed_as != (peer.address, peer.started):
+            stream.close()
+            raise ListEntryChangedError("list entry changed while connecting")
         connection = Connection(
-            to,
+            stream,
             self.host.clock,
-            lambda one, got: [self._received(peer, one, message) for message in got],
-            lambda one: self._closed(peer, one),
-            HALF,
+            lambda source, received: [self._on_message(peer, source, message) for message in received],
+            lambda source: self._connection_closed(peer, source),
+            PARTIAL_MESSAGE_TIMEOUT_NS,
         )
-        peer.connections[connection], peer.heard = {}, self.host.clock.now()
-        for data in peer.waiting:
+        peer.connections[connection], peer.last_message_at = {}, self.host.clock.now()
+        for data in peer.unsent_messages:
             connection.send(data)
-        peer.waiting.clear()
+        peer.unsent_messages.clear()
         return connection
 
-    def _begin_soon(self, attempt):
-        """In the next turn: what else came by now, on whatever connection, is acted on first. A loop that was
-        held up would begin attempts for viewers who have taken their set-up back, or have gone, long ago."""
-        if attempt.turns is None:
+    def _queue_start(self, attempt):
+        """Starts an attempt in the next turn of the event loop.
+
+        Input that has arrived by now, on whatever connection, is handled first. Otherwise a loop that was
+        held up would start attempts for viewers who have cancelled or disconnected long ago.
+        """
+        if attempt.remaining_turns is None:
             attempt.queued_at = self.host.clock.now()
-        if not self.queue:
-            asyncio.get_running_loop().call_soon(self._begin_queued)
-        self.queue.append(attempt)
+        if not self.start_queue:
+            asyncio.get_running_loop().call_soon(self._start_queued)
+        self.start_queue.append(attempt)
 
-    def _begin_queued(self):
-        queue, self.queue = self.queue, []
-        for attempt in queue:
+    def _start_queued(self):
+        queued, self.start_queue = self.start_queue, []
+        for attempt in queued:
             if attempt.state is not AttemptState.CONNECTING or self.closing:
                 continue
-            if attempt.turns is None:
-                held_up = self.host.clock.now() - attempt.queued_at > HELD_UP
-                attempt.turns = TURNS if held_up or attempt.viewing.unread() else 0
-            if attempt.turns > 0:
-                attempt.turns -= 1
-                self._begin_soon(attempt)
+            if attempt.remaining_turns is None:
+                loop_was_late = self.host.clock.now() - attempt.queued_at > HELD_UP
+                attempt.remaining_turns = (
+                    READ_TURNS if loop_was_late or attempt.session.has_unread_input() else 0
+                )
+            if attempt.remaining_turns > 0:
+                attempt.remaining_turns -= 1
+                self._queue_start(attempt)
             elif attempt.connection is not None:
                 self._send(attempt, attempt.connection)
-            elif (connection := self._for_set_up(attempt.peer)) is not None:
+            elif (connection := self._connection_for_set_up(attempt.peer)) is not None:
                 self._send(attempt, connection)
             else:
                 attempt.task = asyncio.ensure_future(self._connect(attempt))
 
     async def _connect(self, attempt):
-        """A connection for an attempt, which then begins."""
+        """Opens a connection for an attempt and queues the attempt again."""
         try:
             attempt.connection = await self._open(attempt.peer)
-        except Unreached as wrong:
-            attempt.connection = self._instead(attempt.peer, wrong)
+        except Unreached as error:
+            attempt.connection = self._fallback_connection(attempt.peer, error)
             if attempt.connection is None:
-                never_tried = isinstance(wrong, ListedAnew | NoDescriptor)
-                self._over(attempt, Ending.NEVER_SENT if never_tried else Ending.UNREACHED)
+                never_sent = isinstance(error, ListEntryChangedError | ConnectionLimitError)
+                self._attempt_over(attempt, Ending.NEVER_SENT if never_sent else Ending.UNREACHED)
                 return
-        attempt.turns = None
-        self._begin_soon(attempt)
+        attempt.remaining_turns = None
+        self._queue_start(attempt)
 
-    def _instead(self, peer, wrong):
-        """A connection to share where none was made: a process that dies takes its connections with it, so
-        one that has others up and took no more holds as many as it takes, and is not ill. Not after a
-        time-out: a machine that vanished leaves its connections open."""
-        up = peer.up() if isinstance(wrong, NotTaken | NoDescriptor) else []
-        return min(up, key=lambda one: len(peer.connections[one]), default=None)
+    def _fallback_connection(self, peer, error):
+        """Returns an open connection to share after a failed connect, or None.
+
+        A streamer that refuses a connection while others are open is at its connection limit, not failed: the
+        connections of a dead process end with it. A connect timeout has no fallback, as a machine that has
+        vanished leaves its connections open.
+        """
+        candidates = peer.open_connections() if isinstance(error, NotTaken | ConnectionLimitError) else []
+        return min(candidates, key=lambda candidate: len(peer.connections[candidate]), default=None)
 
     def _send(self, attempt, connection):
-        if attempt.viewing.gone():  # its connection's end, in this turn or the next, gives it up
+        if (
+            attempt.session.is_disconnected()
+        ):  # the end of its connection, in this turn or the next, cancels it
             return None
         now = self.host.clock.now()
-        if attempt.peer.gone or attempt.due <= now or not self.host.core.may_send(now, attempt.carried):
-            return self._over(attempt, Ending.NEVER_SENT)
-        wait = str(max(1, (attempt.due - now) // MS))
-        parts = [*attempt.viewing.passed, (m.WAIT, wait), (m.RUNG_NO, str(attempt.rung))]
-        if not connection.send(encode(m.SET_UP, attempt.id, *parts)):
-            return self._over(attempt, Ending.NEVER_SENT)
+        if attempt.peer.delisted or attempt.due <= now or not self.host.core.may_send(now, attempt.carried):
+            return self._attempt_over(attempt, Ending.NEVER_SENT)
+        wait_ms = str(max(1, (attempt.due - now) // MS))
+        parameters = [*attempt.session.forwarded, (m.WAIT, wait_ms), (m.RUNG_NO, str(attempt.rung))]
+        if not connection.send(encode(m.SET_UP, attempt.id, *parameters)):
+            return self._attempt_over(attempt, Ending.NEVER_SENT)
         attempt.turn(AttemptState.SENT)
         attempt.connection = connection
         attempt.peer.connections[connection][attempt.id] = attempt
         return None
 
-    def _say(self, peer, data):
-        """On any connection, or on one made for it."""
+    def _send_to_peer(self, peer, data):
+        """Sends a message on any connection, or keeps it for one that is opened for it."""
         if any(connection.send(data) for connection in peer.connections):
             return
-        if len(peer.waiting) < 1000:  # what one dead streamer could leave unsaid
-            peer.waiting.append(data)
-        self._keep(peer)
+        if len(peer.unsent_messages) < 1000:  # bounds what is kept for a dead streamer
+            peer.unsent_messages.append(data)
+        self._maintain_connection(peer)
 
-    def _closed(self, peer, connection):
+    def _connection_closed(self, peer, connection):
         attempts = peer.connections.pop(connection, {})
-        if connection.why.startswith("unreadable") or attempts:
+        if connection.close_reason.startswith("unreadable") or attempts:
             self.log.info(
-                "streamer's connection ended", streamer=peer.name, why=connection.why, attempts=len(attempts)
+                "streamer's connection ended",
+                streamer=peer.name,
+                why=connection.close_reason,
+                attempts=len(attempts),
             )
         for attempt in attempts.values():
-            # one closed from this side: the streamer is yet to hear of it
-            (self._over_soon if connection.by_us else self._over)(attempt, Ending.BROKEN)
-        if peer.playing or peer.expected:
-            # where one has ended others may be of a dead process too, silent and open
-            self._keep(peer, check=not connection.by_us)
-
-    def _keep(self, peer, check=False):
-        if not self.closing and peer.keeper is None and (check or not peer.up()):
-            peer.keeper = asyncio.ensure_future(self._kept(peer, check))
-
-    async def _kept(self, peer, check):
-        """A connection to a streamer where something plays, or must be said; `check`: a new one, as those
-        that are open may be of what has vanished."""
+            # if it was closed locally, the streamer does not know of it yet
+            (self._attempt_over_later if connection.closed_locally else self._attempt_over)(
+                attempt, Ending.BROKEN
+            )
+        if peer.playbacks or peer.hand_overs:
+            # the other connections may belong to a dead process too, and look open
+            self._maintain_connection(peer, check=not connection.closed_locally)
+
+    def _maintain_connection(self, peer, check=False):
+        if not self.closing and peer.reconnect_task is None and (check or not peer.open_connections()):
+            peer.reconnect_task = asyncio.ensure_future(self._reconnect(peer, check))
+
+    async def _reconnect(self, peer, check):
+        """Opens a connection to a streamer that has playbacks or messages to receive.
+
+        With `check` a new connection is opened even if there are others, as those may lead to a machine that
+        has vanished. If no connection comes up, the streamer's playbacks are cut.
+        """
         try:
-            for n in range(GONE_AFTER):
-                if peer.gone:  # its address may be another's by now
+            for n in range(MAX_FAILED_CONNECTIONS):
+                if peer.delisted:  # its address may belong to another streamer by now
                     break
                 if n:
-                    await asyncio.sleep(AGAIN)
-                if not check and peer.up():
+                    await asyncio.sleep(RECONNECT_DELAY_S)
+                if not check and peer.open_connections():
                     return
                 try:
-                    fresh = await self._open(peer)
-                except NoDescriptor as wrong:  # nothing is known of the streamer by that
-                    self.log.warning("streamer not checked", streamer=peer.name, why=str(wrong))
+                    new_connection = await self._open(peer)
+                except ConnectionLimitError as error:  # says nothing about the streamer
+                    self.log.warning("streamer not checked", streamer=peer.name, why=str(error))
                     return
-                except Unreached as wrong:
-                    self.log.info("streamer not reached", streamer=peer.name, why=str(wrong))
+                except Unreached as error:
+                    self.log.info("streamer not reached", streamer=peer.name, why=str(error))
                     continue
                 spare = [
-                    one for one, attempts in peer.connections.items() if one is not fresh and not attempts
+                    candidate
+                    for candidate, attempts in peer.connections.items()
+                    if candidate is not new_connection and not attempts
                 ]
-                for connection in spare[: max(0, len(peer.connections) - MOST)]:  # the oldest may be dead
-                    connection.close("replaced")
+                # the oldest connections are the most likely to be dead
+                for connection in spare[: max(0, len(peer.connections) - MOST)]:
+                    connection.close("replaced by a new connection")
                 return
             if check or not peer.connections:
-                peer.waiting.clear()
-                self._cut(peer, "not reached")
+                peer.unsent_messages.clear()
+                self._cut(peer, "streamer not reached")
                 for connection in list(peer.connections):
                     connection.close("streamer not reached")
         finally:
-            peer.keeper = None
+            peer.reconnect_task = None
 
-    def _cut(self, peer, why):
-        if peer.playing:
-            self.log.info("what played is cut", streamer=peer.name, why=why, playbacks=len(peer.playing))
-        for told in list(peer.expected.values()):
-            told(None)
-        for carried in list(peer.playing.values()):
-            self._ended(peer, carried, Ending.BROKEN, None)
+    def _cut(self, peer, reason):
+        """Ends all playbacks and hand-overs at a streamer."""
+        if peer.playbacks:
+            self.log.info("what played is cut", streamer=peer.name, why=reason, playbacks=len(peer.playbacks))
+        for on_rung in list(peer.hand_overs.values()):
+            on_rung(None)
+        for carried in list(peer.playbacks.values()):
+            self._playback_over(peer, carried, Ending.BROKEN, None)
 
     def every_quarter(self):
-        """Bounds in time; called four times a second."""
+        """Enforces the timeouts of connections to streamers; called four times a second."""
         now = self.host.clock.now()
         for id, peer in list(self.peers.items()):
             for connection, attempts in list(peer.connections.items()):
-                if connection.link.overdue(now):
-                    connection.close("unreadable: stops short")
-                elif not attempts and self._stale(connection) and not (peer.playing or peer.expected):
+                if connection.link.is_overdue(now):
+                    connection.close("unreadable: incomplete message timed out")
+                elif not attempts and self._is_stale(connection) and not (peer.playbacks or peer.hand_overs):
                     connection.close("idle")
-            if peer.playing and self.configuration.tell_every and peer.keeper is None:
-                silent = now - peer.heard
-                if silent > SILENT * self.configuration.tell_every + self.configuration.deployment.links.lag:
-                    self._keep(peer, check=True)
-            if peer.gone and peer.idle():
+            if peer.playbacks and self.configuration.tell_every and peer.reconnect_task is None:
+                silence = now - peer.last_message_at
+                if (
+                    silence
+                    > SILENT_INTERVALS * self.configuration.tell_every
+                    + self.configuration.deployment.links.lag
+                ):
+                    self._maintain_connection(peer, check=True)
+            if peer.delisted and peer.is_unused():
                 for connection in list(peer.connections):
-                    connection.close("streamer gone")
+                    connection.close("streamer removed from the list")
                 del self.peers[id]
 
     def last_releases(self):
-        """The controller ends: streamers are told of all that is out or plays, where a connection is open.
-        Nothing that they say after that is acted on, and no attempt begins."""
+        """Releases all attempts and playbacks at streamers with an open connection; called once, at shutdown.
+
+        Messages from streamers are ignored from then on, and no attempt starts.
+        """
         self.closing = True
         for attempt in self.attempts.values():
             if attempt.state is AttemptState.SENT:
                 attempt.connection.send(m.release(attempt.id, m.OVER))
         for peer in self.peers.values():
-            releases = b"".join(m.release(id, m.OVER) for id in [*peer.playing, *peer.expected])
-            if releases and (up := peer.up()):
-                up[0].send(releases)
+            releases = b"".join(m.release(id, m.OVER) for id in [*peer.playbacks, *peer.hand_overs])
+            if releases and (open_connections := peer.open_connections()):
+                open_connections[0].send(releases)
 
     def connections(self):
-        """Every connection to a streamer."""
+        """Returns every connection to a streamer."""
         return [connection for peer in self.peers.values() for connection in peer.connections]
 
     def close(self):
+        """Cancels all tasks and closes all connections at once."""
         self.closing = True
         for attempt in self.attempts.values():
             if attempt.task is not None:
                 attempt.task.cancel()
         for peer in self.peers.values():
-            if peer.keeper:
-                peer.keeper.cancel()
+            if peer.reconnect_task:
+                peer.reconnect_task.cancel()
         for connection in self.connections():
-            connection.close("the controller ends")
+            connection.close("controller shutdown")
 
-    # What streamers say.
+    # Messages from streamers.
 
-    def _received(self, peer, connection, message):
+    def _on_message(self, peer, connection, message):
         if self.closing or not connection.up():
             return
-        peer.heard = self.host.clock.now()
+        peer.last_message_at = self.host.clock.now()
         attempts = peer.connections.get(connection, {})
         if message.type == m.ANSWER:
             if attempt := attempts.get(message.id):
-                self._answered(peer, connection, attempt, message)
+                self._attempt_answered(peer, connection, attempt, message)
         elif message.type == m.RELEASE:
             if attempt := attempts.pop(message.id, None):
                 ending = m.ATTEMPT_ENDINGS.get(message.cause, Ending.BROKEN)
-                self._over(attempt, ending, m.report(message))
+                self._attempt_over(attempt, ending, m.parse_load_report(message))
             elif attempt := self._cancelled_on(connection, message.id):
-                self._over(attempt, Ending.CALLED_OFF)
-            elif told := peer.expected.get(message.id):
-                told(None)
-            elif carried := peer.playing.get(message.id):
+                self._attempt_over(attempt, Ending.CALLED_OFF)
+            elif on_rung := peer.hand_overs.get(message.id):
+                on_rung(None)
+            elif carried := peer.playbacks.get(message.id):
                 ending = m.PLAY_ENDINGS.get(message.cause, Ending.BROKEN)
-                self._ended(peer, carried, ending, m.report(message))
+                self._playback_over(peer, carried, ending, m.parse_load_report(message))
         elif message.type == m.NOTE:
-            self._noted(peer, message)
+            self._handle_note(peer, message)
         elif message.type == m.RELEASE_HEARD:
             if attempt := self._cancelled_on(connection, message.id):
-                self._over(attempt, Ending.CALLED_OFF)
+                self._attempt_over(attempt, Ending.CALLED_OFF)
         elif message.type not in (m.PROGRESS, m.TESTED):
-            connection.close(f"unreadable: a message of type {message.type}")
+            connection.close(f"unreadable: unexpected message type {message.type}")
 
     def _cancelled_on(self, connection, id):
+        """Returns the cancelled attempt with this ID if it was sent on this connection, else None."""
         attempt = self.cancelled.get(id)
         return attempt if attempt and attempt.connection is connection else None
 
-    def _answered(self, peer, connection, attempt, message):
-        if m.DESCRIPTION not in message.parts:
-            connection.close("unreadable: an answer without a description")
+    def _attempt_answered(self, peer, connection, attempt, message):
+        if m.DESCRIPTION not in message.parameters:
+            connection.close("unreadable: answer without a description")
             return
         del peer.connections[connection][message.id], self.attempts[attempt.carried]
         attempt.turn(AttemptState.OVER)
-        attempt.viewing.description = message.parts[m.DESCRIPTION]
-        peer.playing[message.id] = attempt.carried
-        self.host.do(self.host.core.began, attempt.carried, m.report(message))
+        attempt.session.description = message.parameters[m.DESCRIPTION]
+        peer.playbacks[message.id] = attempt.carried
+        self.host.do(self.host.core.began, attempt.carried, m.parse_load_report(message))
 
-    def _ended(self, peer, carried, ending, report):
+    def _playback_over(self, peer, carried, ending, report):
         self.log.debug("ended", streamer=peer.id, pb=carried.id, ending=ending.name, report=report)
-        peer.playing.pop(carried.wanted.about.id, None)
-        self.ended(carried, ending is Ending.CALLED_OFF)
+        peer.playbacks.pop(carried.wanted.about.id, None)
+        self.on_ended(carried, ending is Ending.CALLED_OFF)
         self.host.do(self.host.core.over, carried, ending, report)
 
-    def _noted(self, peer, message):
+    def _handle_note(self, peer, message):
         try:
             name, value = message.text(m.NOTE_NAME), message.number(m.NOTE_VALUE)
-        except Unusable:
+        except InvalidMessageError:
             return
-        if name == "at_rung" and message.id in peer.expected:
-            peer.expected[message.id](int(value))
-        carried, do, core = peer.playing.get(message.id), self.host.do, self.host.core
+        if name == "at_rung" and message.id in peer.hand_overs:
+            peer.hand_overs[message.id](int(value))
+        carried, do, core = peer.playbacks.get(message.id), self.host.do, self.host.core
         if carried is None:
             return
         self.log.debug("note", streamer=peer.id, pb=carried.id, name=name, value=value)
@@ -432,8 +488,9 @@
         elif name == "rack_use":
             do(core.told_use, carried, None, value)
 
-    def _over(self, attempt, ending, report=None):
-        """The one way in which an attempt that came to nothing ends; said again it does nothing."""
+    def _attempt_over(self, attempt, ending, report=None):
+        """Ends an attempt that did not lead to a playback; every such attempt ends here. Repeats are
+        ignored."""
         if attempt.state is AttemptState.OVER:
             return
         attempt.turn(AttemptState.OVER)
@@ -443,5 +500,5 @@
             del self.attempts[attempt.carried]
             self.host.do(self.host.core.try_over, attempt.carried, ending, report)
 
-    def _over_soon(self, attempt, ending):
-        IOLoop.current().call_later(CONFIRM, self._over, attempt, ending)
+    def _attempt_over_later(self, attempt, ending):
+        IOLoop.current().call_later(CONFIRM, self._attempt_over, attempt, ending)
--- a/terndrift/platform/connection.py
+++ b/terndrift/platform/connection.py
@@ -1,4 +1,8 @@
-"""One TCP connection that carries the platform's messages, on a Tornado stream."""
+"""One TCP connection that carries platform messages, on a Tornado stream.
+
+The front uses it for viewers and the carrier for streamers. It passes decoded messages to a callback and
+never interprets them.
+"""
 
 import asyncio
 import select
@@ -7,22 +11,22 @@
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
-from terndrift.platform.link import Link
-from terndrift.platform.message import Unreadable
+from terndrift.platform.link import MessageReader
+from terndrift.platform.message import MessageFramingError
 
-# Read at once: the loop is not held for longer than it takes to look at so much.
-CHUNK = 64 * 1024
-# Bytes that may wait for the other side to take them: a thousand answers. One that takes none is closed.
-UNSENT = 256 * 1024
-# A message that has begun is whole within so long; bad viewers are owed a close within 3 s.
-HALF = 2_000_000_000
+# Bytes per read; bounds the time that one read and its processing hold the event loop.
+READ_CHUNK_BYTES = 64 * 1024
+# Bytes that may be queued for sending, about a thousand answers; a peer that stops reading is disconnected.
+MAX_UNSENT_BYTES = 256 * 1024
+# ns within which a message must be complete once begun; misbehaving viewers must be disconnected within 3 s.
+PARTIAL_MESSAGE_TIMEOUT_NS = 2_000_000_000
 
 
 class ConnectionState(Enum):
-    """What may still be done on a connection."""
+    """State of the local side of a connection."""
 
-    OPEN = "open"  # both sides send
-    FINISHING = "finishing"  # this side has sent its last byte; what the other side sends is passed over
+    OPEN = "open"  # both sides may send
+    FINISHING = "finishing"  # this side has shut down sending; received data is discarded
     CLOSED = "closed"
 
 
@@ -33,30 +37,42 @@
 }
 
 
-def stream(sock=None):
-    """A stream with the platform's bounds, on `sock` or a new socket; raises OSError without a descriptor."""
+def new_stream(sock=None):
+    """Returns an IOStream with the platform's buffer limits on `sock`, or on a new TCP socket if it is None.
+
+    Raises OSError if no file descriptor is available.
+    """
     return IOStream(
         sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
-        max_buffer_size=2 * CHUNK,
-        read_chunk_size=CHUNK,
-        max_write_buffer_size=UNSENT,
+        max_buffer_size=2 * READ_CHUNK_BYTES,
+        read_chunk_size=READ_CHUNK_BYTES,
+        max_write_buffer_size=MAX_UNSENT_BYTES,
     )
 
 
 class Connection:
-    """Calls `received(connection, messages)` with what came in one read, and `closed(connection)` once."""
-
-    def __init__(self, stream, clock, received, closed, half=HALF):
-        self.stream, self.clock, self.received, self.closed = stream, clock, received, closed
-        self.state, self.why, self.by_us = ConnectionState.OPEN, "closed by the other side", False
-        self.link = Link(clock.now(), half)
-        self.sent_at = clock.now()
-        self.more = False  # whether the last read left bytes in the stream's own buffer
+    """Reads and writes messages on a stream, which it owns.
+
+    Calls `on_messages(connection, messages)` with the messages of each read, and `on_closed(connection)`
+    exactly once. `partial_timeout` (ns) is passed to the message reader; whoever owns the connection has to
+    check it by calling `link.is_overdue` regularly. Must be created within a running event loop.
+    """
+
+    def __init__(self, stream, clock, on_messages, on_closed, partial_timeout=PARTIAL_MESSAGE_TIMEOUT_NS):
+        self.stream, self.clock, self.on_messages, self.on_closed = stream, clock, on_messages, on_closed
+        self.state, self.close_reason, self.closed_locally = (
+            ConnectionState.OPEN,
+            "closed by the peer",
+            False,
+        )
+        self.link = MessageReader(clock.now(), partial_timeout)
+        self.last_sent_at = clock.now()
+        self.may_have_buffered_input = False  # a full-sized read may have left bytes in the stream's buffer
         stream.set_nodelay(True)
         self.task = asyncio.ensure_future(self._read())
 
     def _turn(self, state):
-        """Every change of the connection's state."""
+        """Sets the state; every state change goes through here."""
         assert state in TRANSITIONS[self.state], f"{self.state} to {state}"
         self.state = state
 
@@ -64,68 +80,73 @@
         """Whether messages can still be sent."""
         return self.state is ConnectionState.OPEN and not self.stream.closed()
 
-    def unread(self):
-        """Whether bytes, or the other side's end, wait to be read."""
+    def has_unread_input(self):
+        """Whether received bytes, or the peer's end of stream, are still to be read."""
         if self.stream.closed():
             return False
-        if self.more:
+        if self.may_have_buffered_input:
             return True
         poll = select.poll()
         poll.register(self.stream.socket, select.POLLIN)
         return bool(poll.poll(0))
 
     def unsent(self):
-        """Whether bytes wait for the other side to take them."""
+        """Whether written bytes are still queued in this process."""
         return not self.stream.closed() and self.stream.writing()
 
     def idle_since(self):
-        """When a byte last went either way."""
-        return max(self.sent_at, self.link.heard)
+        """Time in ns at which data was last sent or received."""
+        return max(self.last_sent_at, self.link.heard)
 
     def send(self, data):
-        """Whether it was taken for sending."""
+        """Queues bytes for sending and returns True; returns False if the connection can't take them."""
         if not self.up():
             return False
         try:
             self.stream.write(data)
         except StreamBufferFullError:
-            self.close("the other side takes nothing")
+            self.close("the peer does not read: send buffer full")
             return False
         except StreamClosedError:
             return False
-        self.sent_at = self.clock.now()
+        self.last_sent_at = self.clock.now()
         return True
 
-    def close(self, why):
-        """Ends both ways at once."""
+    def close(self, reason):
+        """Closes both directions immediately; queued bytes are lost. `reason` is for the log."""
         if not self.stream.closed():
-            self.why, self.by_us = why, True
+            self.close_reason, self.closed_locally = reason, True
             self.stream.close()
 
-    def finish(self, why):
-        """Ends this side after the last byte written, and reads until the other side ends too: a socket that
-        is closed with bytes unread is reset, and the last messages to the other side are lost with it."""
+    def finish(self, reason):
+        """Shuts down sending and discards received data until the peer closes too.
+
+        Closing a socket with unread input resets the connection, and the last messages to the peer would be
+        lost with it.
+        """
         if not self.up():
             return
         self._turn(ConnectionState.FINISHING)
-        self.why, self.by_us = why, True
+        self.close_reason, self.closed_locally = reason, True
         try:
             self.stream.socket.shutdown(socket.SHUT_WR)
-        except OSError:  # the other side has reset it
+        except OSError:  # the peer has reset the connection
             self.stream.close()
 
     async def _read(self):
         try:
             while True:
-                data = await self.stream.read_bytes(CHUNK, partial=True)
-                self.more = len(data) == CHUNK
-                if self.state is ConnectionState.OPEN and (got := self.link.take(self.clock.now(), data)):
-                    self.received(self, got)
+                data = await self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
+                self.may_have_buffered_input = len(data) == READ_CHUNK_BYTES
+                if self.state is ConnectionState.OPEN and (
+                    received := self.link.receive(self.clock.now(), data)
+                ):
+                    self.on_messages(self, received)
         except StreamClosedError:
             pass
-        except Unreadable as wrong:
-            self.close(f"unreadable: {wrong}")
+        except MessageFramingError as error:
+            self.close(f"unreadable: {error}")
         finally:
             self.stream.close()
             self._turn(ConnectionState.CLOSED)
-            self.closed(self)
+            self.on_closed(self)
--- a/terndrift/platform/descriptors.py
+++ b/terndrift/platform/descriptors.py
@@ -1,23 +1,27 @@
-"""How the descriptors that a controller may hold are shared between viewers, streamers and the rest."""
+"""How the file descriptors of a controller are divided between viewers, streamers and its own needs."""
 
 from dataclasses import dataclass
 
-# Held or wanted at any time besides connections to viewers and streamers: standard streams (3), event loop
-# and its wake-up pair (3), listener, control feed at its old and new address (2), the configuration while it
-# is read, a connection while it is accepted and refused, one to spare.
+# Descriptors in use besides the connections to viewers and streamers: standard streams (3), event loop and
+# its wake-up pair (3), listener, control feed at its old and new address (2), the configuration while it is
+# read, a connection while it is accepted and refused, one spare.
 RESERVED = 12
-LEAST = 2
+MIN_CONNECTIONS = 2
 
 
 @dataclass(frozen=True)
 class Descriptors:
-    """Connections at most."""
+    """The maximum number of connections to viewers and to streamers."""
 
     viewers: int
     streamers: int
 
 
 def shared_out(limit):
-    """Good viewers hold a third of `limit` at most (PROTOCOL), bad ones come beside them: half is theirs."""
-    half = max(LEAST, (limit - RESERVED) // 2)
+    """Returns the Descriptors for a process limit of `limit` descriptors.
+
+    Well-behaved viewers hold at most a third of the limit (PROTOCOL), and misbehaving ones come on top of
+    that, so viewers may use half of what is not reserved.
+    """
+    half = max(MIN_CONNECTIONS, (limit - RESERVED) // 2)
     return Descriptors(viewers=half, streamers=half)
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -1,327 +1,376 @@
-"""The front that viewers reach: set-ups in, one answer each, and what stands and is over released."""
+"""The viewer side of the platform controller: handles set-ups and releases and sends the answers.
+
+Created by the service. Every set-up gets exactly one answer, and every playback that ends without its
+viewer's doing gets a release. Placement decisions are made by the core; the front never chooses a streamer or
+a rung.
+"""
 
 from collections import Counter, deque
 
 from terndrift.core.carried import Kind, Stage, Wanted
 from terndrift.core.gate import Gate
 from terndrift.platform import message as m
-from terndrift.platform.connection import Connection, stream
+from terndrift.platform.connection import Connection, new_stream
 from terndrift.platform.listener import Listener
-from terndrift.platform.message import Unusable, asked, encode, release
+from terndrift.platform.message import InvalidMessageError, encode, parse_set_up, release
 from terndrift.platform.settings import streamer_id
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-# A connection with nothing on it is closed after so long: bad viewers are owed a close within 3 s of coming,
-# good ones close after 4 s themselves, and send once more what crosses the close.
-IDLE = 2 * SECOND
-# Set-ups that come in a second at the most (DAYS); each is open while its viewer waits. More is a flood.
-MOST_A_SECOND = 90
-# What plays already is handed over when its streamer has said at which rung, some tens of ms later; it may be
-# dead, or its connections slow to come up: after so long it is handed over as if at its plan's floor.
-EXPECT = SECOND // 2
-# A release that no connection can carry is kept for the next one so long: later it is owed no more.
-OWED = 8 * SECOND
-
-
-class Viewing:
-    """A playback as its viewer knows it: `about` of what the core is asked."""
-
-    def __init__(self, id, connection, passed):
-        self.id, self.connection, self.passed = id, connection, passed
+# ns after which a connection without set-ups or playbacks is closed. Misbehaving viewers must be disconnected
+# within 3 s of connecting; well-behaved ones close after 4 s themselves, and resend what crosses the close.
+IDLE_TIMEOUT_NS = 2 * SECOND
+# Peak rate of set-ups (DAYS); each stays open while its viewer waits. A higher rate is a flood.
+MAX_SET_UPS_PER_SECOND = 90
+# ns to wait until the streamer of a playback that is handed over has told its rung, which usually takes some
+# tens of ms. The streamer may be dead, or its connections slow to come up: after this time the playback is
+# handed over at its plan's floor.
+HAND_OVER_TIMEOUT_NS = SECOND // 2
+# ns for which a release that no connection could carry is kept for the next connection; it is not needed
+# later.
+RELEASE_RETENTION_NS = 8 * SECOND
+
+
+class ViewerSession:
+    """A set-up or playback as its viewer knows it; the core gets it as `Wanted.about`.
+
+    `forwarded` are the parameters of the set-up that go to the streamer unchanged. The carrier sets
+    `description` from the streamer's answer.
+    """
+
+    def __init__(self, id, connection, forwarded):
+        self.id, self.connection, self.forwarded = id, connection, forwarded
         self.carried = self.description = None
 
-    def gone(self):
+    def is_disconnected(self):
         """Whether the viewer's connection has ended."""
         return not self.connection.up()
 
-    def unread(self):
-        """Whether something from its connection waits to be read, which may take the set-up back."""
-        return self.connection.unread()
+    def has_unread_input(self):
+        """Whether its connection has unread input, which may cancel the set-up."""
+        return self.connection.has_unread_input()
+
 
+def max_open_set_ups(deadlines):
+    """Returns how many set-ups may be open at once.
 
-def most_open(deadlines):
-    """Set-ups open at once; `deadlines`: plan -> ns that its viewers wait at most."""
-    return max(MOST_A_SECOND, MOST_A_SECOND * max(deadlines.values(), default=0) // SECOND)
+    `deadlines` maps each plan to the longest time, in ns, that its viewers wait.
+    """
+    return max(MAX_SET_UPS_PER_SECOND, MAX_SET_UPS_PER_SECOND * max(deadlines.values(), default=0) // SECOND)
 
 
 class Front:
-    """The connections of viewers, the set-ups open on them, and the playbacks that stand."""
+    """The connections of viewers, their open set-ups, and their playbacks."""
 
     def __init__(self, host, carrier, configuration, log):
         self.host, self.carrier, self.configuration, self.log = host, carrier, configuration, log
         self.deadlines, self.layout = configuration.deadlines, configuration.layout
-        self.ladder = len(configuration.deployment.ladder.rates)
-        self.most = configuration.descriptors.viewers
-        self.listener = Listener(self._accepted, self._close_quiet, log)
-        self.connections = {}  # Connection -> {id: Viewing} of set-ups open on it, in order of coming
-        self.standing = {}  # Connection -> how many of its playbacks stand
-        self.served = {}  # Connection -> None: where an answer was given, so that a release is understood
-        self.held = {}  # id -> Viewing, open or standing
-        self.expected = {}  # id -> (since, streamer, Viewing, what hands it over): it plays already
-        self.owed = deque()  # (until, bytes): releases that no connection could carry
-        self.gate = Gate(most_open(self.deadlines), configuration.deployment.seed)
-        self.ready, self.leaving = False, False
-        carrier.ended = self._ended
+        self.rung_count = len(configuration.deployment.ladder.rates)
+        self.max_connections = configuration.descriptors.viewers
+        self.listener = Listener(self._on_accepted, self._close_quiet, log)
+        self.connections = {}  # Connection -> {ID: ViewerSession} of its open set-ups, in order of arrival
+        self.standing = {}  # Connection -> number of its playbacks
+        # Connection -> None: connections on which an answer was sent, so that a release is understood there
+        self.answered_connections = {}
+        self.held = {}  # ID -> ViewerSession of an open set-up or a playback
+        # ID -> (since, streamer ID, ViewerSession, callback) of a hand-over that waits for its rung
+        self.expected = {}
+        self.undelivered_releases = deque()  # (expiry time, bytes) of releases that no connection could carry
+        self.admission = Gate(max_open_set_ups(self.deadlines), configuration.deployment.seed)
+        self.ready, self.closing = False, False
+        carrier.on_ended = self._playback_ended
 
     def listen_on(self, address):
-        """Raises OSError."""
+        """Starts to accept viewers on (host, port) and returns the bound (host, port); raises OSError."""
         return self.listener.listen_on(address)
 
-    def _accepted(self, sock):
-        if len(self.connections) >= self.most and not self._close_quiet():
+    def _on_accepted(self, sock):
+        if len(self.connections) >= self.max_connections and not self._close_quiet():
             sock.close()
             return
-        connection = Connection(stream(sock), self.host.clock, self._received, self._closed)
+        connection = Connection(new_stream(sock), self.host.clock, self._on_messages, self._connection_closed)
         self.connections[connection], self.standing[connection] = {}, 0
 
     def _close_quiet(self):
-        """Closes a connection that nobody will miss, and says whether there was one: the first of those that
-        have said nothing, else of those with nothing on them the one that was idle for longest."""
+        """Closes one connection that is not in use; returns whether there was one.
+
+        Prefers connections that have sent no message; among equals it closes the one idle for longest.
+        """
         unused = [
-            one for one, open in self.connections.items() if one.up() and not open and not self.standing[one]
+            connection
+            for connection, sessions in self.connections.items()
+            if connection.up() and not sessions and not self.standing[connection]
         ]
-        unused.sort(key=lambda one: (one.link.count > 0, one.idle_since()))
-        victim = next((one for one in unused if not one.unread()), None)
-        if victim is None:
+        unused.sort(key=lambda connection: (connection.link.count > 0, connection.idle_since()))
+        selected = next((connection for connection in unused if not connection.has_unread_input()), None)
+        if selected is None:
             return False
-        victim.close("too many connections")
+        selected.close("connection limit reached")
         return True
 
     def every_quarter(self):
-        """Bounds in time; called four times a second."""
+        """Enforces the timeouts of the front; called four times a second."""
         now = self.host.clock.now()
-        for connection, open in list(self.connections.items()):
-            if connection.link.overdue(now):
-                connection.close("stops short")
+        for connection, sessions in list(self.connections.items()):
+            if connection.link.is_overdue(now):
+                connection.close("incomplete message timed out")
             elif (
-                not open
+                not sessions
                 and not self.standing[connection]
-                and now - connection.link.heard > IDLE
-                and not connection.unread()
-            ):  # a set-up that has come is not closed upon
+                and now - connection.link.heard > IDLE_TIMEOUT_NS
+                and not connection.has_unread_input()
+            ):  # a set-up that has arrived but is not read yet must not be lost to the close
                 connection.close("idle")
-        for id, (since, *_, told) in list(self.expected.items()):
-            if now - since > EXPECT and id in self.expected:
-                told(0)
-        while self.owed and self.owed[0][0] < now:
-            self.owed.popleft()
-
-    # What viewers say.
-
-    def _received(self, connection, got):
-        # a set-up that is taken back in the same read, or comes twice, is never taken: guards streamers
-        # against hundreds of them at once; no good viewer's is, as it waits for its answer. Not of what plays
-        # already: nothing is sent for that, and its release is owed to its streamer
-        back = {one.id for one in got if one.type == m.RELEASE}
-        often = Counter(one.id for one in got if one.type == m.SET_UP and not m.plays_already(one))
-        for message in got:
+        for id, (since, *_, on_rung) in list(self.expected.items()):
+            if now - since > HAND_OVER_TIMEOUT_NS and id in self.expected:
+                on_rung(0)
+        while self.undelivered_releases and self.undelivered_releases[0][0] < now:
+            self.undelivered_releases.popleft()
+
+    # Messages from viewers.
+
+    def _on_messages(self, connection, batch):
+        # A set-up that is cancelled or repeated within the same read is refused at once: this keeps hundreds
+        # of them from reaching streamers together. Well-behaved viewers are not affected, as they wait for
+        # their answer. Hand-overs are exempt: nothing is sent to a streamer for them, and it must get their
+        # release.
+        cancelled_ids = {candidate.id for candidate in batch if candidate.type == m.RELEASE}
+        set_up_counts = Counter(
+            candidate.id
+            for candidate in batch
+            if candidate.type == m.SET_UP and not m.is_hand_over(candidate)
+        )
+        for message in batch:
             if not connection.up():
                 return
             if (
                 message.type == m.SET_UP
-                and not m.plays_already(message)
-                and (message.id in back or often[message.id] > 1)
+                and not m.is_hand_over(message)
+                and (message.id in cancelled_ids or set_up_counts[message.id] > 1)
             ):
                 connection.send(release(message.id, m.UNUSABLE))
             else:
-                self._message(connection, message)
+                self._handle_message(connection, message)
 
-    def _message(self, connection, message):
+    def _handle_message(self, connection, message):
         if message.type == m.SET_UP:
-            self._set_up(connection, message)
+            self._handle_set_up(connection, message)
         elif message.type == m.RELEASE:
-            self._released(connection, message.id)
+            self._handle_release(connection, message.id)
         elif message.type == m.TEST:
             connection.send(encode(m.TESTED, message.id, (m.CAUSE, bytes([self.ready]))))
         elif message.type not in (m.PROGRESS, m.RELEASE_HEARD, m.TESTED):
-            connection.close(f"a message of type {message.type}")
+            connection.close(f"unexpected message type {message.type}")
 
-    def _set_up(self, connection, message):
-        before, now = self.held.get(message.id), self.host.clock.now()
+    def _handle_set_up(self, connection, message):
+        existing, now = self.held.get(message.id), self.host.clock.now()
         try:
-            said = asked(message, self.deadlines, self.layout.cells)
-            if said.plays_at is not None:
-                if before is None and message.id not in self.expected and not self.leaving:
-                    self._expect(connection, message.id, said)
+            request = parse_set_up(message, self.deadlines, self.layout.cells)
+            if request.current_streamer is not None:
+                if existing is None and message.id not in self.expected and not self.closing:
+                    self._await_hand_over(connection, message.id, request)
                 return
-            if before is not None or message.id in self.expected or self.carrier.holds(message.id):
-                raise Unusable("an id that is in use")
-        except Unusable as wrong:
-            self.log.debug("unusable", why=str(wrong))
-            if before is not None and before.id in self.connections[connection]:
-                self._give_up(before)  # one answer can't stand for two
+            if existing is not None or message.id in self.expected or self.carrier.holds(message.id):
+                raise InvalidMessageError("playback ID is already in use")
+        except InvalidMessageError as error:
+            self.log.debug("unusable", why=str(error))
+            if existing is not None and existing.id in self.connections[connection]:
+                self._cancel_set_up(existing)  # one answer can't serve two set-ups
             connection.send(release(message.id, m.UNUSABLE))
             return
-        if self.leaving:
-            self._reject(connection, message.id, self.host.core.controller.advice)
+        if self.closing:
+            self._send_rejection(connection, message.id, self.host.core.controller.advice)
             return
-        if come_back := self.gate.enter(now, connection):
-            self._reject(connection, message.id, come_back)
+        if retry_after := self.admission.enter(now, connection):
+            self._send_rejection(connection, message.id, retry_after)
             return
-        viewing = Viewing(message.id, connection, said.passed)
-        self.held[message.id] = self.connections[connection][message.id] = viewing
-        viewing.carried = self.host.do(
+        session = ViewerSession(message.id, connection, request.forwarded)
+        self.held[message.id] = self.connections[connection][message.id] = session
+        session.carried = self.host.do(
             self.host.core.want,
-            self._wanted(viewing, said),
+            self._wanted(session, request),
             self.carrier,
-            lambda answer: self._answered(viewing, answer),
+            lambda answer: self._on_answer(session, answer),
         )
 
-    def _wanted(self, viewing, said):
-        top = min(said.top, self.configuration.deployment.plans[said.plan].top, self.ladder - 1)
+    def _wanted(self, session, request):
+        top_rung = min(
+            request.top_rung, self.configuration.deployment.plans[request.plan].top, self.rung_count - 1
+        )
         return Wanted(
-            said.plan,
-            said.title,
-            self.layout.holders(said.first_cell, said.copies),
-            top,
-            said.time_left,
-            said.length,
-            about=viewing,
+            request.plan,
+            request.title,
+            self.layout.holders(request.first_cell, request.copies),
+            top_rung,
+            request.time_left,
+            request.expected_duration,
+            about=session,
         )
 
-    def _expect(self, connection, id, said):
-        """What plays already. The decisions are handed it with the rung in force, as one told of it without
-        would at once correct a rung that it only guessed."""
-        streamer, viewing = streamer_id(said.plays_at), Viewing(id, connection, said.passed)
+    def _await_hand_over(self, connection, id, request):
+        """Hands a running playback over once its streamer has told its rung.
+
+        The decisions need the rung in force from the start: without it they would guess one and correct that
+        at once.
+        """
+        streamer, session = (
+            streamer_id(request.current_streamer),
+            ViewerSession(id, connection, request.forwarded),
+        )
 
-        def told(rung):
+        def on_rung(rung):
             self.expected.pop(id, None)
-            self.carrier.expect_no_more(streamer, id)
-            self._hand_over(viewing, said, streamer, rung)
+            self.carrier.cancel_hand_over(streamer, id)
+            self._complete_hand_over(session, request, streamer, rung)
 
         self.standing[connection] += 1
-        if self.carrier.expect(streamer, id, told):
-            self.expected[id] = self.host.clock.now(), streamer, viewing, told
-            self.served[connection] = None
+        if self.carrier.register_hand_over(streamer, id, on_rung):
+            self.expected[id] = self.host.clock.now(), streamer, session, on_rung
+            self.answered_connections[connection] = None
         else:
-            self.log.warning("handed over at a streamer that is not listed", streamer=said.plays_at)
-            told(None)
+            self.log.warning(
+                "handed over at a streamer that is not listed", streamer=request.current_streamer
+            )
+            on_rung(None)
 
-    def _hand_over(self, viewing, said, streamer, rung):
+    def _complete_hand_over(self, session, request, streamer, rung):
+        """Gives a running playback to the core; `rung` None means that it is over."""
         if rung is not None:
-            rung = min(max(rung, self.configuration.deployment.plans[said.plan].floor), self.ladder - 1)
-            viewing.carried = self.host.do(
-                self.host.core.hand_over, self._wanted(viewing, said), self.carrier, streamer, rung
+            rung = min(
+                max(rung, self.configuration.deployment.plans[request.plan].floor), self.rung_count - 1
             )
-        if viewing.carried is None or viewing.carried.stage is Stage.OVER:
-            self._forget(viewing)
-            self._release(viewing)
+            session.carried = self.host.do(
+                self.host.core.hand_over, self._wanted(session, request), self.carrier, streamer, rung
+            )
+        if session.carried is None or session.carried.stage is Stage.OVER:
+            self._remove(session)
+            self._send_release(session)
             return
-        self.held[viewing.id] = viewing
-        self.carrier.handed_over(viewing.carried)
+        self.held[session.id] = session
+        self.carrier.track_playback(session.carried)
 
-    def _released(self, connection, id):
-        viewing = self.held.get(id)
+    def _handle_release(self, connection, id):
+        session = self.held.get(id)
         connection.send(encode(m.RELEASE_HEARD, id))
         if id in self.expected:
-            _, streamer, expected, _ = self.expected.pop(id)
-            self._forget(expected)
-            self.carrier.expect_no_more(streamer, id, ended=True)
-        if viewing is None:
+            _, streamer, pending, _ = self.expected.pop(id)
+            self._remove(pending)
+            self.carrier.cancel_hand_over(streamer, id, ended_by_viewer=True)
+        if session is None:
             return
-        if viewing.carried.answer is None:
-            self._give_up(viewing)  # from whatever connection it comes, as the end of what stands may
+        if session.carried.answer is None:
+            self._cancel_set_up(session)  # accepted from any connection, like the end of a playback
         else:
-            self._forget(viewing)
-            self._left(viewing)
-
-    def _left(self, viewing):
-        """Its viewer has left. The two no longer hold each other: what only a full collection frees stays for
-        many minutes, as those are rare (process.py); a soak's memory grew by it, 1.5 MB a quarter."""
-        self.host.do(self.host.core.left, viewing.carried)
-        viewing.carried = None
-
-    def _give_up(self, viewing):
-        self._close(viewing)
-        self.held.pop(viewing.id, None)
-        self._left(viewing)
-
-    def _closed(self, connection):
-        open = self.connections.pop(connection)
+            self._remove(session)
+            self._viewer_left(session)
+
+    def _viewer_left(self, session):
+        """Tells the core that the viewer has left, and breaks the reference cycle of session and Carried.
+
+        Only a full garbage collection would free a cycle, and those are rare (process.py), so it would stay
+        for many minutes; in a soak test memory grew by 1.5 MB in each quarter of the run.
+        """
+        self.host.do(self.host.core.left, session.carried)
+        session.carried = None
+
+    def _cancel_set_up(self, session):
+        self._close_set_up(session)
+        self.held.pop(session.id, None)
+        self._viewer_left(session)
+
+    def _connection_closed(self, connection):
+        sessions = self.connections.pop(connection)
         self.standing.pop(connection)
-        self.served.pop(connection, None)
-        for viewing in open.values():
-            self._give_up(viewing)
+        self.answered_connections.pop(connection, None)
+        for session in sessions.values():
+            self._cancel_set_up(session)
 
     def last_answers(self):
-        """The controller ends: the last answer to every set-up, a release of all that stands. The host is
-        stopped first: an answer or a refusal of a streamer that is on its way leads to nothing any more, no
-        second answer and no further attempt. Set-ups that come later are rejected."""
-        self.leaving = True
+        """Sends the last answer to every open set-up and releases every playback; called once, at shutdown.
+
+        The host is stopped first, so that an answer or a refusal of a streamer that is still on its way
+        causes neither a second answer nor a further attempt. Set-ups that arrive later are rejected.
+        """
+        self.closing = True
         self.host.stop()
-        for viewing in self.held.values():
-            if viewing.carried.answer is None:
-                self._say_no(viewing, self.host.core.last_answer(viewing.carried))
+        for session in self.held.values():
+            if session.carried.answer is None:
+                self._send_refusal(session, self.host.core.last_answer(session.carried))
             else:
-                self._release(viewing)
-        for _, _, viewing, _ in self.expected.values():
-            self._release(viewing)
+                self._send_release(session)
+        for _, _, session, _ in self.expected.values():
+            self._send_release(session)
         self.carrier.last_releases()
         self.held.clear()
         self.expected.clear()
-        for open in self.connections.values():
-            open.clear()
+        for sessions in self.connections.values():
+            sessions.clear()
 
     def finish(self):
-        """Nothing more is said to anybody."""
+        """Shuts down sending on every connection; nothing can be sent to viewers afterwards."""
         for connection in list(self.connections):
-            connection.finish("the controller ends")
+            connection.finish("controller shutdown")
 
-    # What viewers are told.
+    # Messages to viewers.
 
-    def _close(self, viewing):
-        """The set-up is no longer open."""
-        if viewing.connection in self.connections:
-            del self.connections[viewing.connection][viewing.id]
-        self.gate.leave(self.host.clock.now(), viewing.connection)
+    def _close_set_up(self, session):
+        """Removes an answered or cancelled set-up from the open ones."""
+        if session.connection in self.connections:
+            del self.connections[session.connection][session.id]
+        self.admission.leave(self.host.clock.now(), session.connection)
 
-    def _answered(self, viewing, answer):
-        connection = viewing.connection
-        self._close(viewing)
+    def _on_answer(self, session, answer):
+        connection = session.connection
+        self._close_set_up(session)
         if answer.kind is Kind.PLAYS:
             self.standing[connection] += 1
-            self.served[connection] = None
-            if not connection.send(encode(m.ANSWER, viewing.id, (m.DESCRIPTION, viewing.description))):
-                # its connection has just ended: nobody knows that it stands
-                self._forget(viewing)
-                self._left(viewing)
+            self.answered_connections[connection] = None
+            if not connection.send(encode(m.ANSWER, session.id, (m.DESCRIPTION, session.description))):
+                # the connection has just ended, so the viewer does not know that its playback was set up
+                self._remove(session)
+                self._viewer_left(session)
                 return
-            while self.owed and connection.send(self.owed[0][1]):
-                self.owed.popleft()
+            while self.undelivered_releases and connection.send(self.undelivered_releases[0][1]):
+                self.undelivered_releases.popleft()
             return
-        del self.held[viewing.id]
-        self._say_no(viewing, answer)
+        del self.held[session.id]
+        self._send_refusal(session, answer)
 
-    def _say_no(self, viewing, answer):
+    def _send_refusal(self, session, answer):
         if answer.kind is Kind.ABORTED:
-            viewing.connection.send(release(viewing.id, m.FAILED))
+            session.connection.send(release(session.id, m.FAILED))
         else:
-            self._reject(viewing.connection, viewing.id, answer.come_back)
+            self._send_rejection(session.connection, session.id, answer.come_back)
 
-    def _reject(self, connection, id, come_back):
-        """`come_back`: ns to stay away, 0: no advice; no longer than viewers follow, if they do."""
-        come_back = min(come_back, self.configuration.deployment.rules.longest_advice)
-        advice = [(m.ADVICE, str(come_back // MS))] if come_back else []
+    def _send_rejection(self, connection, id, retry_after):
+        """Rejects a set-up; `retry_after` is the advised delay in ns, 0 for none.
+
+        The advice is limited to the longest delay that viewers follow.
+        """
+        retry_after = min(retry_after, self.configuration.deployment.rules.longest_advice)
+        advice = [(m.ADVICE, str(retry_after // MS))] if retry_after else []
         connection.send(release(id, m.REJECTED, *advice))
 
-    def _forget(self, viewing):
-        self.held.pop(viewing.id, None)
-        if viewing.connection in self.standing:
-            self.standing[viewing.connection] -= 1
+    def _remove(self, session):
+        """Removes a playback from those of its connection."""
+        self.held.pop(session.id, None)
+        if session.connection in self.standing:
+            self.standing[session.connection] -= 1
 
-    def _ended(self, carried, by_viewer):
-        """What stood is over, its streamer says."""
-        viewing = carried.wanted.about
-        if self.held.get(viewing.id) is not viewing:
+    def _playback_ended(self, carried, by_viewer):
+        """Called by the carrier when a playback is over at its streamer."""
+        session = carried.wanted.about
+        if self.held.get(session.id) is not session:
             return
-        self._forget(viewing)
-        viewing.carried = None
+        self._remove(session)
+        session.carried = None
         if not by_viewer:
-            self._release(viewing)
-
-    def _release(self, viewing):
-        """What stood is over; nobody but the controller tells the viewer."""
-        data = release(viewing.id, m.OVER)
-        if not viewing.connection.send(data) and not any(connection.send(data) for connection in self.served):
-            self.owed.append((self.host.clock.now() + OWED, data))
+            self._send_release(session)
+
+    def _send_release(self, session):
+        """Tells the viewer that its playback is over, on any connection that can carry the message."""
+        data = release(session.id, m.OVER)
+        if not session.connection.send(data) and not any(
+            connection.send(data) for connection in self.answered_connections
+        ):
+            self.undelivered_releases.append((self.host.clock.now() + RELEASE_RETENTION_NS, data))
--- a/terndrift/platform/link.py
+++ b/terndrift/platform/link.py
@@ -1,6 +1,7 @@
-"""One connection of the platform: bytes and a time in, messages out, and the bounds on what it may hold.
+"""Incremental reader of one connection's messages: takes received bytes and their time, returns messages.
 
-Free of I/O and clocks. Who owns it closes the connection when `take` raises or `overdue` says why.
+Owned by a Connection. Performs no I/O and reads no clock. It never closes anything itself: the owner closes
+the connection when `receive` raises or `is_overdue` returns true.
 """
 
 from terndrift.platform.message import messages
@@ -8,27 +9,32 @@
 SECOND = 1_000_000_000
 
 
-class Link:
-    """`half`: ns within which a message that has begun must be whole. Guards memory and whoever waits on
-    this connection against one that stops short; could harm a way so slow that 16 KiB take that long."""
+class MessageReader:
+    """Buffers received bytes until they form complete messages.
 
-    def __init__(self, now, half):
-        self.buffer, self.half = bytearray(), half
-        self.began, self.heard = None, now  # when the message in hand began; when bytes last came
-        self.count = 0  # messages taken
+    `partial_timeout` is the time in ns within which a message must be complete once its first byte has
+    arrived. It bounds memory, and the time that others wait on a connection whose peer stops in the middle of
+    a message. It would wrongly close a connection so slow that 16 KiB take longer than that.
+    """
 
-    def take(self, now, data):
-        """The whole messages that these bytes complete; raises Unreadable."""
+    def __init__(self, now, partial_timeout):
+        self.buffer, self.partial_timeout = bytearray(), partial_timeout
+        # when the incomplete message began, None if there is none; when bytes last arrived
+        self.partial_since, self.heard = None, now
+        self.count = 0  # complete messages read so far
+
+    def receive(self, now, data):
+        """Returns the messages that `data` completes, possibly none; raises MessageFramingError."""
         self.heard = now
         self.buffer += data
-        out = messages(self.buffer)
-        self.count += len(out)
+        completed = messages(self.buffer)
+        self.count += len(completed)
         if not self.buffer:
-            self.began = None
-        elif out or self.began is None:
-            self.began = now
-        return out
-
-    def overdue(self, now):
-        """Whether a message was begun too long ago."""
-        return self.began is not None and now - self.began > self.half
+            self.partial_since = None
+        elif completed or self.partial_since is None:
+            self.partial_since = now
+        return completed
+
+    def is_overdue(self, now):
+        """Whether a message has been incomplete for longer than `partial_timeout`."""
+        return self.partial_since is not None and now - self.partial_since > self.partial_timeout
--- a/terndrift/platform/listener.py
+++ b/terndrift/platform/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts connections, and holds out when the process has no descriptor left."""
+"""The listening socket of the front: accepts viewers' connections and survives a lack of file descriptors."""
 
 import errno
 import socket
@@ -6,73 +6,76 @@
 from tornado.ioloop import IOLoop
 from tornado.netutil import bind_sockets
 
-# Connections that wait to be accepted: all viewers of a dead controller at once.
+# Connections that may wait to be accepted; holds all viewers of a failed controller reconnecting at once.
 BACKLOG = 1024
-# Accepted in one turn of the loop: the others on it wait no longer than this takes (some ms).
-PER_TURN = 128
-# Seconds without accepting when no descriptor is left and none could be freed: the socket stays readable
-# all that time, and a loop that tried again at once would do nothing else.
-PAUSE = 0.05
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# Connections accepted per turn of the event loop; bounds the delay of its other work to some ms.
+MAX_ACCEPTS_PER_TURN = 128
+# Seconds without accepting when no descriptor is available and none could be freed. The socket stays readable
+# all that time, so an immediate retry would busy-loop.
+ACCEPT_PAUSE_S = 0.05
+NO_DESCRIPTOR_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
-    """Calls `accepted(socket)` for each connection, and for want of a descriptor `free_one()`, which says
-    whether it freed one."""
+    """Calls `on_accepted(socket)` for each connection.
 
-    def __init__(self, accepted, free_one, log):
-        self.accepted, self.free_one, self.log = accepted, free_one, log
-        self.sockets, self.paused = [], None
+    When no descriptor is available it calls `free_descriptor()`, which returns whether it freed one; if not,
+    accepting pauses for ACCEPT_PAUSE_S. Owns the listening sockets, but not the accepted ones.
+    """
+
+    def __init__(self, on_accepted, free_descriptor, log):
+        self.on_accepted, self.free_descriptor, self.log = on_accepted, free_descriptor, log
+        self.sockets, self.resume_timer = [], None
 
     def listen_on(self, address):
-        """Raises OSError; returns the address in use."""
+        """Starts to listen on (host, port) and returns the bound (host, port); raises OSError."""
         self.sockets = bind_sockets(address[1], address[0], family=socket.AF_INET, backlog=BACKLOG)
-        self._watch()
+        self._resume()
         return self.sockets[0].getsockname()[:2]
 
-    def _watch(self):
-        self.paused = None
+    def _resume(self):
+        self.resume_timer = None
         for sock in self.sockets:
-            IOLoop.current().add_handler(sock, self._ready, IOLoop.READ)
+            IOLoop.current().add_handler(sock, self._on_readable, IOLoop.READ)
 
-    def _ready(self, sock, _):
-        for _ in range(PER_TURN):
+    def _on_readable(self, sock, _):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._accept(sock):
                 return
 
     def _accept(self, sock):
-        """Whether there may be more to accept."""
+        """Accepts one connection; returns whether there may be more to accept."""
         try:
             connection, _ = sock.accept()
         except BlockingIOError:
             return False
-        except ConnectionAbortedError:  # it ended while it waited
+        except ConnectionAbortedError:  # the client closed it while it waited in the backlog
             return True
-        except OSError as wrong:
-            if wrong.errno not in NO_DESCRIPTOR:
+        except OSError as error:
+            if error.errno not in NO_DESCRIPTOR_ERRNOS:
                 raise
-            if self.free_one():
+            if self.free_descriptor():
                 return True
-            self._pause(wrong)
+            self._pause(error)
             return False
-        self.accepted(connection)
+        self.on_accepted(connection)
         return True
 
-    def _pause(self, wrong):
-        if self.paused is None and self.sockets:
-            self.log.warning("nothing is accepted for a while", why=str(wrong))
+    def _pause(self, error):
+        if self.resume_timer is None and self.sockets:
+            self.log.warning("nothing is accepted for a while", why=str(error))
             for sock in self.sockets:
                 IOLoop.current().remove_handler(sock)
-            self.paused = IOLoop.current().call_later(PAUSE, self._watch)
+            self.resume_timer = IOLoop.current().call_later(ACCEPT_PAUSE_S, self._resume)
 
     def close(self):
-        """Accepts what waits to be accepted, as its viewers count as taken, and ends."""
+        """Accepts what is in the backlog, since those viewers count as connected, and closes the sockets."""
         for sock in self.sockets:
             while self._accept(sock):
                 pass
-            if self.paused is None:
+            if self.resume_timer is None:
                 IOLoop.current().remove_handler(sock)
             sock.close()
-        if self.paused is not None:
-            IOLoop.current().remove_timeout(self.paused)
-        self.sockets, self.paused = [], None
+        if self.resume_timer is not None:
+            IOLoop.current().remove_timeout(self.resume_timer)
+        self.sockets, self.resume_timer = [], None
--- a/terndrift/platform/message.py
+++ b/terndrift/platform/message.py
@@ -1,10 +1,11 @@
-"""The platform's messages: bytes to messages and back, and what their parameters say in our words.
+"""Binary encoding of the platform protocol: bytes to messages and back, and parsing of their parameters.
 
-    message   = length:2 type:1 id:8 parameters      length counts all that follows it; big-endian
+    message   = length:2 type:1 id:8 parameters      length counts every byte after it; big-endian
     parameter = code:1 length:2 value                (PROTOCOL, "Messages")
 
-Free of I/O. What can't be read raises Unreadable (of the framing: the connection is of no more use) or
-Unusable (a whole message that says nothing that can be done).
+Used by the front, the carrier and the message reader. Performs no I/O. Malformed framing raises
+MessageFramingError, after which the connection can't be used any more; a well-framed message with missing or
+invalid parameters raises InvalidMessageError and leaves the connection usable.
 """
 
 import contextlib
@@ -14,201 +15,219 @@
 from terndrift.interface import Ending
 from terndrift.terms import reported
 
-# Types of messages.
+# Message types.
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE = 1, 6, 9, 12, 16, 44
 TEST, TESTED, RUNG = 52, 53, 60
-# Codes of parameters.
+# Parameter codes.
 PLAN, WAIT, TITLE, FIGURES, ADVICE, NOTE_NAME = 16, 19, 28, 31, 34, 37
 REPORT, HINT, RUNG_NO, NOTE_VALUE, CAUSE, DESCRIPTION = 43, 46, 49, 52, 58, 61
-# Causes of releases that are sent. 42: rejected, harmless to try again; any but 34, 42 and 102: failed.
+# Causes of the releases that the controller sends. 42 means rejected and safe to retry; every cause other
+# than 34, 42 and 102 means failed.
 OVER, FAILED, REJECTED = 16, 38, 42
 UNUSABLE = 100
-# What a streamer's release says of a set-up that it has not answered; any other: as 41.
+# Release causes from a streamer that has not answered the set-up; any other cause is treated as 41.
 ATTEMPT_ENDINGS = {34: Ending.FULL, 47: Ending.ERRED, 102: Ending.NEVER_SENT, 41: Ending.BROKEN}
-# The same of what plays. 31: ended by its viewer or moved, who is owed no release.
+# Release causes from a streamer for a playback that is playing; any other cause is treated as 41. 31 means
+# that the viewer ended or moved the playback, so the viewer must not be sent a release.
 PLAY_ENDINGS = {16: Ending.PLAYED_OUT, 31: Ending.CALLED_OFF, 41: Ending.BROKEN}
 
-LONGEST = 16 * 1024  # "no message exceeds 16 KiB": of what the length counts
-HEAD = struct.Struct(">HB8s")
-PART = struct.Struct(">BH")
+MAX_MESSAGE_BYTES = 16 * 1024  # "no message exceeds 16 KiB", not counting the length field itself
+HEADER = struct.Struct(">HB8s")
+PARAMETER_HEADER = struct.Struct(">BH")
 SECOND = 1_000_000_000
 MS = 1_000_000
 
 
-class Unreadable(Exception):
-    """Bytes that are no message; what follows them can't be read either."""
+class MessageFramingError(Exception):
+    """The bytes are not a valid message, so the start of the next message can't be found either."""
 
 
-class Unusable(Exception):
-    """A message that can be read, but not be done as it says; the text says why."""
+class InvalidMessageError(Exception):
+    """A well-framed message that can't be acted on; the text of the exception says why."""
 
 
 @dataclass(frozen=True)
 class Message:
+    """A decoded message; `parameters` maps parameter codes to their raw bytes."""
+
     type: int
     id: bytes
-    parts: dict = field(default_factory=dict)  # code -> bytes
+    parameters: dict = field(default_factory=dict)
 
     def text(self, code, default=None):
-        value = self.parts.get(code)
+        """Returns a parameter as ASCII text, or `default` if it is missing; raises InvalidMessageError."""
+        value = self.parameters.get(code)
         if value is None:
             return default
         try:
             return value.decode("ascii")
         except UnicodeDecodeError:
-            raise Unusable(f"parameter {code} is no text") from None
+            raise InvalidMessageError(f"parameter {code} is not ASCII text") from None
 
     def number(self, code):
-        """A finite number; raises Unusable."""
-        return finite(self.text(code, ""), f"parameter {code}")
+        """Returns a parameter as a finite float; raises InvalidMessageError, also if it is missing."""
+        return parse_number(self.text(code, ""), f"parameter {code}")
 
     @property
     def cause(self):
-        value = self.parts.get(CAUSE, b"")
+        """The cause code of a release or a test reply, or None if it is missing or not one byte long."""
+        value = self.parameters.get(CAUSE, b"")
         return value[0] if len(value) == 1 else None
 
 
-def finite(text, what):
-    """Plain decimal numbers alone: Python would take '1_0', ' 1' and 'inf' too."""
+def parse_number(text, name):
+    """Parses a finite decimal number; raises InvalidMessageError.
+
+    Only plain notation is accepted: float() alone would also accept '1_0', ' 1' and 'inf'. `name` is used in
+    the error message.
+    """
     if not 0 < len(text) <= 32 or text.strip("0123456789.eE+-"):
-        raise Unusable(f"{what} '{text[:32]}' is not a number")
+        raise InvalidMessageError(f"{name} '{text[:32]}' is not a number")
     try:
         value = float(text)
     except ValueError:
-        raise Unusable(f"{what} '{text[:32]}' is not a number") from None
+        raise InvalidMessageError(f"{name} '{text[:32]}' is not a number") from None
     if value in (float("inf"), float("-inf")):
-        raise Unusable(f"{what} '{text[:32]}' is too large")
+        raise InvalidMessageError(f"{name} '{text[:32]}' is too large")
     return value
 
 
-def whole(text, what, least, most):
-    """A whole number within bounds; raises Unusable."""
+def parse_integer(text, name, minimum, maximum):
+    """Parses a decimal integer within inclusive bounds; raises InvalidMessageError."""
     if not 0 < len(text) <= 12 or not text.isdecimal():
-        raise Unusable(f"{what} '{text[:32]}' is not a whole number")
+        raise InvalidMessageError(f"{name} '{text[:32]}' is not an integer")
     value = int(text)
-    if not least <= value <= most:
-        raise Unusable(f"{what} {value} is not within {least} and {most}")
+    if not minimum <= value <= maximum:
+        raise InvalidMessageError(f"{name} {value} is not between {minimum} and {maximum}")
     return value
 
 
-def encode(type, id, *parts):
-    """The bytes of a message; `parts` are (code, bytes or text)."""
+def encode(type, id, *parameters):
+    """Returns the bytes of a message; `parameters` are pairs of a code and bytes or ASCII text."""
     body = bytearray()
-    for code, value in parts:
+    for code, value in parameters:
         value = value.encode("ascii") if isinstance(value, str) else value
-        body += PART.pack(code, len(value)) + value
-    return HEAD.pack(len(body) + 9, type, id) + bytes(body)
+        body += PARAMETER_HEADER.pack(code, len(value)) + value
+    return HEADER.pack(len(body) + 9, type, id) + bytes(body)
 
 
-def release(id, cause, *parts):
-    return encode(RELEASE, id, (CAUSE, bytes([cause])), *parts)
+def release(id, cause, *parameters):
+    """Returns the bytes of a release message with a cause code and, optionally, further parameters."""
+    return encode(RELEASE, id, (CAUSE, bytes([cause])), *parameters)
 
 
 def decode(type, id, body):
-    """A message from what its length counted; raises Unreadable where its parameters don't fit."""
-    parts, at, end = {}, 0, len(body)
-    while at < end:
-        if at + 3 > end:
-            raise Unreadable("a parameter is cut short")
-        code, size = PART.unpack_from(body, at)
-        at += 3
-        if at + size > end:
-            raise Unreadable(f"parameter {code} is longer than its message")
-        if code in parts:
-            raise Unreadable(f"parameter {code} comes twice")
-        parts[code] = bytes(body[at : at + size])
-        at += size
-    return Message(type, id, parts)
+    """Decodes the parameters that follow a message header; raises MessageFramingError if they don't fit."""
+    parameters, offset, end = {}, 0, len(body)
+    while offset < end:
+        if offset + 3 > end:
+            raise MessageFramingError("parameter header is truncated")
+        code, size = PARAMETER_HEADER.unpack_from(body, offset)
+        offset += 3
+        if offset + size > end:
+            raise MessageFramingError(f"parameter {code} extends past the end of its message")
+        if code in parameters:
+            raise MessageFramingError(f"parameter {code} is repeated")
+        parameters[code] = bytes(body[offset : offset + size])
+        offset += size
+    return Message(type, id, parameters)
 
 
 def messages(buffer):
-    """The whole messages at the start of a bytearray, which are taken off it; raises Unreadable."""
-    out, at = [], 0
-    while len(buffer) - at >= 2:
-        size = buffer[at] << 8 | buffer[at + 1]
-        if not 9 <= size <= LONGEST:
-            raise Unreadable(f"a message of {size} bytes")
-        if len(buffer) - at < size + 2:
+    """Decodes the complete messages at the start of a bytearray and removes their bytes from it.
+
+    A partial message at the end stays in the buffer. Raises MessageFramingError.
+    """
+    decoded, offset = [], 0
+    while len(buffer) - offset >= 2:
+        size = buffer[offset] << 8 | buffer[offset + 1]
+        if not 9 <= size <= MAX_MESSAGE_BYTES:
+            raise MessageFramingError(f"invalid message length of {size} bytes")
+        if len(buffer) - offset < size + 2:
             break
-        _, type, id = HEAD.unpack_from(buffer, at)
-        out.append(decode(type, id, memoryview(buffer)[at + 11 : at + 2 + size]))
-        at += size + 2
-    if at:
-        del buffer[:at]
-    return out
+        _, type, id = HEADER.unpack_from(buffer, offset)
+        decoded.append(decode(type, id, memoryview(buffer)[offset + 11 : offset + 2 + size]))
+        offset += size + 2
+    if offset:
+        del buffer[:offset]
+    return decoded
 
 
-# What viewers say.
+# Messages from viewers.
 
 
 @dataclass(frozen=True)
-class Asked:
-    """A set-up as its viewer sent it: `passed` goes to the streamer as it came."""
+class SetUpRequest:
+    """The parsed parameters of a set-up message from a viewer."""
 
     plan: str
     title: str
-    time_left: int  # ns
-    length: int  # ns, 0: no hint
+    time_left: int  # ns until the viewer gives up
+    expected_duration: int  # ns, 0: no hint was sent
     first_cell: int
     copies: int
-    top: int
-    plays_at: str | None  # name of the streamer where it plays already
-    passed: tuple
+    top_rung: int
+    current_streamer: str | None  # name of the streamer where the title already plays
+    forwarded: tuple  # (code, bytes) of the parameters that go to the streamer unchanged
+
 
+def is_hand_over(message):
+    """Whether a set-up hands over a playback that already runs at a streamer."""
+    return b"at" in {pair.partition(b":")[0] for pair in message.parameters.get(FIGURES, b"").split(b";")}
 
-def plays_already(message):
-    """Whether a set-up hands over what plays at a streamer."""
-    return b"at" in {pair.partition(b":")[0] for pair in message.parts.get(FIGURES, b"").split(b";")}
 
+def parse_set_up(message, plan_deadlines, cell_count):
+    """Returns the SetUpRequest of a set-up message; raises InvalidMessageError.
 
-def asked(message, plans, cells):
-    """`plans`: name -> longest wait of its viewers in ns; raises Unusable."""
+    `plan_deadlines` maps the name of each plan to the longest time, in ns, that its viewers wait.
+    """
     if not any(message.id):
-        raise Unusable("no id")
+        raise InvalidMessageError("message ID is all zeros")
     plan, title = message.text(PLAN, ""), message.text(TITLE, "")
-    if plan not in plans:
-        raise Unusable(f"no plan '{plan[:32]}'")
+    if plan not in plan_deadlines:
+        raise InvalidMessageError(f"unknown plan '{plan[:32]}'")
     if len(title) != 16 or title.strip("0123456789abcdef"):
-        raise Unusable(f"no title '{title[:32]}'")
-    if DESCRIPTION not in message.parts:
-        raise Unusable("no description")
+        raise InvalidMessageError(f"title is not 16 hexadecimal digits: '{title[:32]}'")
+    if DESCRIPTION not in message.parameters:
+        raise InvalidMessageError("description is missing")
     figures = {}
     for pair in message.text(FIGURES, "").split(";"):
         name, _, value = pair.partition(":")
         if name in figures:
-            raise Unusable(f"'{name[:32]}' comes twice")
+            raise InvalidMessageError(f"figure '{name[:32]}' is repeated")
         figures[name] = value
-    length = message.number(HINT) * MS if HINT in message.parts else 0
-    if not 0 <= length <= 86_400 * SECOND:  # a day: no playback is as long
-        raise Unusable(f"a hint of {length / MS} ms")
-    plays_at = figures.get("at")
-    # a second over the plan's own: clocks and ways differ, and what plays already waits for nothing
-    longest = plans[plan] // MS + 1000 if plays_at is None else 10**9
-    return Asked(
+    duration = message.number(HINT) * MS if HINT in message.parameters else 0
+    if not 0 <= duration <= 86_400 * SECOND:  # no playback lasts longer than a day
+        raise InvalidMessageError(f"duration hint is out of range: {duration / MS} ms")
+    current_streamer = figures.get("at")
+    # One second more than the plan's own limit allows for clock and network differences; a hand-over waits
+    # for nothing, so its wait is not limited by the plan.
+    max_wait_ms = plan_deadlines[plan] // MS + 1000 if current_streamer is None else 10**9
+    return SetUpRequest(
         plan,
         title,
-        whole(message.text(WAIT, ""), "a wait of", 1, longest) * MS,
-        int(length),
-        whole(figures.get("home", ""), "home", 0, cells - 1),
-        whole(figures.get("copies", ""), "copies", 1, cells),
-        whole(figures.get("top", ""), "top", 0, 255),
-        plays_at,
-        tuple((code, message.parts[code]) for code in (PLAN, TITLE, DESCRIPTION)),
+        parse_integer(message.text(WAIT, ""), "wait", 1, max_wait_ms) * MS,
+        int(duration),
+        parse_integer(figures.get("home", ""), "home", 0, cell_count - 1),
+        parse_integer(figures.get("copies", ""), "copies", 1, cell_count),
+        parse_integer(figures.get("top", ""), "top", 0, 255),
+        current_streamer,
+        tuple((code, message.parameters[code]) for code in (PLAN, TITLE, DESCRIPTION)),
     )
 
 
-# What streamers say.
+# Messages from streamers.
 
 
-def report(message):
-    """The figures of a load report, by our names; what can't be read is left out."""
-    said = {}
+def parse_load_report(message):
+    """Returns the load report in a message as a dict under the internal names; skips invalid values."""
+    values = {}
     try:
         pairs = message.text(REPORT, "").split(";")
-    except Unusable:
-        return said
+    except InvalidMessageError:
+        return values
     for pair in pairs:
         name, _, value = pair.partition(":")
-        with contextlib.suppress(Unusable):
-            said[name] = finite(value, name)
-    return reported(said)
+        with contextlib.suppress(InvalidMessageError):
+            values[name] = parse_number(value, name)
+    return reported(values)
--- a/terndrift/platform/peer.py
+++ b/terndrift/platform/peer.py
@@ -1,7 +1,10 @@
-"""A streamer as the carrier knows it: its address, the connections to it, and what runs there."""
+"""Connection state of one streamer: its address, the connections to it, and the playbacks there.
 
-# Connections to one streamer at most; further set-ups share them. One set-up on each while that goes: a
-# spoilt answer takes down all that is open on its connection (DAYS, "Bad peers").
+Owned by the carrier, which opens and closes the connections.
+"""
+
+# Connections per streamer; beyond these, set-ups share connections. Up to here each set-up gets one of its
+# own, as an unreadable answer fails every set-up on its connection (DAYS, "Bad peers").
 MOST = 4
 
 
@@ -10,32 +13,45 @@
 
     def __init__(self, entry, name, address):
         self.id, self.started, self.name, self.address = entry.id, entry.started, name, address
-        self.gone = False
-        self.connections = {}  # Connection -> {playback's id: Attempt} of attempts on it
-        self.connecting = 0
-        self.playing = {}  # playback's id -> Carried
-        self.expected = {}  # id -> called with the rung of what plays there and is to be handed over
-        self.waiting = []  # bytes to send once a connection is up
-        self.heard, self.keeper = 0, None
-
-    def idle(self):
-        """Whether nothing needs it any more."""
+        self.delisted = False  # no longer on the server list
+        self.connections = {}  # Connection -> {playback ID: Attempt} of the attempts sent on it
+        self.connecting = 0  # connections being made
+        self.playbacks = {}  # playback ID -> Carried of what plays there
+        # playback ID -> callback that takes the current rung of a playback to be handed over
+        self.hand_overs = {}
+        self.unsent_messages = []  # bytes to send on the next connection
+        # when a message last arrived (ns); the task that restores the connection, None if none runs
+        self.last_message_at, self.reconnect_task = 0, None
+
+    def is_unused(self):
+        """Whether no playback, attempt or message depends on this streamer any more."""
         return not (
-            self.playing or self.expected or self.connecting or self.waiting or any(self.connections.values())
+            self.playbacks
+            or self.hand_overs
+            or self.connecting
+            or self.unsent_messages
+            or any(self.connections.values())
         )
 
-    def up(self):
+    def open_connections(self):
         """The connections on which messages can be sent."""
-        return [one for one in self.connections if one.up()]
+        return [connection for connection in self.connections if connection.up()]
+
+    def connection_for_set_up(self, is_stale, max_set_ups):
+        """Returns a connection to send a set-up on, or None if a new one has to be made.
 
-    def for_set_up(self, stale, most_on_one):
-        """A connection for a set-up, None: one is to be made. `stale(connection)`: whether the streamer may
-        be about to close it as idle; `most_on_one`: set-ups that a connection carries at once."""
-        usable = [one for one in self.up() if not one.unsent() and not stale(one)]
-        free = next((one for one in usable if not self.connections[one]), None)
+        `is_stale(connection)` tells whether the streamer may be about to close it as idle; `max_set_ups` is
+        the number of set-ups that one connection may carry at once.
+        """
+        usable = [
+            connection
+            for connection in self.open_connections()
+            if not connection.unsent() and not is_stale(connection)
+        ]
+        free = next((connection for connection in usable if not self.connections[connection]), None)
         if free is not None or len(self.connections) + self.connecting < MOST:
             return free
-        shared = min(usable, key=lambda one: len(self.connections[one]), default=None)
-        if shared is None or len(self.connections[shared]) >= most_on_one:
+        shared = min(usable, key=lambda connection: len(self.connections[connection]), default=None)
+        if shared is None or len(self.connections[shared]) >= max_set_ups:
             return None
         return shared
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -283,7 +283,7 @@
         id = viewer.ask(**more)
         answer = await viewer.hear()
         assert (answer.type, answer.id) == (m.ANSWER, id)
-        name = answer.parts[m.DESCRIPTION].removeprefix(b"made by ").decode()
+        name = answer.parameters[m.DESCRIPTION].removeprefix(b"made by ").decode()
         return id, next(s for s in self.streamers if s.name == name)
 
     def by_name(self, name):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,8 +22,15 @@
 from terndrift.interface import Standing
 from terndrift.platform import carrier, settings
 from terndrift.platform import message as m
-from terndrift.platform.link import Link
-from terndrift.platform.message import Message, Unreadable, Unusable, encode, messages, release
+from terndrift.platform.link import MessageReader
+from terndrift.platform.message import (
+    InvalidMessageError,
+    Message,
+    MessageFramingError,
+    encode,
+    messages,
+    release,
+)
 from terndrift.platform.service import Service
 
 S = 1_000_000_000
@@ -63,22 +70,26 @@
     st.integers(1, 40),
 )
 def test_what_is_encoded_is_read_back_however_it_is_cut(sent, piece):
-    data, link, got = b"".join(encode(t, id, *parts.items()) for t, id, parts in sent), Link(0, S), []
+    data, reader, got = (
+        b"".join(encode(t, id, *parts.items()) for t, id, parts in sent),
+        MessageReader(0, S),
+        [],
+    )
     for at in range(0, len(data), piece):
-        got += link.take(at, data[at : at + piece])
-    assert [(g.type, g.id, g.parts) for g in got] == sent
-    assert not link.overdue(10**18)
+        got += reader.receive(at, data[at : at + piece])
+    assert [(g.type, g.id, g.parameters) for g in got] == sent
+    assert not reader.is_overdue(10**18)
 
 
 @hypothesis(derandomize=True, database=None, deadline=None, max_examples=200)
 @given(st.binary(max_size=300))
 def test_any_bytes_are_messages_or_unreadable(data):
-    link = Link(0, S)
+    reader = MessageReader(0, S)
     try:
-        link.take(0, data)
-    except Unreadable:
+        reader.receive(0, data)
+    except MessageFramingError:
         return
-    assert len(link.buffer) <= len(data)
+    assert len(reader.buffer) <= len(data)
 
 
 @pytest.mark.parametrize(
@@ -94,29 +105,29 @@
     ],
 )
 def test_lengths_that_do_not_fit_are_unreadable(data):
-    with pytest.raises(Unreadable):
+    with pytest.raises(MessageFramingError):
         messages(bytearray(data))
 
 
 def test_a_message_that_stops_short_is_overdue_and_one_that_goes_on_is_not():
-    link, data = Link(0, S), encode(m.TEST, ID, (m.CAUSE, b"\0"))
-    assert link.take(0, data[:5]) == [] and not link.overdue(S)
-    assert link.overdue(S + 1)
-    assert len(link.take(S + 2, data[5:] + data[:1])) == 1
-    assert not link.overdue(S + 3), "another one has begun since"
+    reader, data = MessageReader(0, S), encode(m.TEST, ID, (m.CAUSE, b"\0"))
+    assert reader.receive(0, data[:5]) == [] and not reader.is_overdue(S)
+    assert reader.is_overdue(S + 1)
+    assert len(reader.receive(S + 2, data[5:] + data[:1])) == 1
+    assert not reader.is_overdue(S + 3), "another one has begun since"
 
 
 def test_a_set_up_is_read_in_our_words():
-    said = m.asked(set_up(), PLANS, 6)
-    assert (said.plan, said.title, said.time_left, said.length) == (
+    said = m.parse_set_up(set_up(), PLANS, 6)
+    assert (said.plan, said.title, said.time_left, said.expected_duration) == (
         "paid",
         "7f3a9c21e0b4d655",
         3 * S // 2,
         8_200_000_000,
     )
-    assert (said.first_cell, said.copies, said.top, said.plays_at) == (4, 3, 4, None)
-    assert said.passed[2] == (m.DESCRIPTION, b"v=0\r\n\xff"), "passed on as it came"
-    assert m.asked(set_up(hint=None), PLANS, 6).length == 0
+    assert (said.first_cell, said.copies, said.top_rung, said.current_streamer) == (4, 3, 4, None)
+    assert said.forwarded[2] == (m.DESCRIPTION, b"v=0\r\n\xff"), "passed on as it came"
+    assert m.parse_set_up(set_up(hint=None), PLANS, 6).expected_duration == 0
 
 
 @pytest.mark.parametrize(
@@ -152,19 +163,19 @@
     ],
 )
 def test_a_set_up_that_can_not_be_done_is_named(changed):
-    with pytest.raises(Unusable, match="[a-z]"):
-        m.asked(set_up(**changed), PLANS, 6)
+    with pytest.raises(InvalidMessageError, match="[a-z]"):
+        m.parse_set_up(set_up(**changed), PLANS, 6)
 
 
 def test_a_set_up_without_an_id_is_unusable():
-    with pytest.raises(Unusable, match="no id"):
-        m.asked(Message(m.SET_UP, bytes(8), set_up().parts), PLANS, 6)
+    with pytest.raises(InvalidMessageError, match="all zeros"):
+        m.parse_set_up(Message(m.SET_UP, bytes(8), set_up().parameters), PLANS, 6)
 
 
 def test_a_report_keeps_what_can_be_read():
-    got = m.report(Message(m.RELEASE, ID, {m.REPORT: b"active:12;x0:0.4;x1:nan;queue:3;;x0"}))
+    got = m.parse_load_report(Message(m.RELEASE, ID, {m.REPORT: b"active:12;x0:0.4;x1:nan;queue:3;;x0"}))
     assert got == {"streams": 12.0, "link": 0.4}
-    assert m.report(Message(m.RELEASE, ID, {m.REPORT: b"\xff"})) == {}
+    assert m.parse_load_report(Message(m.RELEASE, ID, {m.REPORT: b"\xff"})) == {}
 
 
 # What a controller is told.
@@ -228,9 +239,13 @@
     assert (await viewer.hear()).cause == 1
     id, streamer = await world.plays(viewer, plan="paid")
     sent = next(h for h in streamer.heard if h.type == m.SET_UP)
-    assert sent.id == id and sent.parts[m.DESCRIPTION] == b"what I can play" and sent.parts[m.PLAN] == b"paid"
-    assert sent.parts[m.TITLE] == b"00112233aabbccdd" and int(sent.parts[m.RUNG_NO]) >= 1
-    assert 0 < int(sent.parts[m.WAIT]) <= 3000 and m.HINT not in sent.parts
+    assert (
+        sent.id == id
+        and sent.parameters[m.DESCRIPTION] == b"what I can play"
+        and sent.parameters[m.PLAN] == b"paid"
+    )
+    assert sent.parameters[m.TITLE] == b"00112233aabbccdd" and int(sent.parameters[m.RUNG_NO]) >= 1
+    assert 0 < int(sent.parameters[m.WAIT]) <= 3000 and m.HINT not in sent.parameters
     streamer.say(release(id, 16, (m.REPORT, "active:0;x0:0.0;x1:0.0")))
     over = await viewer.hear()
     assert (over.type, over.id) == (m.RELEASE, id)
@@ -266,7 +281,7 @@
     viewer.writer.close()
     await until(lambda: not world.service.front.connections)
     streamer.say(release(id, 16))
-    await until(lambda: world.service.front.owed)
+    await until(lambda: world.service.front.undelivered_releases)
     other = await world.viewer()
     await world.plays(other)
     assert (await other.hear()).id == id
@@ -279,7 +294,7 @@
     id = viewer.ask()
     answer = await viewer.hear()
     assert (answer.type, answer.id, answer.cause) == (m.RELEASE, id, m.REJECTED)
-    assert 0 < int(answer.parts[m.ADVICE]) <= 500
+    assert 0 < int(answer.parameters[m.ADVICE]) <= 500
     assert all(s.ids(m.SET_UP) == [id] for s in world.streamers)
     assert world.by_name("s-00000000").heard, "the report came with the refusal"
 
@@ -292,10 +307,10 @@
     world.service.front.last_answers()
     heard = {h.id: h for h in (await viewer.hear(), await viewer.hear())}
     assert heard[paid].cause == m.FAILED, "it is out, and may have run"
-    assert heard[free].cause == m.REJECTED and int(heard[free].parts[m.ADVICE]) == 500
+    assert heard[free].cause == m.REJECTED and int(heard[free].parameters[m.ADVICE]) == 500
     viewer.ask(plan="paid")
     late = await viewer.hear()
-    assert (late.cause, late.parts[m.ADVICE]) == (m.REJECTED, b"500"), "never sent"
+    assert (late.cause, late.parameters[m.ADVICE]) == (m.REJECTED, b"500"), "never sent"
 
 
 @in_world(streamers=1, how="silent")
@@ -328,8 +343,10 @@
         "core": len(core.held),
         "attempts": len(carrier.attempts),
         "cancelled": len(carrier.cancelled),
-        "playing": sum(len(p.playing) + len(p.expected) + len(p.waiting) for p in carrier.peers.values()),
-        "front": len(front.held) + len(front.expected) + len(front.owed),
+        "playing": sum(
+            len(p.playbacks) + len(p.hand_overs) + len(p.unsent_messages) for p in carrier.peers.values()
+        ),
+        "front": len(front.held) + len(front.expected) + len(front.undelivered_releases),
         "connections": len(front.connections),
         "controller": len(controller.playbacks) + len(controller.open),
         "streamers": sum(len(s.playbacks) for s in controller.streamers.values()),
@@ -413,7 +430,7 @@
     await until(lambda: world.core.open == 20)
     viewer.writer.close()
     await until(lambda: not world.core.held and not world.service.front.held)
-    assert not world.service.front.gate.count and not world.core.controller.open
+    assert not world.service.front.admission.count and not world.core.controller.open
 
 
 @in_world
@@ -470,10 +487,10 @@
 
 @in_world
 async def test_too_many_silent_connections_do_not_keep_a_good_viewer_out(world):
-    crowd = [await world.viewer() for _ in range(world.service.front.most + 20)]
+    crowd = [await world.viewer() for _ in range(world.service.front.max_connections + 20)]
     viewer = await world.viewer()
     await world.plays(viewer)
-    assert len(world.service.front.connections) <= world.service.front.most
+    assert len(world.service.front.connections) <= world.service.front.max_connections
     for silent in crowd:
         silent.writer.close()
 
@@ -530,7 +547,7 @@
     assert at.shares[-1][1] == 0.7 and world.core.controller.playbacks[carried.id].rung == 0
     world.carrier.set_rung(carried, 2)
     await until(lambda: streamer.ids(m.RUNG) == [id])
-    assert next(h for h in streamer.heard if h.type == m.RUNG).parts[m.RUNG_NO] == b"2"
+    assert next(h for h in streamer.heard if h.type == m.RUNG).parameters[m.RUNG_NO] == b"2"
 
 
 @in_world
