--- a/terndrift/core/__init__.py
+++ b/terndrift/core/__init__.py
@@ -1,4 +1,5 @@
-"""The session core: hosts the decisions, carries out what they say, owns each playback's one answer.
+"""Session core: runs the decision logic, carries out its decisions and owns the one answer to each playback.
 
-No protocol and no clock of its own: every call brings the time in whole nanoseconds.
+The protocol front ends and the transports to streamers call it through `host.Host`, on one event loop. It
+knows no protocol and reads no clock: every call passes the time in whole nanoseconds. It must never block.
 """
--- a/terndrift/core/carried.py
+++ b/terndrift/core/carried.py
@@ -1,4 +1,8 @@
-"""A playback as the core carries it: what is out on some wire, and the one answer owed for it."""
+"""State of a playback inside the session core, and the types that fronts and transports share with it.
+
+`Core` creates a `Carried` for each playback that a front requests and alone changes its stage. A playback has
+at most one set-up attempt in flight and gets at most one `Answer`.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,81 +10,101 @@
 
 
 class Stage(Enum):
-    WAITING = "waiting"  # taken; nothing is out
-    TRYING = "trying"  # one set-up try is out
-    CALLING_OFF = "calling off"  # the try was given up; it is out until its end is known
+    """Stage of a playback in the core. The values are written to the log."""
+
+    WAITING = "waiting"  # accepted; no attempt is in flight
+    TRYING = "trying"  # one set-up attempt is in flight
+    CANCELLING = "calling off"  # the attempt was cancelled and counts as in flight until its end is confirmed
     PLAYING = "playing"
-    OVER = "over"  # nothing is out and nothing more will be
+    OVER = "over"  # nothing is in flight and no attempt will follow
 
 
-ROUTES = {  # the only changes of stage there are
+TRANSITIONS = {  # the only stage changes that are allowed
     Stage.WAITING: (Stage.TRYING, Stage.OVER),
-    Stage.TRYING: (Stage.WAITING, Stage.CALLING_OFF, Stage.PLAYING, Stage.OVER),
-    Stage.CALLING_OFF: (Stage.WAITING, Stage.OVER),
+    Stage.TRYING: (Stage.WAITING, Stage.CANCELLING, Stage.PLAYING, Stage.OVER),
+    Stage.CANCELLING: (Stage.WAITING, Stage.OVER),
     Stage.PLAYING: (Stage.OVER,),
     Stage.OVER: (),
 }
 
 
 class Kind(Enum):
+    """Kind of an answer. The values are written to the log and passed to watchers."""
+
     PLAYS = "plays"
-    REJECTED = "rejected"
-    ABORTED = "aborted"
+    REJECTED = "rejected"  # nothing runs; the client may retry
+    ABORTED = "aborted"  # an attempt may have run, or the viewer left
 
 
 @dataclass(frozen=True)
 class Answer:
-    """The one answer to a playback taken."""
+    """The one answer to an accepted playback."""
 
     kind: Kind
-    come_back: int = 0  # ns after which to come again; 0: no advice
-    why: str = ""
+    come_back: int = 0  # ns after which the client should retry; 0: no advice
+    why: str = ""  # reason that HTTP and SIP fronts pass on to the client
 
 
 @dataclass(frozen=True)
 class Wanted:
-    """A playback that a viewer asks for, as a front understood it."""
+    """A viewer's request for a playback, decoded by a front."""
 
     plan: str
     title: str
-    cells: frozenset  # cells of the streamers that hold the title
-    top: int
+    cells: frozenset  # cells whose streamers are holders of the title
+    top: int  # highest rung that the player can take
     time_left: int  # ns until the client gives up
-    length: int  # ns that it will be watched, a guess; 0: not known
-    rates: tuple | None = None  # kB a second by rung, of a title with a ladder of its own
-    about: object = None  # the front's own, handed back with it: not looked at here
+    length: int  # estimated viewing time, ns; 0: unknown
+    rates: tuple | None = None  # the title's own ladder, kB/s by rung; None: the deployment's ladder
+    about: object = None  # the front's context for this request; the core never reads it
 
 
 class Carrier(Protocol):
-    """What a front gives the core to reach streamers by; each call returns at once.
+    """Transport by which the core reaches streamers; implemented by each front. No call may block.
 
-    For each `set_up` exactly one of `Core.began` and `Core.try_over` comes back, also after `call_off`;
-    a playback that plays ends by `Core.over` or `Core.left`, after which `let_go` is called once.
+    The core gets exactly one `Core.began` or `Core.try_over` for each `set_up`, also after `call_off`. A
+    playback that plays ends by `Core.over` or `Core.left`, after which the core calls `let_go` once.
     """
 
-    def set_up(self, carried, streamer, rung, time_out): ...
+    def set_up(self, playback, streamer, rung, timeout):
+        """Send a set-up to `streamer` (a `Listed`) at `rung`; the core cancels it after `timeout` ns.
+
+        The transport asks `Core.may_send` once it is connected, just before it sends the first byte.
+        """
+        ...
 
-    def call_off(self, carried): ...
+    def call_off(self, playback):
+        """Cancel the attempt in flight; report its end by `Core.try_over` once it is known."""
+        ...
 
-    def set_rung(self, carried, rung): ...
+    def set_rung(self, playback, rung):
+        """Ask the streamer to change the rung of an attempt in flight or of a running playback."""
+        ...
 
-    def let_go(self, carried, streamer): ...
+    def let_go(self, playback, streamer):
+        """Stop what runs at `streamer` for this playback and release what the transport holds for it."""
+        ...
 
 
 class Carried:
-    def __init__(self, id, wanted, carrier, answered, now):
-        self.id, self.wanted, self.carrier = id, wanted, carrier
-        self.answered = answered  # called once, with the Answer
-        self.taken_at, self.due = now, now + wanted.time_left
+    """A playback as the core tracks it. Only `Core` may change it; fronts and transports read it.
+
+    `on_answer` is called once, with the `Answer`, unless the viewer leaves before there is one.
+    """
+
+    def __init__(self, playback_id, request, transport, on_answer, now):
+        self.id, self.wanted, self.carrier = playback_id, request, transport
+        self.answered = on_answer
+        self.taken_at, self.deadline = now, now + request.time_left
         self.stage, self.answer = Stage.WAITING, None
-        self.streamer = None  # of the try that is out or plays: a Listed
+        self.streamer = None  # Listed of the attempt in flight or of the running playback
         self.rung, self.tries = 0, 0
-        self.sent_at, self.try_due = 0, 0
-        self.gave_up = None  # why the try that is out was called off: an Ending
-        self.changes = []  # (time, stage), for the log and for whoever asks
+        self.sent_at, self.attempt_deadline = 0, 0
+        self.cancel_reason = None  # Ending for which the attempt in flight was cancelled
+        self.transitions = []  # (time, stage) of each stage change, for diagnostics
 
     def turn(self, now, stage):
-        """Every change of a playback's stage."""
-        assert stage in ROUTES[self.stage], f"{self.id}: {self.stage} to {stage}"
+        """Change the stage; every stage change goes through here. Asserts that `TRANSITIONS` allows it."""
+        assert stage in TRANSITIONS[self.stage], f"{self.id}: invalid transition from {self.stage} to {stage}"
         self.stage = stage
-        self.changes.append((now, stage))
+        self.transitions.append((now, stage))
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -1,7 +1,8 @@
-"""The core: feeds the decisions what happens and carries out what they decide.
+"""Session core: reports events to the decision logic and carries out what it decides.
 
-Calls may come from within a carrier's own call (a try that ends at once); they wait their turn, so that the
-decisions are never entered twice and what they decided is carried out in order.
+Fronts and transports call `Core` through `host.Host`, on one thread. A call may come from within a
+transport's own method, as when an attempt fails at once: calls to the decision logic are queued, so that it
+is never re-entered and its decisions are carried out in order.
 """
 
 import heapq
@@ -13,341 +14,417 @@
 from terndrift.interface import Ending, Standing
 
 MS = 1_000_000
-# The decisions give up this part of the client's time before its end, and so much at least: a scan of theirs
-# is 50 ms apart, and the client's clock began when it asked, not when a busy loop came to read it. Found by
-# rehearsals, five at once on a machine: answers 5 and 55 ms late with a fixed 120 ms. Guards rule 1 against
-# busy loops and slow ways on either side; costs the last tenth of the longest waits. Of a short wait it takes
-# a third at most: a deployment may have deadlines under 120 ms, and all of them would be rejected at once.
-MARGIN_PART, MARGIN_LEAST, MARGIN_MOST_PART = 10, 120 * MS, 3
+# The decision logic has to answer this long before the client gives up: a tenth of the client's wait and at
+# least 120 ms. It scans what waits only every 50 ms, and the client's clock starts when it sends the request,
+# not when a busy event loop reads it. With a fixed 120 ms, answers came 5 and 55 ms late when five loaded
+# runs shared a machine. The margin keeps answers within the deadline despite busy loops and slow networks on
+# either side, at the cost of the last tenth of the longest waits. It never takes more than a third of the
+# wait, as otherwise a deployment with deadlines under 120 ms would reject every playback at once.
+MARGIN_DIVISOR, MIN_MARGIN_NS, SHORT_WAIT_DIVISOR = 10, 120 * MS, 3
 
 
 def margin(time_left):
-    """ns before its deadline at which the decisions are to have answered a playback."""
-    return max(min(MARGIN_LEAST, time_left // MARGIN_MOST_PART), time_left // MARGIN_PART)
+    """Return how many ns before the client gives up the decision logic must have answered.
 
+    `time_left`: ns that the client waits in all.
+    """
+    return max(min(MIN_MARGIN_NS, time_left // SHORT_WAIT_DIVISOR), time_left // MARGIN_DIVISOR)
 
-def last_word(time_left):
-    """ns before the client gives up at which the core itself answers, when even that was not given: an
-    exception in the decisions, a loop held up."""
+
+def fallback_margin(time_left):
+    """Return how many ns before the client gives up the core itself answers.
+
+    It does so when the decision logic has not answered in time: after an exception in it, or when the event
+    loop was blocked.
+    """
     return margin(time_left) // 3
 
 
 class Core:
-    """One controller's playbacks. `watch(event, carried, **facts)` hears of every change, for the log."""
+    """The playbacks of one controller.
+
+    `watch(event, playback, **facts)` is called for each change, for logs and load reports. `decisions` is the
+    class of the decision logic (terndrift/interface.py). `drain_grace` is in ns.
+    """
 
     def __init__(self, deployment, now, name="c0", drain_grace=0, watch=None, decisions=Controller):
         self.deployment, self.name = deployment, name
-        # the same controller started again must not use a name twice: streamers may still hold the old one
-        self.run = f"{name}~{now:x}"
+        # Prefix of playback ids. It holds the start time, as streamers may still have ids from before a
+        # restart, which must not be used twice.
+        self.run_id = f"{name}~{now:x}"
         self.controller = decisions(deployment, now)
         self.watch = watch or (lambda *_, **__: None)
         self.drain_grace = drain_grace
-        # whether a streamer (a Listed) still holds what is wanted: asked just before a try goes out
-        self.permits = lambda wanted, streamer: True
-        # the holders that a playback may have of those that have its title: asked once, when it is wanted
+        # Whether a streamer (a Listed) may still serve the request; asked just before an attempt is sent.
+        self.permits = lambda request, streamer: True
+        # The cells that a playback may use of those that hold its title; asked once, when it is requested.
         self.narrow = lambda cells: cells
-        self.held = {}  # id -> Carried
-        self.open = 0  # taken and not yet answered
-        self.ids = itertools.count(1)
-        self.told_off = {}  # streamer id -> when it was told to drain or be gone
-        self.alarms = []  # (time, number, id): when a try or an answer is due
-        self.alarm_ids = itertools.count()
-        self.calls, self.busy = deque(), False
-        self.faults = 0  # exceptions of the decisions
-
-    # What fronts and carriers call.
-
-    def want(self, now, wanted, carrier, answered):
-        """Takes a playback; `answered(answer)` is called once, by its abandon time at the latest."""
-        carried = Carried(f"{self.run}-{next(self.ids)}", wanted, carrier, answered, now)
-        carried.rung = self.deployment.plans[wanted.plan].floor
-        self.held[carried.id] = carried
+        self.held = {}  # playback id -> Carried
+        self.open = 0  # number of playbacks accepted and not yet answered
+        self.playback_numbers = itertools.count(1)
+        self.told_off = {}  # streamer id -> when it was first listed as draining or gone
+        self.alarms = []  # heap of (time, sequence number, playback id): an attempt or an answer is due
+        self.timer_sequence = itertools.count()
+        self.pending_calls, self.dispatching = deque(), False
+        self.decision_errors = 0  # exceptions raised by the decision logic
+
+    # Called by fronts and transports.
+
+    def want(self, now, request, transport, on_answer):
+        """Accept a playback and return its `Carried`.
+
+        `on_answer(answer)` is called once, before the client gives up, possibly within this call; it is not
+        called if the viewer leaves first.
+        """
+        playback = Carried(f"{self.run_id}-{next(self.playback_numbers)}", request, transport, on_answer, now)
+        playback.rung = self.deployment.plans[request.plan].floor
+        self.held[playback.id] = playback
         self.open += 1
-        self._alarm(carried.due - last_word(wanted.time_left), carried)
-        self.watch("wanted", carried)
+        self._schedule(playback.deadline - fallback_margin(request.time_left), playback)
+        self.watch("wanted", playback)
         self._call(
             now,
-            carried,
+            playback,
             lambda: self.controller.wanted(
                 now,
-                carried.id,
-                wanted.plan,
-                wanted.title,
-                self.narrow(wanted.cells),
-                wanted.top,
-                wanted.time_left - margin(wanted.time_left),
-                wanted.length,
+                playback.id,
+                request.plan,
+                request.title,
+                self.narrow(request.cells),
+                request.top,
+                request.time_left - margin(request.time_left),
+                request.length,
                 False,
-                wanted.rates,
+                request.rates,
             ),
         )
-        return carried
-
-    def hand_over(self, now, wanted, carrier, streamer, rung):
-        """A playback that plays already at that streamer (an id), as after a controller's restart."""
-        carried = Carried(f"{self.run}-{next(self.ids)}", wanted, carrier, lambda _: None, now)
-        self.held[carried.id], carried.rung = carried, rung
-        entry = self.controller.streamers.get(streamer)
-        if entry is None:
-            carried.turn(now, Stage.OVER)
-            del self.held[carried.id]
-            return carried
-        carried.answer, carried.streamer = Answer(Kind.PLAYS), entry.listed
-        carried.turn(now, Stage.TRYING)
-        carried.turn(now, Stage.PLAYING)
-
-        def both():  # the rung in force goes with it: the decisions' first guess is not to be carried out
+        return playback
+
+    def hand_over(self, now, request, transport, streamer_id, rung):
+        """Adopt a playback that already runs at a streamer, as after a restart of the controller.
+
+        Returns its `Carried`, which is in stage OVER if the streamer is not listed.
+        """
+        playback = Carried(
+            f"{self.run_id}-{next(self.playback_numbers)}", request, transport, lambda _: None, now
+        )
+        self.held[playback.id], playback.rung = playback, rung
+        known_streamer = self.controller.streamers.get(streamer_id)
+        if known_streamer is None:
+            playback.turn(now, Stage.OVER)
+            del self.held[playback.id]
+            return playback
+        playback.answer, playback.streamer = Answer(Kind.PLAYS), known_streamer.listed
+        playback.turn(now, Stage.TRYING)
+        playback.turn(now, Stage.PLAYING)
+
+        def adopt():  # reports the rung in force in the same call, so that no change to a guessed rung is sent
             changed = self.controller.handed_over(
                 now,
-                carried.id,
-                wanted.plan,
-                wanted.title,
-                wanted.cells,
-                wanted.top,
-                wanted.time_left,
-                wanted.length,
+                playback.id,
+                request.plan,
+                request.title,
+                request.cells,
+                request.top,
+                request.time_left,
+                request.length,
                 False,
-                streamer,
+                streamer_id,
             )
-            self.controller.told_rung(now, carried.id, rung)
+            self.controller.told_rung(now, playback.id, rung)
             return changed
 
-        self._call(now, carried, both)
-        return carried
+        self._call(now, playback, adopt)
+        return playback
+
+    def may_send(self, now, playback):
+        """Return whether the attempt may still be sent.
 
-    def may_send(self, now, carried):
-        """Whether the try may still go out: asked by carriers when the connection is up, just before the
-        first byte. Guards rule 3 against a streamer told off between the choice and the connect."""
-        if carried.stage is not Stage.TRYING or not self.permits(carried.wanted, carried.streamer):
+        Transports ask once they are connected, just before the first byte: the streamer may have started to
+        drain or left the list since it was chosen, and then gets no set-up after the grace period.
+        """
+        if playback.stage is not Stage.TRYING or not self.permits(playback.wanted, playback.streamer):
             return False
-        told = self.told_off.get(carried.streamer.id)
-        return told is None or now <= told + self.drain_grace
+        withdrawn_at = self.told_off.get(playback.streamer.id)
+        return withdrawn_at is None or now <= withdrawn_at + self.drain_grace
 
-    def last_answer(self, carried):
-        """The answer to what the core itself must give up. Rejected, with when to come back, where no try
-        was ever sent or another does no harm; else it may have run, and is aborted."""
-        if carried.tries == 0 or self.deployment.plans[carried.wanted.plan].repeatable:
+    def last_answer(self, playback):
+        """Return the answer to give when the decision logic gave none in time.
+
+        REJECTED, with a time to retry after, if no attempt was sent or a repeated one does no harm; otherwise
+        an attempt may have run and the answer is ABORTED.
+        """
+        if playback.tries == 0 or self.deployment.plans[playback.wanted.plan].repeatable:
             return Answer(Kind.REJECTED, self.controller.advice)
         return Answer(Kind.ABORTED, why="no decision in time")
 
-    def began(self, now, carried, report):
-        """The set-up that is out came to play."""
-        if carried.stage is Stage.CALLING_OFF:  # too late: it was given up, and has run all the same
-            carried.carrier.let_go(carried, carried.streamer)
-            return self.try_over(now, carried, Ending.CALLED_OFF, report)
-        if carried.stage is not Stage.TRYING:
+    def began(self, now, playback, report):
+        """Report that the attempt in flight succeeded and the playback runs.
+
+        `report`: dict of load figures that the streamer sent with it, or None.
+        """
+        if playback.stage is Stage.CANCELLING:  # the streamer started it before the cancellation arrived
+            playback.carrier.let_go(playback, playback.streamer)
+            return self.try_over(now, playback, Ending.CALLED_OFF, report)
+        if playback.stage is not Stage.TRYING:
             return None
-        carried.turn(now, Stage.PLAYING)
-        self._answer(now, carried, Answer(Kind.PLAYS))
-        self._call(now, carried, lambda: self.controller.playing(now, carried.id, now - carried.sent_at))
+        playback.turn(now, Stage.PLAYING)
+        self._deliver_answer(now, playback, Answer(Kind.PLAYS))
+        self._call(now, playback, lambda: self.controller.playing(now, playback.id, now - playback.sent_at))
         if report:
             self._call(
                 now,
-                carried,
+                playback,
                 lambda: self.controller.told_use(
-                    now, carried.id, carried.streamer.id, report.get("link"), report.get("uplink")
+                    now, playback.id, playback.streamer.id, report.get("link"), report.get("uplink")
                 ),
             )
         return None
 
-    def try_over(self, now, carried, ending, report=None):
-        """The set-up that is out ended without playing, or its calling off is known to be over."""
-        if carried.stage not in (Stage.TRYING, Stage.CALLING_OFF):
+    def try_over(self, now, playback, ending, report=None):
+        """Report that the attempt in flight failed, or that its cancellation is complete."""
+        if playback.stage not in (Stage.TRYING, Stage.CANCELLING):
             return
-        streamer, ending = carried.streamer, carried.gave_up or ending
-        took, carried.gave_up = now - carried.sent_at, None
-        done = carried.answer is not None
-        carried.turn(now, Stage.OVER if done else Stage.WAITING)
-        self.watch("try over", carried, ending=ending.name, streamer=streamer.id)
+        streamer, ending = playback.streamer, playback.cancel_reason or ending
+        elapsed, playback.cancel_reason = now - playback.sent_at, None
+        finished = playback.answer is not None
+        playback.turn(now, Stage.OVER if finished else Stage.WAITING)
+        self.watch("try over", playback, ending=ending.name, streamer=streamer.id)
         self._call(
             now,
-            carried,
-            lambda: self.controller.try_ended(now, carried.id, ending, took, done, streamer.id, report or {}),
+            playback,
+            lambda: self.controller.try_ended(
+                now, playback.id, ending, elapsed, finished, streamer.id, report or {}
+            ),
         )
 
-    def over(self, now, carried, ending, report=None):
-        """What plays is over."""
-        if carried.stage is not Stage.PLAYING:
+    def over(self, now, playback, ending, report=None):
+        """Report that a running playback ended; ignored in any other stage."""
+        if playback.stage is not Stage.PLAYING:
             return
-        carried.turn(now, Stage.OVER)
-        carried.carrier.let_go(carried, carried.streamer)
-        self.watch("over", carried, ending=ending.name)
+        playback.turn(now, Stage.OVER)
+        playback.carrier.let_go(playback, playback.streamer)
+        self.watch("over", playback, ending=ending.name)
         self._call(
             now,
-            carried,
+            playback,
             lambda: self.controller.try_ended(
-                now, carried.id, ending, now - carried.sent_at, True, carried.streamer.id, report or {}
+                now, playback.id, ending, now - playback.sent_at, True, playback.streamer.id, report or {}
             ),
         )
 
-    def left(self, now, carried):
-        """The viewer is gone: nothing more is owed, but what is out is out until it has ended."""
-        if carried.stage is Stage.PLAYING:
-            return self.over(now, carried, Ending.CALLED_OFF)
-        if carried.stage is Stage.OVER or carried.answer is not None:
+    def left(self, now, playback):
+        """Report that the viewer left. No answer is given; an attempt in flight is cancelled.
+
+        The playback is kept until that attempt has ended.
+        """
+        if playback.stage is Stage.PLAYING:
+            return self.over(now, playback, Ending.CALLED_OFF)
+        if playback.stage is Stage.OVER or playback.answer is not None:
             return None
-        self.watch("left", carried)
-        self._close(now, carried, None)
-        self._call(now, carried, lambda: self.controller.viewer_left(now, carried.id))
-        self._give_up(now, carried, Ending.CALLED_OFF)
+        self.watch("left", playback)
+        self._resolve(now, playback, None)
+        self._call(now, playback, lambda: self.controller.viewer_left(now, playback.id))
+        self._cancel_attempt(now, playback, Ending.CALLED_OFF)
         return None
 
-    def rung_stands(self, now, carried, rung):
-        """The rung last asked for was not taken: `rung` is the one in force."""
-        if carried.stage is Stage.PLAYING:
-            carried.rung = rung
-            self._call(now, carried, lambda: self.controller.told_rung(now, carried.id, rung))
+    def rung_stands(self, now, playback, rung):
+        """Report that a change of rung was refused and that `rung` is the one in force."""
+        if playback.stage is Stage.PLAYING:
+            playback.rung = rung
+            self._call(now, playback, lambda: self.controller.told_rung(now, playback.id, rung))
+
+    def told_use(self, now, playback, link_use, uplink_use):
+        """Report the load of the streamer's link and of its rack's uplink, as demand over capacity.
 
-    def told_use(self, now, carried, link, uplink):
-        if carried.stage is Stage.PLAYING:
+        Either may be None: not reported. Ignored unless the playback runs.
+        """
+        if playback.stage is Stage.PLAYING:
             self._call(
                 now,
-                carried,
-                lambda: self.controller.told_use(now, carried.id, carried.streamer.id, link, uplink),
+                playback,
+                lambda: self.controller.told_use(
+                    now, playback.id, playback.streamer.id, link_use, uplink_use
+                ),
             )
 
-    def told_share(self, now, streamer, share):
-        self._call(now, None, lambda: self.controller.told_share(now, streamer, share))
-
-    def list_changed(self, now, entries, whole, old):
-        """The server list: `entries` of Listed, all of it or changes; old: a copy from before a restart."""
-        named = {e.id for e in entries}
-        off = [e.id for e in entries if e.standing is not Standing.READY]
-        if whole:
-            off += [id for id in self.controller.streamers if id not in named]
-        for id in off:
-            self.told_off.setdefault(id, now)
-        for e in entries:
-            if e.standing is Standing.READY:
-                self.told_off.pop(e.id, None)
-        self._call(now, None, lambda: self.controller.list_changed(now, entries, whole, old))
-        # what the decisions have forgotten can't be chosen: bounds the memory of a list that always changes
+    def told_share(self, now, streamer_id, share):
+        """Report the share of their rates that the playbacks at a streamer get, 0 to 1."""
+        self._call(now, None, lambda: self.controller.told_share(now, streamer_id, share))
+
+    def list_changed(self, now, entries, is_snapshot, is_cached):
+        """Report the server list: `entries` of `Listed`, all of them (`is_snapshot`) or only changes.
+
+        `is_cached`: the entries are a copy from before a restart.
+        """
+        listed_ids = {entry.id for entry in entries}
+        withdrawn = [entry.id for entry in entries if entry.standing is not Standing.READY]
+        if is_snapshot:
+            withdrawn += [
+                streamer_id for streamer_id in self.controller.streamers if streamer_id not in listed_ids
+            ]
+        for streamer_id in withdrawn:
+            self.told_off.setdefault(streamer_id, now)
+        for entry in entries:
+            if entry.standing is Standing.READY:
+                self.told_off.pop(entry.id, None)
+        self._call(now, None, lambda: self.controller.list_changed(now, entries, is_snapshot, is_cached))
+        # The decision logic can't choose a streamer that it has forgotten. Removing those bounds the memory
+        # that a list with ever new streamers takes.
         if len(self.told_off) > 2 * len(self.controller.streamers):
-            self.told_off = {i: t for i, t in self.told_off.items() if i in self.controller.streamers}
+            self.told_off = {s: t for s, t in self.told_off.items() if s in self.controller.streamers}
 
     def holders_changed(self, now, titles):
-        """`titles`: name -> cells that hold it from now on (none: it is gone). What plays goes on, the answer
-        of a try that is out stands, what is held looks among the new holders, and is answered at once if
-        there are none left to wait for."""
-        for carried in [c for c in self.held.values() if c.wanted.title in titles]:
-            if carried.stage in (Stage.WAITING, Stage.TRYING, Stage.CALLING_OFF):
-                cells = titles[carried.wanted.title]
+        """Report new holders. `titles`: title -> cells that hold it from now on; empty: it was removed.
+
+        Running playbacks go on and the answer to an attempt in flight still counts. Waiting playbacks look
+        among the new holders, and are answered at once if there are none left to wait for.
+        """
+        for playback in [p for p in self.held.values() if p.wanted.title in titles]:
+            if playback.stage in (Stage.WAITING, Stage.TRYING, Stage.CANCELLING):
+                cells = titles[playback.wanted.title]
                 self._call(
-                    now, carried, lambda c=carried, to=cells: self.controller.holders_changed(now, c.id, to)
+                    now,
+                    playback,
+                    lambda p=playback, new_cells=cells: self.controller.holders_changed(now, p.id, new_cells),
                 )
 
-    def among(self, now, controllers, turn, warm):
-        """What a fleet settles and knows (interface.py); `warm`: id -> hundredths of its link that were asked
-        for, told as a report of a while ago."""
-        self._call(now, None, lambda: self.controller.among(now, controllers, turn, warm))
-        for id, use in warm.items():
+    def among(self, now, controller_count, warm_up_turn, warm_link_use):
+        """Report what the fleet's controllers agreed on (`among` in terndrift/interface.py).
+
+        `warm_link_use`: streamer id -> demand on its link in hundredths of its capacity, passed on as a load
+        report of a while ago.
+        """
+        self._call(
+            now, None, lambda: self.controller.among(now, controller_count, warm_up_turn, warm_link_use)
+        )
+        for streamer_id, percent in warm_link_use.items():
             self._call(
-                now, None, lambda id=id, use=use: self.controller.told_use(now, None, id, use / 100, None)
+                now,
+                None,
+                lambda streamer_id=streamer_id, percent=percent: self.controller.told_use(
+                    now, None, streamer_id, percent / 100, None
+                ),
             )
 
-    def limits(self, now, extra, found, advice):
-        """What a fleet's members together allow and found under load (interface.py)."""
-        self._call(now, None, lambda: self.controller.limits(now, extra, found, advice))
+    def limits(self, now, extra_attempts, findings, retry_after_choices):
+        """Report the fleet's shared limits and findings under load (`limits` in terndrift/interface.py)."""
+        self._call(
+            now, None, lambda: self.controller.limits(now, extra_attempts, findings, retry_after_choices)
+        )
 
     def next_at(self):
-        """When `tick` is next wanted; None: not before something happens."""
+        """Return when `tick` should be called next, or None if only an event can make it necessary."""
         times = (self.controller.wake_at, self.alarms[0][0] if self.alarms else None)
         return min((t for t in times if t is not None), default=None)
 
     def tick(self, now):
-        """Time has passed: tries past their time-out are called off, and the decisions are woken."""
+        """Cancel attempts past their timeout, give fallback answers and wake the decision logic, as due."""
         while self.alarms and self.alarms[0][0] <= now:
-            _, _, id = heapq.heappop(self.alarms)
-            carried = self.held.get(id)
-            if carried is None:
+            _, _, playback_id = heapq.heappop(self.alarms)
+            playback = self.held.get(playback_id)
+            if playback is None:
                 continue
-            if carried.stage is Stage.TRYING and now >= carried.try_due:
-                self._give_up(now, carried, Ending.SILENT)
-            if carried.answer is None and now >= carried.due - last_word(carried.wanted.time_left):
-                self.watch("last word", carried)
-                self._close(now, carried, self.last_answer(carried))
-                self._call(now, carried, lambda c=carried: self.controller.viewer_left(now, c.id))
-                self._give_up(now, carried, Ending.CALLED_OFF)
+            if playback.stage is Stage.TRYING and now >= playback.attempt_deadline:
+                self._cancel_attempt(now, playback, Ending.SILENT)
+            if playback.answer is None and now >= playback.deadline - fallback_margin(
+                playback.wanted.time_left
+            ):
+                self.watch("last word", playback)
+                self._resolve(now, playback, self.last_answer(playback))
+                self._call(now, playback, lambda p=playback: self.controller.viewer_left(now, p.id))
+                self._cancel_attempt(now, playback, Ending.CALLED_OFF)
         if self.controller.wake_at is not None and now >= self.controller.wake_at:
             self._call(now, None, lambda: self.controller.wake(now))
 
-    # Carrying out.
+    # Carrying out decisions.
 
-    def _alarm(self, at, carried):
-        heapq.heappush(self.alarms, (at, next(self.alarm_ids), carried.id))
+    def _schedule(self, at, playback):
+        heapq.heappush(self.alarms, (at, next(self.timer_sequence), playback.id))
 
-    def _call(self, now, carried, call):
-        self.calls.append((now, carried, call))
-        if self.busy:
+    def _call(self, now, playback, call):
+        """Queue a call to the decision logic; unless one is running, run the queue and apply the results."""
+        self.pending_calls.append((now, playback, call))
+        if self.dispatching:
             return
-        self.busy = True
+        self.dispatching = True
         try:
-            while self.calls:
-                at, about, call = self.calls.popleft()
+            while self.pending_calls:
+                called_at, subject, call = self.pending_calls.popleft()
                 try:
                     changed = call()
-                except Exception as fault:  # never swallowed: told, counted, and the playback still answered
-                    self.faults += 1
-                    self.watch("fault", about, error=fault)
+                except Exception as error:  # reported and counted; `tick` still answers the playback in time
+                    self.decision_errors += 1
+                    self.watch("fault", subject, error=error)
                     continue
-                for pb in changed or ():
-                    self._carry(at, pb)
-                if about is not None and about.stage is Stage.OVER:
-                    self.held.pop(about.id, None)
+                for decided in changed or ():
+                    self._apply_decision(called_at, decided)
+                if subject is not None and subject.stage is Stage.OVER:
+                    self.held.pop(subject.id, None)
         finally:
-            self.busy = False
+            self.dispatching = False
 
-    def _carry(self, now, pb):
-        """What a playback handed back by the decisions stands for, done."""
-        carried = self.held.get(pb.id)
-        if carried is None or carried.stage is Stage.OVER:
+    def _apply_decision(self, now, decided):
+        """Carry out the state of a playback that the decision logic returned as changed."""
+        playback = self.held.get(decided.id)
+        if playback is None or playback.stage is Stage.OVER:
             return
-        if pb.state is State.TRYING and pb.tries > carried.tries and carried.stage is Stage.WAITING:
-            carried.tries, carried.rung, carried.streamer = pb.tries, pb.rung, pb.streamer.listed
-            carried.sent_at, carried.try_due = now, now + pb.time_out
-            carried.turn(now, Stage.TRYING)
-            self._alarm(carried.try_due, carried)
-            self.watch("try", carried, streamer=carried.streamer.id, rung=pb.rung, number=pb.tries)
-            carried.carrier.set_up(carried, carried.streamer, pb.rung, pb.time_out)
-        elif pb.state in (State.TRYING, State.PLAYING) and pb.rung != carried.rung:
-            carried.rung = pb.rung
-            self.watch("rung", carried, rung=pb.rung)
-            carried.carrier.set_rung(carried, pb.rung)
-        elif pb.state in (State.REJECTED, State.ABORTED) and carried.answer is None:
-            kind = Kind.REJECTED if pb.state is State.REJECTED else Kind.ABORTED
-            self._close(now, carried, Answer(kind, pb.come_back if kind is Kind.REJECTED else 0))
-            self._give_up(now, carried, Ending.CALLED_OFF)
-
-    def _answer(self, now, carried, answer):
-        if carried.answer is None:
-            carried.answer = answer
+        if (
+            decided.state is State.TRYING
+            and decided.tries > playback.tries
+            and playback.stage is Stage.WAITING
+        ):
+            playback.tries, playback.rung, playback.streamer = (
+                decided.tries,
+                decided.rung,
+                decided.streamer.listed,
+            )
+            playback.sent_at, playback.attempt_deadline = now, now + decided.time_out
+            playback.turn(now, Stage.TRYING)
+            self._schedule(playback.attempt_deadline, playback)
+            self.watch(
+                "try", playback, streamer=playback.streamer.id, rung=decided.rung, number=decided.tries
+            )
+            playback.carrier.set_up(playback, playback.streamer, decided.rung, decided.time_out)
+        elif decided.state in (State.TRYING, State.PLAYING) and decided.rung != playback.rung:
+            playback.rung = decided.rung
+            self.watch("rung", playback, rung=decided.rung)
+            playback.carrier.set_rung(playback, decided.rung)
+        elif decided.state in (State.REJECTED, State.ABORTED) and playback.answer is None:
+            kind = Kind.REJECTED if decided.state is State.REJECTED else Kind.ABORTED
+            self._resolve(now, playback, Answer(kind, decided.come_back if kind is Kind.REJECTED else 0))
+            self._cancel_attempt(now, playback, Ending.CALLED_OFF)
+
+    def _deliver_answer(self, now, playback, answer):
+        if playback.answer is None:
+            playback.answer = answer
             self.open -= 1
             self.watch(
                 "answer",
-                carried,
+                playback,
                 kind=answer.kind.value,
                 come_back=answer.come_back,
-                took=now - carried.taken_at,
+                took=now - playback.taken_at,
             )
-            carried.answered(answer)
+            playback.answered(answer)
 
-    def _close(self, now, carried, answer):
-        """The final answer, or None where the viewer left and none is owed."""
-        if carried.answer is not None:
+    def _resolve(self, now, playback, answer):
+        """Give the final answer; `answer` is None if the viewer left and no answer is to be delivered."""
+        if playback.answer is not None:
             return
         if answer is None:
-            carried.answer = Answer(Kind.ABORTED, why="viewer left")
+            playback.answer = Answer(Kind.ABORTED, why="viewer left")
             self.open -= 1
         else:
-            self._answer(now, carried, answer)
-
-    def _give_up(self, now, carried, why):
-        """Calls the try that is out off; a playback with none out is over, if it has its answer."""
-        if carried.stage is Stage.TRYING:
-            carried.gave_up = why
-            carried.turn(now, Stage.CALLING_OFF)
-            self.watch("call off", carried, why=why.name)
-            carried.carrier.call_off(carried)
-        elif carried.stage is Stage.WAITING and carried.answer is not None:
-            carried.turn(now, Stage.OVER)
-            self.held.pop(carried.id, None)
+            self._deliver_answer(now, playback, answer)
+
+    def _cancel_attempt(self, now, playback, ending):
+        """Cancel the attempt in flight. Without one, an answered playback is over and is removed."""
+        if playback.stage is Stage.TRYING:
+            playback.cancel_reason = ending
+            playback.turn(now, Stage.CANCELLING)
+            self.watch("call off", playback, why=ending.name)
+            playback.carrier.call_off(playback)
+        elif playback.stage is Stage.WAITING and playback.answer is not None:
+            playback.turn(now, Stage.OVER)
+            self.held.pop(playback.id, None)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -105,7 +105,7 @@
     b = Bench()
     pb = b.want("paid", left=S)
     b.wait(990 * MS)
-    assert pb.stage is Stage.CALLING_OFF
+    assert pb.stage is Stage.CANCELLING
     b.plays(pb)
     assert len(b.answers[pb]) == 1 and pb.stage is Stage.OVER and not b.carrier.playing and not b.core.held
 
@@ -142,7 +142,9 @@
     pb = b.want("paid", left=2 * S)
     b.wait(2 * S)
     ((at, answer),) = b.answers[pb]
-    assert answer.kind is Kind.REJECTED and at <= T0 + 2 * S and b.core.faults == 1, "it was never sent"
+    assert answer.kind is Kind.REJECTED and at <= T0 + 2 * S and b.core.decision_errors == 1, (
+        "it was never sent"
+    )
     assert 0 < answer.come_back <= b.core.deployment.rules.longest_advice
     assert ("fault", pb) in b.seen
 
@@ -162,13 +164,13 @@
         carrier = Script()
         for n in range(4):
             core.want(T0 + n, Wanted("free", "t", ALL, 3, S, 20 * S), carrier, lambda answer: None)
-        assert len(carrier.sends) == 4 and not core.faults
+        assert len(carrier.sends) == 4 and not core.decision_errors
         assert order is Random or len({streamer for _, streamer in carrier.sends}) == 4
 
 
 def test_two_runs_of_a_controller_never_share_the_name_of_a_playback():
     first, second = Bench(), Bench()
-    second.core.run = Core(deployment(), T0 + 1, "c0").run
+    second.core.run_id = Core(deployment(), T0 + 1, "c0").run_id
     assert first.want().id != second.want().id
 
 
@@ -203,7 +205,7 @@
             b.plays(pb)
         elif what == "end" and pb:
             ending = BAD[y % len(BAD)]
-            if (pb.gave_up or ending).may_have_run:
+            if (pb.cancel_reason or ending).may_have_run:
                 maybe_ran.add(pb)
             b.end(pb, ending)
         elif what == "left" and b.answers:
@@ -228,7 +230,7 @@
         assert len(got) == 1 or pb in left and not got
         if got:
             at, answer = got[0]
-            assert at <= pb.due
+            assert at <= pb.deadline
             if answer.kind is Kind.REJECTED and pb.wanted.plan == "paid":
                 assert pb not in maybe_ran
     for pb in list(b.carrier.out):
