--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -16,9 +16,9 @@
 MS = 1_000_000
 # The decision logic has to answer this long before the client gives up: a tenth of the client's wait and at
 # least 120 ms. It scans what waits only every 50 ms, and the client's clock starts when it sends the request,
-# not when a busy event loop reads it. With a fixed 120 ms, answers came 5 and 55 ms late when five loaded
-# runs shared a machine. The margin keeps answers within the deadline despite busy loops and slow networks on
-# either side, at the cost of the last tenth of the longest waits. It never takes more than a third of the
+# not when a busy event loop reads it. With a fixed 120 ms, answers came 5 and 55 ms late while five
+# rehearsals ran on one machine. The margin keeps answers in time (rule 1) despite busy loops and slow networks
+# on either side, at the cost of the last tenth of the longest waits. It never takes more than a third of the
 # wait, as otherwise a deployment with deadlines under 120 ms would reject every playback at once.
 MARGIN_DIVISOR, MIN_MARGIN_NS, SHORT_WAIT_DIVISOR = 10, 120 * MS, 3
 
@@ -118,7 +118,7 @@
         playback.turn(now, Stage.TRYING)
         playback.turn(now, Stage.PLAYING)
 
-        def adopt():  # reports the rung in force in the same call, so that no change to a guessed rung is sent
+        def adopt():  # reports the rung in force in the same call: a guessed rung must not be carried out
             changed = self.controller.handed_over(
                 now,
                 playback.id,
@@ -141,7 +141,7 @@
         """Return whether the attempt may still be sent.
 
         Transports ask once they are connected, just before the first byte: the streamer may have started to
-        drain or left the list since it was chosen, and then gets no set-up after the grace period.
+        drain or left the list since it was chosen, and then gets no set-up after the grace period (rule 3).
         """
         if playback.stage is not Stage.TRYING or not self.permits(playback.wanted, playback.streamer):
             return False
--- a/terndrift/core/gate.py
+++ b/terndrift/core/gate.py
@@ -1,9 +1,9 @@
-"""Who is let in: what is open is bounded, one source can't take all of it, and who is turned away is told
-when to come back. Decides; free of I/O and clocks.
+"""Admission control for requests: limits how many are open, in all and from one source.
 
-It guards memory and the event loop against floods of requests, whatever sends them: a broken app that
-retries at once, an attack, all viewers of a dead controller. It could do harm where very many viewers
-stand behind one address, so the part of a source is looked at only once the half of the room is gone.
+Fronts ask before they accept a request and tell a refused client when to retry. The limits protect memory and
+the event loop against floods of requests: a broken app that retries at once, an attack, or all viewers of a
+controller that failed. Many viewers may share one address, so the limit for a source applies only once half
+of the capacity is in use. No I/O and no clock: the caller passes the time in ns.
 """
 
 import zlib
@@ -11,48 +11,58 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-# Past this part of the room a source is held to its own part.
-CROWDED = 0.5
-# One source's part of the room then. A quarter leaves room for others until four do it together.
-SOURCE_PART = 0.25
-# Advice is spread over this much more of itself, so that those turned away together do not return together.
-SPREAD = 1.0
-SHORTEST, LONGEST = SECOND, 30 * SECOND
+# The limit for one source applies from this share of the capacity on.
+SOURCE_LIMIT_THRESHOLD = 0.5
+# Share of the capacity that one source may then have: it takes four such sources to leave no room for others.
+MAX_SOURCE_SHARE = 0.25
+# Jitter, as a share of the delay, so that clients refused together do not return together.
+RETRY_JITTER = 1.0
+MIN_RETRY_AFTER_NS, MAX_RETRY_AFTER_NS = SECOND, 30 * SECOND  # before jitter
 
 
 class Gate:
-    def __init__(self, room, seed=0):
-        self.room, self.seed, self.draws = room, seed, 0
-        self.inside = {}  # source -> how many of its requests are inside
-        self.count = 0
-        self.left = deque(maxlen=64)  # times at which the last ones left
+    """Admission control with room for `capacity` open requests. `seed` makes the jitter reproducible."""
+
+    def __init__(self, capacity, seed=0):
+        self.room, self.seed, self.draw_count = capacity, seed, 0
+        self.open_by_source = {}  # source -> number of its open requests
+        self.count = 0  # number of all open requests
+        self.departures = deque(maxlen=64)  # times at which the last requests were closed
 
     def enter(self, now, source):
-        """0: let in, and `leave` is owed; else turned away, and the ns after which to come back."""
-        mine = self.inside.get(source, 0)
-        crowded = self.count >= CROWDED * self.room
-        if self.count >= self.room or crowded and mine >= max(1, SOURCE_PART * self.room):
-            return self.come_back(now)
-        self.inside[source] = mine + 1
+        """Admit a request of `source` and return 0, or return the ns after which the client should retry.
+
+        The caller has to call `leave` once for each request admitted.
+        """
+        source_count = self.open_by_source.get(source, 0)
+        source_limited = self.count >= SOURCE_LIMIT_THRESHOLD * self.room
+        if self.count >= self.room or source_limited and source_count >= max(1, MAX_SOURCE_SHARE * self.room):
+            return self.retry_after(now)
+        self.open_by_source[source] = source_count + 1
         self.count += 1
         return 0
 
     def leave(self, now, source):
-        mine = self.inside[source] - 1
-        if mine:
-            self.inside[source] = mine
+        """Close a request that `enter` admitted. Raises KeyError if `source` has none open."""
+        source_count = self.open_by_source[source] - 1
+        if source_count:
+            self.open_by_source[source] = source_count
         else:
-            del self.inside[source]  # sources are as many as are inside, not as ever were
+            del self.open_by_source[source]  # keeps only sources with open requests, so memory is bounded
         self.count -= 1
-        self.left.append(now)
+        self.departures.append(now)
+
+    def retry_after(self, now):
+        """Return the ns after which a refused client should retry.
 
-    def come_back(self, now):
-        """When half of those inside should have left, at the pace of late, and by chance up to twice that."""
-        if len(self.left) >= 2 and now > self.left[0]:
-            wait = int(self.count / 2 * (now - self.left[0]) / len(self.left))
+        That is when half of the open requests should have been closed at the recent rate, within the bounds
+        for the delay, plus jitter of up to the same again.
+        """
+        if len(self.departures) >= 2 and now > self.departures[0]:
+            delay = int(self.count / 2 * (now - self.departures[0]) / len(self.departures))
         else:
-            wait = SHORTEST
-        self.draws += 1
-        luck = zlib.crc32(f"{self.seed}:{self.draws}".encode()) * 2654435761 % 2**32 / 2**32
-        wait = min(max(wait, SHORTEST), LONGEST)
-        return int(wait * (1 + SPREAD * luck))
+            delay = MIN_RETRY_AFTER_NS
+        self.draw_count += 1
+        fraction = zlib.crc32(f"{self.seed}:{self.draw_count}".encode()) * 2654435761 % 2**32 / 2**32
+        delay = min(max(delay, MIN_RETRY_AFTER_NS), MAX_RETRY_AFTER_NS)
+        return int(delay * (1 + RETRY_JITTER * fraction))
--- a/terndrift/core/host.py
+++ b/terndrift/core/host.py
@@ -1,83 +1,105 @@
-"""The core on an event loop: a clock that fronts share, and a timer for what the core next waits for."""
+"""Runs a session core on a Tornado event loop: its clock and the timer for its next deadline.
+
+Services create one `Clock` and one `Host`; fronts and transports reach the core through `Host.do` alone.
+"""
 
 import time
 
 from tornado.ioloop import IOLoop
 
 SECOND = 1_000_000_000
-# A loop later than this for a timer is told: answers are given 120 ms before they are due at the latest.
-HELD = SECOND // 10
+# A timer that fires later than this is logged. The limit is below the margin of 120 ms by which answers are
+# given before they are due.
+LATE_TIMER_NS = SECOND // 10
 
 
 class Clock:
-    """Whole nanoseconds that only move forward; `of_wall` puts a time of day on the same line.
+    """Monotonic time in whole ns, and conversion between it and wall-clock time.
 
-    The distance between the two is measured once: a start time read twice must not become two start times,
-    or the decisions would take it for a restart."""
+    The offset between the two is measured once: a streamer's start time that is converted twice has to give
+    the same value, or the decision logic would take it for a restart.
+    """
 
     def __init__(self):
-        self.apart = time.time_ns() - time.monotonic_ns()
+        self.wall_offset = time.time_ns() - time.monotonic_ns()
 
     def now(self):
+        """Return the monotonic time in ns."""
         return time.monotonic_ns()
 
     def of_wall(self, seconds):
-        """Seconds since 1970; 0 and what lies before this machine's start is "long ago": 0."""
+        """Convert seconds since 1970 to monotonic ns.
+
+        Returns 0, "long ago", for 0 and for times before the zero of the monotonic clock, the machine's start.
+        """
         return self.of_wall_ns(int(seconds * SECOND))
 
     def of_wall_ns(self, wall):
-        return max(0, wall - self.apart) if wall else 0
+        """Convert ns since 1970 to monotonic ns, with the same use of 0 as `of_wall`."""
+        return max(0, wall - self.wall_offset) if wall else 0
+
+    def wall_ns(self, monotonic):
+        """Convert monotonic ns to ns since 1970; 0, "long ago", stays 0.
 
-    def wall_ns(self, at):
-        """The reverse: ns since 1970, 0 for long ago. Whole, so that there and back is the same."""
-        return at + self.apart if at else 0
+        The result is a whole number, so that converting it back gives the same value.
+        """
+        return monotonic + self.wall_offset if monotonic else 0
 
 
 class Host:
-    """Steps a core: `do(core.method, ...)` is the only way in, so that the timer is never missed."""
+    """Owns the timer of a core. All calls of the core go through `do`, so that the timer is kept up to date.
+
+    `after`, a callable that a transport may set, is called after each step of the core: it can send what the
+    core's decisions left to be sent.
+    """
 
     def __init__(self, core, clock):
         self.core, self.clock = core, clock
-        self.timer, self.timer_at = None, None
-        self.after = lambda: None  # called after each step: a carrier may have gathered what is to be sent
-        self.stopped = False  # nothing more is handed to the core
-        self.late = 0  # ns that the loop was late for a timer at most, since it was last told
+        self.timer, self.timer_due = None, None
+        self.after = lambda: None
+        self.stopped = False  # calls are dropped from then on
+        self.late = 0  # longest delay of a timer since the last `tell_late`, ns
 
     def do(self, call, *args):
-        """Hands the core what has happened; once stopped it hears of nothing more, and None is returned."""
+        """Call a method of the core, `call(now, *args)`, and return its result.
+
+        Once the host is stopped, the call is dropped and None is returned.
+        """
         if self.stopped:
             return None
         result = call(self.clock.now(), *args)
-        self._arm()
+        self._schedule_timer()
         self.after()
         return result
 
-    def _arm(self):
-        at = self.core.next_at()
-        if at is None or self.timer_at is not None and self.timer_at <= at:
-            return  # an early timer does no harm
+    def _schedule_timer(self):
+        due = self.core.next_at()
+        if due is None or self.timer_due is not None and self.timer_due <= due:
+            return  # a timer that fires early does no harm
         loop = IOLoop.current()
         if self.timer is not None:
             loop.remove_timeout(self.timer)
-        self.timer_at = at
-        self.timer = loop.call_later(max(0, at - self.clock.now()) / SECOND, self._ring)
+        self.timer_due = due
+        self.timer = loop.call_later(max(0, due - self.clock.now()) / SECOND, self._on_timer)
 
-    def _ring(self):
+    def _on_timer(self):
         now = self.clock.now()
-        self.late = max(self.late, now - self.timer_at)
-        self.timer = self.timer_at = None
+        self.late = max(self.late, now - self.timer_due)
+        self.timer = self.timer_due = None
         self.core.tick(now)
-        self._arm()
+        self._schedule_timer()
         self.after()
 
     def tell_late(self, log):
+        """Return the longest delay of a timer since the last call, in ns, and log it if it is too long."""
         late, self.late = self.late, 0
-        if late > HELD:
+        if late > LATE_TIMER_NS:
             log.warning("loop held", ms=late // 1_000_000)
         return late
 
     def stop(self):
+        """Cancel the timer and drop all further calls."""
         self.stopped = True
         if self.timer is not None:
             IOLoop.current().remove_timeout(self.timer)
-            self.timer = self.timer_at = None
+            self.timer = self.timer_due = None
--- a/terndrift/core/meter.py
+++ b/terndrift/core/meter.py
@@ -1,77 +1,89 @@
-"""The share of their rates that playbacks get, measured where their bytes pass. Free of I/O and clocks.
+"""Delivery rate of streamers, as measured by a front that relays their media segments.
 
-Told as the decisions expect it: once a second for a streamer that delivers short, and once more when it
-has recovered. Time that a player took to accept bytes is not the streamer's and is left out by the caller.
+The share is what playbacks get of the rates that their rungs need: 1.0 means that segments arrive in time. A
+front reports it to the decision logic once a second for a streamer below its rates, and once more after the
+streamer has recovered. Callers leave out the time that a player took to accept data, which is not the
+streamer's. No I/O and no clock: the caller passes the time in ns.
 """
 
 from collections import deque
 
 SECOND = 1_000_000_000
-# Below this a streamer counts as short: the rest is the noise of sending in pieces.
-SHORT = 0.98
-EVERY = SECOND
-# Samples looked at: those that ended within so long, as the decisions take a share for that of about now.
-RECENT = 2 * SECOND
+# A streamer below this share delivers too slowly. The rest is noise, as media is sent in chunks.
+MIN_FULL_SHARE = 0.98
+REPORT_INTERVAL_NS = SECOND
+# Age of the oldest sample used: the decision logic takes a share to describe the present.
+SAMPLE_WINDOW_NS = 2 * SECOND
 
 
 class Meter:
+    """Delivery samples by streamer, and the shares that are due to be reported."""
+
     def __init__(self):
-        self.samples = {}  # streamer id -> deque of (ended at, ns it should have taken, ns it took)
-        self.told = {}  # streamer id -> (when, share last told)
-
-    def delivered(self, now, streamer, should, took):
-        """A piece of media that plays for `should` ns took `took` ns to arrive."""
-        if should > 0 and took > 0:
-            self.samples.setdefault(streamer, deque(maxlen=32)).append((now, should, took))
-
-    def standing(self, now, streamer, should, waited):
-        """A piece that is not there yet after more than its time: what a stalled one says before its end."""
-        if waited > should:
-            self.delivered(now, streamer, should, waited)
-
-    def share(self, now, streamer):
-        """The mean share of the recent pieces, weighted by their time; None: nothing recent."""
-        recent = [(should, took) for at, should, took in self.samples.get(streamer, ()) if now - at < RECENT]
+        self.samples = {}  # streamer id -> deque of (end time, nominal ns, actual ns)
+        self.reported = {}  # streamer id -> (time, share) of the last report
+
+    def delivered(self, now, streamer_id, nominal_ns, actual_ns):
+        """Record a media segment that plays for `nominal_ns` and took `actual_ns` to arrive."""
+        if nominal_ns > 0 and actual_ns > 0:
+            self.samples.setdefault(streamer_id, deque(maxlen=32)).append((now, nominal_ns, actual_ns))
+
+    def standing(self, now, streamer_id, nominal_ns, waited_ns):
+        """Record a segment that is still incomplete, if it is late: a stalled one shows before it ends."""
+        if waited_ns > nominal_ns:
+            self.delivered(now, streamer_id, nominal_ns, waited_ns)
+
+    def share(self, now, streamer_id):
+        """Return the mean share of recent segments, weighted by their actual time, or None without any."""
+        recent = [
+            (nominal, actual)
+            for ended_at, nominal, actual in self.samples.get(streamer_id, ())
+            if now - ended_at < SAMPLE_WINDOW_NS
+        ]
         if not recent:
             return None
-        return sum(min(should, took) for should, took in recent) / sum(took for _, took in recent)
+        return sum(min(nominal, actual) for nominal, actual in recent) / sum(actual for _, actual in recent)
 
     def due(self, now):
-        """(streamer, share) to tell now."""
-        out = []
-        for streamer in list(self.samples):
-            share = self.share(now, streamer)
-            when, last = self.told.get(streamer, (None, 1.0))
+        """Return the (streamer id, share) pairs to report now, and record them as reported."""
+        reports = []
+        for streamer_id in list(self.samples):
+            share = self.share(now, streamer_id)
+            reported_at, last_share = self.reported.get(streamer_id, (None, 1.0))
             if share is None:
-                if now - self.samples[streamer][-1][0] > 10 * RECENT:
-                    self.samples.pop(streamer)
-                    self.told.pop(streamer, None)
+                if now - self.samples[streamer_id][-1][0] > 10 * SAMPLE_WINDOW_NS:
+                    self.samples.pop(streamer_id)
+                    self.reported.pop(streamer_id, None)
                 continue
-            if share < SHORT:
-                if when is None or now - when >= EVERY:
-                    out.append((streamer, share))
-            elif last < SHORT:
-                out.append((streamer, share))
-        for streamer, share in out:
-            self.told[streamer] = (now, share)
-        return out
+            if share < MIN_FULL_SHARE:
+                if reported_at is None or now - reported_at >= REPORT_INTERVAL_NS:
+                    reports.append((streamer_id, share))
+            elif last_share < MIN_FULL_SHARE:
+                reports.append((streamer_id, share))
+        for streamer_id, share in reports:
+            self.reported[streamer_id] = (now, share)
+        return reports
 
 
 class Rationed:
-    """Lets a streamer's own figures through once in a while: each one makes the decisions look at its whole
-    rack again, and they are worth no more for being repeated with every piece of media."""
+    """Limits how often a streamer's own load report is passed to the decision logic.
+
+    Each report makes the decision logic evaluate the streamer's whole rack again, and repeating it with every
+    media segment adds nothing.
+    """
 
-    # As often as the decisions were tried with (reports 2 to 5 s apart), at the lower end.
-    EVERY = 2 * SECOND
+    # The decision logic is tested with reports 2 to 5 s apart; this is the lower end.
+    INTERVAL_NS = 2 * SECOND
 
     def __init__(self):
-        self.last, self.room = {}, 4096
+        self.last_passed, self.max_entries = {}, 4096  # streamer id -> time of the last report passed on
 
-    def due(self, now, streamer):
-        if now - self.last.get(streamer, -self.EVERY) < self.EVERY:
+    def due(self, now, streamer_id):
+        """Return whether a report of the streamer may be passed on now; True counts as passed on."""
+        if now - self.last_passed.get(streamer_id, -self.INTERVAL_NS) < self.INTERVAL_NS:
             return False
-        self.last[streamer] = now
-        if len(self.last) > self.room:  # streamers come and go; the list of those ever heard must not grow
-            self.last = {s: t for s, t in self.last.items() if now - t < 10 * self.EVERY}
-            self.room = max(4096, 2 * len(self.last))
+        self.last_passed[streamer_id] = now
+        if len(self.last_passed) > self.max_entries:  # streamers come and go: old entries would accumulate
+            self.last_passed = {s: t for s, t in self.last_passed.items() if now - t < 10 * self.INTERVAL_NS}
+            self.max_entries = max(4096, 2 * len(self.last_passed))
         return True
--- a/terndrift/core/visits.py
+++ b/terndrift/core/visits.py
@@ -1,60 +1,69 @@
-"""Which tries belong to one viewer: by what the player calls its visit (CMCD `sid`) and the title.
+"""Groups a viewer's requests into visits, by the player's session id (CMCD `sid`) and the title.
 
-A second request of a visit while its first is still awaited joins that one: both get the same answer and
-no second playback is set up. One that comes after the answer is a later try of the same visit. A name that
-is used for two titles is two visits. Decides; free of I/O and clocks.
+A request that comes while an earlier one of the same visit awaits its answer joins that one: both get the
+same answer and no second playback is set up. A request after the answer is a further attempt of the same
+visit. One session id used for two titles makes two visits. Called by the HTTP front; no I/O and no clock: the
+caller passes the time in ns.
 """
 
 from collections import OrderedDict
 
 SECOND = 1_000_000_000
-# Viewers come again within seconds; after so long without a request the same name is a new visit.
-FORGET = 60 * SECOND
-# Requests that may wait on one playback: a player has one or two out. Guards against one name sent by all.
-MOST_JOINED = 8
+# Viewers retry within seconds; after this long without a request, the same session id starts a new visit.
+VISIT_TTL_NS = 60 * SECOND
+# Requests that may join one playback. A player has one or two in flight; the limit covers clients that all
+# send the same session id.
+MAX_JOINED_REQUESTS = 8
 
 
 class Visit:
+    """Requests of one viewer for one title; `key` is (session id, title)."""
+
     def __init__(self, key, now):
-        self.key, self.first, self.seen = key, now, now
-        self.tries = 0  # playbacks taken for it
+        self.key, self.first_seen, self.last_seen = key, now, now
+        self.attempts = 0  # playbacks requested for it
         self.awaited = None  # the playback whose answer is awaited
-        self.joined = 0
+        self.joined = 0  # requests that joined it
 
 
 class Visits:
-    """At most `room` visits are remembered; the longest unseen go first."""
+    """The known visits, `capacity` at most; those without a request for longest are removed first."""
+
+    def __init__(self, capacity):
+        self.capacity, self.visits = capacity, OrderedDict()
 
-    def __init__(self, room):
-        self.room, self.visits = room, OrderedDict()
+    def come(self, now, session_id, title):
+        """Return the visit that a request belongs to and whether it joins the playback awaited there.
 
-    def come(self, now, name, title):
-        """The visit of a request, and whether it joins the playback awaited there; (None, False): no name."""
-        self._forget(now)
-        if not name:
+        Returns (None, False) for a request without a session id.
+        """
+        self._remove_expired(now)
+        if not session_id:
             return None, False
-        visit = self.visits.get((name, title))
+        visit = self.visits.get((session_id, title))
         if visit is None:
-            visit = self.visits[name, title] = Visit((name, title), now)
-            while len(self.visits) > self.room:
+            visit = self.visits[session_id, title] = Visit((session_id, title), now)
+            while len(self.visits) > self.capacity:
                 self.visits.popitem(last=False)
         self.visits.move_to_end(visit.key)
-        visit.seen = now
-        if visit.awaited is not None and visit.joined < MOST_JOINED:
+        visit.last_seen = now
+        if visit.awaited is not None and visit.joined < MAX_JOINED_REQUESTS:
             visit.joined += 1
             return visit, True
         return visit, False
 
     def taken(self, visit, playback):
-        visit.tries, visit.awaited, visit.joined = visit.tries + 1, playback, 0
+        """Record that `playback` was requested for the visit and that its answer is awaited."""
+        visit.attempts, visit.awaited, visit.joined = visit.attempts + 1, playback, 0
 
     def answered(self, visit, playback):
+        """Record that `playback` was answered; a newer one of the visit stays awaited."""
         if visit.awaited is playback:
             visit.awaited = None
 
-    def _forget(self, now):
+    def _remove_expired(self, now):
         while self.visits:
             oldest = next(iter(self.visits.values()))
-            if now - oldest.seen < FORGET or oldest.awaited is not None:
+            if now - oldest.last_seen < VISIT_TTL_NS or oldest.awaited is not None:
                 return
             del self.visits[oldest.key]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,9 +6,9 @@
 
 from terndrift.core.carried import Kind, Stage, Wanted
 from terndrift.core.core import Core
-from terndrift.core.gate import LONGEST, Gate
+from terndrift.core.gate import MAX_RETRY_AFTER_NS, Gate
 from terndrift.core.meter import Meter, Rationed
-from terndrift.core.visits import FORGET, MOST_JOINED, Visits
+from terndrift.core.visits import MAX_JOINED_REQUESTS, VISIT_TTL_NS, Visits
 from terndrift.interface import Ending, Standing
 from terndrift.rehearse.baselines import LeastConnections, Random, RoundRobin
 
@@ -252,18 +252,18 @@
             before, mine = len(inside), inside.count(source)
             wait = gate.enter(now, source)
             assert bool(wait) == (before >= 8 or before >= 4 and mine >= 2)
-            assert wait == 0 or S <= wait <= 2 * LONGEST
+            assert wait == 0 or S <= wait <= 2 * MAX_RETRY_AFTER_NS
             if not wait:
                 inside.append(source)
         elif inside:
             gate.leave(now, inside.pop(0))
-        assert gate.count == len(inside) and gate.inside == {s: inside.count(s) for s in set(inside)}
+        assert gate.count == len(inside) and gate.open_by_source == {s: inside.count(s) for s in set(inside)}
 
 
 def test_those_turned_away_together_are_not_sent_back_together():
     gate = Gate(1)
     gate.enter(0, "a")
-    assert len({gate.come_back(0) for _ in range(50)}) > 40
+    assert len({gate.retry_after(0) for _ in range(50)}) > 40
 
 
 def test_two_requests_of_one_visit_are_one_playback_and_a_later_one_is_its_next_try():
@@ -277,8 +277,10 @@
     assert visits.come(2, "v", "t") == (visit, False)
     assert visits.come(2, "", "t") == (None, False)
     visits.taken(visit, "pb2")
-    assert [visits.come(3, "v", "t")[1] for _ in range(MOST_JOINED + 1)] == [True] * MOST_JOINED + [False]
-    assert visit.tries == 2
+    assert [visits.come(3, "v", "t")[1] for _ in range(MAX_JOINED_REQUESTS + 1)] == [
+        True
+    ] * MAX_JOINED_REQUESTS + [False]
+    assert visit.attempts == 2
 
 
 def test_visits_are_forgotten_and_bounded():
@@ -286,7 +288,7 @@
     for n in range(20):
         visits.come(n, f"v{n}", "t")
     assert len(visits.visits) == 5
-    visits.come(20 + FORGET, "new", "t")
+    visits.come(20 + VISIT_TTL_NS, "new", "t")
     assert list(visits.visits) == [("new", "t")]
 
 
@@ -312,7 +314,7 @@
     assert [rationed.due(n * S, 1) for n in range(5)] == [True, False, True, False, True]
     for n in range(9000):
         rationed.due(n * S, n)
-    assert len(rationed.last) < 5000
+    assert len(rationed.last_passed) < 5000
 
 
 def test_the_answer_leaves_a_tenth_of_the_clients_time_for_the_way():
