--- a/terndrift/core/host.py
+++ b/terndrift/core/host.py
@@ -30,7 +30,7 @@
     def of_wall(self, seconds):
         """Convert seconds since 1970 to monotonic ns.
 
-        Returns 0, "long ago", for 0 and for times before the zero of the monotonic clock, the machine's start.
+        Returns 0, "long ago", for 0 and for times before the monotonic clock's zero, the machine's start.
         """
         return self.of_wall_ns(int(seconds * SECOND))
 
