--- a/terndrift/process.py
+++ b/terndrift/process.py
@@ -1,51 +1,63 @@
-"""What every controller does as a process, whatever its fronts: once it stands, and as it goes down."""
+"""Process-level tasks of every controller: garbage collection, signals at shutdown, resource utilisation.
+
+Called by the services (`terndrift.service`, `terndrift.platform.service`), whatever front ends they run.
+"""
 
 import gc
 import os
 import resource
 import signal
 
-# Objects made between collections, and collections of the young before one of all. Python's own 700, 10, 10
-# stop the loop for tens of ms at a thousand playbacks; garbage in circles is little here (tasks, exceptions).
-# A list of 10,000 that changes a thousand times a second has the middle ones take tens of ms all the same:
-# 7 to 65 ms in 30 s of that (benchmarks.xds), 37 to 102 with 20 and 50 of 20,000.
+# Thresholds for gc.set_threshold. Python's defaults of 700, 10, 10 block the event loop for tens of ms at a
+# thousand playbacks, while there is little cyclic garbage (tasks, exceptions). With a list of 10,000
+# streamers that changes a thousand times a second, collections of the middle generation still take tens of
+# ms: 7 to 65 ms in 30 s (benchmarks.xds), against 37 to 102 ms with thresholds of 20,000, 20 and 50.
 COLLECT = (10_000, 5, 400)
-FILES = "/proc/self/fd"  # one name for each descriptor in use; Linux has it
+FD_DIRECTORY = "/proc/self/fd"  # one entry for each open file descriptor; Linux only
 
 
 def stands():
-    """What stands now stands for good: the collector need not go through it again and hold the loop up."""
+    """Tune the garbage collector at the end of start-up.
+
+    The objects that exist then live as long as the process. They are excluded from collection, so that
+    scanning them does not block the event loop.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECT)
 
 
-def goes_down(loop, numbers):
-    """A signal that comes while the process goes down must not be told as its death by that signal: loop and
-    interpreter would put back the system's own way with it as they close, unless it is ignored. They wait
-    meanwhile: between the two calls the system's own way holds."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, numbers)
-    for number in numbers:
+def goes_down(loop, signal_numbers):
+    """Ignore the given signals for the rest of the shutdown; they must have handlers on `loop`.
+
+    Event loop and interpreter restore the default action of handled signals as they close, so that a further
+    signal would end the process and be reported as the cause of its exit. The signals are blocked meanwhile,
+    as the default action applies from the removal of the handler until the signal is ignored.
+    """
+    signal.pthread_sigmask(signal.SIG_BLOCK, signal_numbers)
+    for number in signal_numbers:
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, numbers)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, signal_numbers)
 
 
 def used():
-    """(part of its descriptors, part of its memory) that this process, or what bounds it, has in use; 0 where
-    there is no bound."""
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    bounded = most not in (0, resource.RLIM_INFINITY) and os.path.isdir(FILES)
-    return len(os.listdir(FILES)) / most if bounded else 0.0, _memory()
+    """Return (share of file descriptors, share of memory) in use, each from 0 to 1; 0 if there is no limit.
+
+    The memory is that of the process's control group.
+    """
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    has_limit = soft_limit not in (0, resource.RLIM_INFINITY) and os.path.isdir(FD_DIRECTORY)
+    return len(os.listdir(FD_DIRECTORY)) / soft_limit if has_limit else 0.0, _memory_utilisation()
 
 
-def _memory():
-    """Of the control group (cgroup v2) that it sees as its own."""
+def _memory_utilisation():
+    """Return the utilisation of the control group (cgroup v2) that is mounted as the process's own."""
     try:
         with (
-            open("/sys/fs/cgroup/memory.max", encoding="ascii") as most,
-            open("/sys/fs/cgroup/memory.current", encoding="ascii") as now,
+            open("/sys/fs/cgroup/memory.max", encoding="ascii") as limit_file,
+            open("/sys/fs/cgroup/memory.current", encoding="ascii") as usage_file,
         ):
-            return int(now.read()) / int(most.read())
-    except (OSError, ValueError):  # none, or "max"
+            return int(usage_file.read()) / int(limit_file.read())
+    except (OSError, ValueError):  # no control group, or its limit is "max" (none)
         return 0.0
