--- a/terndrift/logs.py
+++ b/terndrift/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on structlog: JSON lines or a console form, on standard error."""
+"""Structured logging with structlog: JSON lines or console text, on standard error by default."""
 
 import logging
 import sys
@@ -8,48 +8,56 @@
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
-def setup(level="info", form="console", stream=None):
-    """Called once a process; returns its logger."""
-    lines = form == "json"
-    shape = structlog.processors.JSONRenderer() if lines else structlog.dev.ConsoleRenderer(colors=False)
+def setup(level="info", log_format="console", stream=None):
+    """Configure logging for the process and return its logger; to be called once.
+
+    `level`: a key of `LEVELS`, else KeyError is raised; `log_format`: "json" or "console"; `stream`: a text
+    file, standard error by default.
+    """
+    as_json = log_format == "json"
+    renderer = structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            shape,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=structlog.WriteLoggerFactory(file=stream or sys.stderr),
         cache_logger_on_first_use=True,
     )
-    # the libraries' own words: closed connections and malformed messages are daily bread, bugs are not
+    # Libraries log at ERROR and above: closed connections and malformed messages are routine, bugs are not.
     logging.basicConfig(level=logging.ERROR, stream=stream or sys.stderr)
     return structlog.get_logger()
 
 
 def watcher(log):
-    """What the core tells of its playbacks, as log lines: answers at info, every other change at debug."""
+    """Return a `watch` callable for `core.Core` that logs its events to `log`.
+
+    Answers are logged at info, exceptions of the decision logic and answers given without it at error, and
+    every other event at debug.
+    """
 
-    def watch(event, carried, **facts):
+    def watch(event, playback, **facts):
         if event == "fault":
             error = facts.pop("error")
-            log.error("fault of the decisions", pb=carried.id if carried else None, exc_info=error)
+            log.error("fault of the decisions", pb=playback.id if playback else None, exc_info=error)
         elif event == "last word":
-            log.error("answered without a decision", pb=carried.id)
+            log.error("answered without a decision", pb=playback.id)
         elif event == "answer":
             log.info(
                 "answer",
-                pb=carried.id,
-                plan=carried.wanted.plan,
-                title=carried.wanted.title,
-                tries=carried.tries,
-                streamer=carried.streamer.id if carried.streamer else None,
-                rung=carried.rung,
+                pb=playback.id,
+                plan=playback.wanted.plan,
+                title=playback.wanted.title,
+                tries=playback.tries,
+                streamer=playback.streamer.id if playback.streamer else None,
+                rung=playback.rung,
                 **facts,
             )
         else:
-            log.debug(event, pb=carried.id, stage=carried.stage.value, **facts)
+            log.debug(event, pb=playback.id, stage=playback.stage.value, **facts)
 
     return watch
