--- a/terndrift/log_stream.py
+++ b/terndrift/log_stream.py
@@ -1,16 +1,19 @@
-"""Where log lines go: a descriptor that is never waited for."""
+"""Non-blocking output of log lines to a file descriptor."""
 
 import os
 import select
 
-# What a pipe that is ready takes without making its writer wait (POSIX: PIPE_BUF, 512 at least; Linux 4096).
-AT_ONCE = select.PIPE_BUF
+# Longest write that a pipe ready for writing takes without blocking (POSIX: PIPE_BUF, at least 512; 4096 on
+# Linux).
+MAX_LINE_BYTES = select.PIPE_BUF
 
 
 class LogStream:
-    """A text file for log lines that drops a line rather than wait until it can be written, and says how many
-    it dropped with the next one. Guards the event loop, which writes its own log, against a reader that falls
-    behind: a full pipe would hold up every answer. Costs lines of the log in that time."""
+    """Text file for log lines that drops a line rather than block until it can be written.
+
+    The event loop writes its own log: a reader of the log that falls behind and leaves the pipe full would
+    otherwise delay every answer. The number of lines dropped is written before the next line that fits.
+    """
 
     def __init__(self, descriptor):
         self.descriptor, self.dropped = descriptor, 0
@@ -18,24 +21,26 @@
         self.poll.register(descriptor, select.POLLOUT)
 
     def write(self, text):
-        """Takes a line; returns its length as files do."""
-        if self.dropped and self._put(f'{{"event": "log lines dropped", "count": {self.dropped}}}\n'):
+        """Write a line or drop it; return its length, as text files do."""
+        if self.dropped and self._write_if_ready(
+            f'{{"event": "log lines dropped", "count": {self.dropped}}}\n'
+        ):
             self.dropped = 0
-        if text.strip() and (self.dropped or not self._put(text)):
+        if text.strip() and (self.dropped or not self._write_if_ready(text)):
             self.dropped += 1
         return len(text)
 
-    def _put(self, text):
-        """Whether it was written."""
+    def _write_if_ready(self, text):
+        """Return whether `text` was written; the middle of a text that is too long is cut out."""
         data = text.encode(errors="replace")
-        if len(data) > AT_ONCE:
-            data = data[: AT_ONCE // 2] + b" ... " + data[-(AT_ONCE // 2 - 5) :]
+        if len(data) > MAX_LINE_BYTES:
+            data = data[: MAX_LINE_BYTES // 2] + b" ... " + data[-(MAX_LINE_BYTES // 2 - 5) :]
         if not any(event & select.POLLOUT for _, event in self.poll.poll(0)):
             return False
         try:
             return os.write(self.descriptor, data) == len(data)
-        except OSError:  # nobody reads it any more
+        except OSError:  # the reader has closed its end
             return False
 
     def flush(self):
-        """Nothing is kept back."""
+        """Do nothing, as no text is buffered; part of the interface of text files."""
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -2,7 +2,7 @@
 
 import os
 
-from terndrift.log_stream import AT_ONCE, LogStream
+from terndrift.log_stream import MAX_LINE_BYTES, LogStream
 
 
 def drained(reader):
@@ -46,8 +46,8 @@
 
 def test_a_line_too_long_for_one_write_keeps_its_beginning_and_end():
     reader, writer = os.pipe()
-    LogStream(writer).write("first" + "y" * 10 * AT_ONCE + "last\n")
+    LogStream(writer).write("first" + "y" * 10 * MAX_LINE_BYTES + "last\n")
     text = drained(reader)
-    assert text.startswith("firsty") and text.endswith("ylast\n") and len(text) <= AT_ONCE
+    assert text.startswith("firsty") and text.endswith("ylast\n") and len(text) <= MAX_LINE_BYTES
     os.close(reader)
     os.close(writer)
