--- a/terndrift/patience.py
+++ b/terndrift/patience.py
@@ -1,33 +1,43 @@
-"""When a source of the list that was lost is asked again. Decides; free of I/O and clocks.
+"""Exponential backoff with jitter for reconnecting to a source of the server list.
 
-The wait doubles with each time in a row that a source brought nothing, and is drawn between half of it
-and the whole, so that controllers that lost one source at once do not come back at once. Guards against a
-source that falls over under its own clients; could do harm where a source is back long before the wait is
-over, which is why it is short: what is listed stays in force meanwhile.
+Used by the clients of the list's sources (xDS streams and polls, the load reporter, the platform's feed). No
+I/O and no clock.
+
+The delay doubles with each consecutive connection that brought nothing. It is drawn between half of that and
+the whole, so that controllers that lost a source together do not return together and overload it. The longest
+delay is short, as a source may recover long before it is over; the known list stays in force meanwhile.
 """
 
 import zlib
 
 MS = 1_000_000
-# Envoy's own: 500 ms at first, 30 s at most; here shorter, as a stale list costs more than a connection.
+# First and longest delay, ns. Envoy's own are 500 ms and 30 s; a stale list costs more than a connection.
 LEAST, MOST = 200 * MS, 10_000 * MS
 
 
 class Patience:
-    def __init__(self, seed, least=LEAST, most=MOST):
-        self.seed, self.draws = zlib.crc32(b"patience:%d" % seed), 0
-        self.wait, self.least, self.most = least, least, most
-        self.floor = lambda: 0  # ns that a fleet's limit puts the next one off by
-
-    def lost(self, brought):
-        """ns to wait before the next try; `brought`: whether the last one brought anything that was taken."""
-        if brought:
-            self.wait = self.least
-        wait, self.wait = self.wait, min(self.most, 2 * self.wait)
-        self.draws += 1
-        part = zlib.crc32(b"%d" % self.draws, self.seed) * 2654435761 % 2**32 / 2**32
-        return int(wait * (0.5 + 0.5 * part))
-
-    def pause(self, brought):
-        """The same, of a source that others of the fleet call, too."""
-        return max(self.lost(brought), self.floor())
+    """Backoff state of one source. `seed` makes the jitter reproducible; the delays are in ns.
+
+    `floor` is a callable that returns the least delay that the fleet's shared rate limit allows, in ns.
+    """
+
+    def __init__(self, seed, min_delay=LEAST, max_delay=MOST):
+        self.seed, self.draw_count = zlib.crc32(b"patience:%d" % seed), 0
+        self.next_delay, self.min_delay, self.max_delay = min_delay, min_delay, max_delay
+        self.floor = lambda: 0
+
+    def lost(self, received):
+        """Return the ns to wait before the next attempt, after a connection was lost.
+
+        `received`: whether that connection brought anything that was accepted; the backoff then starts again.
+        """
+        if received:
+            self.next_delay = self.min_delay
+        delay, self.next_delay = self.next_delay, min(self.max_delay, 2 * self.next_delay)
+        self.draw_count += 1
+        fraction = zlib.crc32(b"%d" % self.draw_count, self.seed) * 2654435761 % 2**32 / 2**32
+        return int(delay * (0.5 + 0.5 * fraction))
+
+    def pause(self, received):
+        """Return the delay as `lost` does, but at least `floor()`: for a source shared with the fleet."""
+        return max(self.lost(received), self.floor())
