--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,7 @@
-"""The core with a hand-driven clock and a scripted carrier: no socket, and a plain model of what it owes."""
+"""Tests of the session core, with a clock moved by hand and a scripted transport: no sockets.
+
+Also of the admission gate, the visits and the delivery meter that fronts use beside it.
+"""
 
 from helpers import MS, S, deployment, line
 from hypothesis import given, settings
@@ -13,260 +16,297 @@
 from terndrift.rehearse.baselines import LeastConnections, Random, RoundRobin
 
 T0 = 1000 * S
-ALL = frozenset(range(4))
+ALL_CELLS = frozenset(range(4))
 
 
-class Script:
-    """A carrier that does nothing by itself, and holds the core to its contract."""
+class ScriptedTransport:
+    """Transport that reports nothing by itself and asserts that the core keeps to the `Carrier` protocol."""
 
     def __init__(self):
-        self.out, self.playing, self.calling_off, self.rungs, self.sends = {}, {}, set(), {}, []
+        self.in_flight, self.playing, self.cancelling, self.rungs, self.sends = {}, {}, set(), {}, []
+
+    def set_up(self, playback, streamer, rung, timeout):
+        assert playback not in self.in_flight and playback not in self.playing, "two attempts in flight"
+        assert timeout > 0 and rung >= 0
+        self.in_flight[playback] = streamer
+        self.sends.append((playback, streamer.id))
+
+    def call_off(self, playback):
+        assert playback in self.in_flight and playback not in self.cancelling
+        self.cancelling.add(playback)
 
-    def set_up(self, carried, streamer, rung, time_out):
-        assert carried not in self.out and carried not in self.playing, "two tries out at once"
-        assert time_out > 0 and rung >= 0
-        self.out[carried] = streamer
-        self.sends.append((carried, streamer.id))
+    def set_rung(self, playback, rung):
+        assert playback in self.in_flight or playback in self.playing
+        self.rungs[playback] = rung
 
-    def call_off(self, carried):
-        assert carried in self.out and carried not in self.calling_off
-        self.calling_off.add(carried)
+    def let_go(self, playback, streamer):
+        self.playing.pop(playback, None)
 
-    def set_rung(self, carried, rung):
-        assert carried in self.out or carried in self.playing
-        self.rungs[carried] = rung
 
-    def let_go(self, carried, streamer):
-        self.playing.pop(carried, None)
+class CoreHarness:
+    """A core with listed streamers, a scripted transport and a clock that the test moves.
 
+    `answers` maps each playback to a list of (time, Answer), `events` holds the (event, playback) watched.
+    """
 
-class Bench:
     def __init__(self, streamers=4, **rules):
-        self.now, self.carrier, self.answers, self.seen = T0, Script(), {}, []
-        self.core = Core(deployment(**rules), T0, "c0", S, lambda e, c, **f: self.seen.append((e, c)))
+        self.now, self.transport, self.answers, self.events = T0, ScriptedTransport(), {}, []
+        self.core = Core(deployment(**rules), T0, "c0", S, lambda e, p, **f: self.events.append((e, p)))
         self.core.controller.began_empty = False
         self.core.list_changed(T0, [line(n, n % 4) for n in range(streamers)], True, False)
 
-    def want(self, plan="free", left=4 * S, title="t"):
-        got = []
-
-        def answered(answer):
-            assert not got, "answered twice"
-            got.append((self.now, answer))
-
-        carried = self.core.want(self.now, Wanted(plan, title, ALL, 3, left, 20 * S), self.carrier, answered)
-        self.answers[carried] = got
-        return carried
-
-    def plays(self, carried):
-        off = carried in self.carrier.calling_off
-        self.end(carried) if off else self.carrier.playing.__setitem__(carried, self.carrier.out.pop(carried))
-        self.core.began(self.now, carried, {"link": 0.3})
-
-    def end(self, carried, ending=None, report=None):
-        self.carrier.out.pop(carried)
-        self.carrier.calling_off.discard(carried)
+    def want(self, plan="free", time_left=4 * S, title="t"):
+        """Request a playback; asserts that it is answered no more than once."""
+        answers = []
+
+        def on_answer(answer):
+            assert not answers, "answered twice"
+            answers.append((self.now, answer))
+
+        playback = self.core.want(
+            self.now, Wanted(plan, title, ALL_CELLS, 3, time_left, 20 * S), self.transport, on_answer
+        )
+        self.answers[playback] = answers
+        return playback
+
+    def plays(self, playback):
+        """Report that the attempt in flight succeeded, also if it is being cancelled."""
+        cancelling = playback in self.transport.cancelling
+        self.end(playback) if cancelling else self.transport.playing.__setitem__(
+            playback, self.transport.in_flight.pop(playback)
+        )
+        self.core.began(self.now, playback, {"link": 0.3})
+
+    def end(self, playback, ending=None, report=None):
+        """End the attempt in flight; with an `ending`, report it to the core."""
+        self.transport.in_flight.pop(playback)
+        self.transport.cancelling.discard(playback)
         if ending:
-            self.core.try_over(self.now, carried, ending, report)
+            self.core.try_over(self.now, playback, ending, report)
 
     def wait(self, ns):
-        until = self.now + ns
-        while (at := self.core.next_at()) is not None and at <= until:
+        """Move the clock, ticking the core whenever it asks for it."""
+        end_time = self.now + ns
+        while (at := self.core.next_at()) is not None and at <= end_time:
             self.now = max(self.now, at)
             self.core.tick(self.now)
-        self.now = until
-
-
-def test_a_try_past_its_time_out_is_called_off_and_the_next_goes_only_once_it_is_over():
-    b = Bench()
-    pb = b.want()
-    b.wait(600 * MS)
-    assert pb in b.carrier.calling_off and len(b.carrier.sends) == 1
-    b.wait(300 * MS)
-    assert len(b.carrier.sends) == 1, "out until its end is known"
-    b.end(pb, Ending.CALLED_OFF)
-    assert len(b.carrier.sends) == 2
-    b.plays(pb)
-    assert b.answers[pb][0][1].kind is Kind.PLAYS
-
-
-def test_a_paid_try_that_times_out_is_aborted_in_time_and_never_resent_nor_rejected():
-    b = Bench()
-    pb = b.want("paid", left=2 * S)
-    b.wait(1990 * MS)
-    ((at, answer),) = b.answers[pb]
-    assert answer.kind is Kind.ABORTED and at < T0 + 2 * S and pb in b.carrier.calling_off
-    b.end(pb, Ending.CALLED_OFF)
-    b.wait(5 * S)
-    assert len(b.carrier.sends) == 1 and not b.core.held
-
-
-def test_an_answer_that_comes_while_its_try_is_called_off_is_let_go_and_not_a_second_one():
-    b = Bench()
-    pb = b.want("paid", left=S)
-    b.wait(990 * MS)
-    assert pb.stage is Stage.CANCELLING
-    b.plays(pb)
-    assert len(b.answers[pb]) == 1 and pb.stage is Stage.OVER and not b.carrier.playing and not b.core.held
-
-
-def test_a_viewer_that_leaves_is_owed_nothing_but_its_try_is_out_until_it_ends():
-    b = Bench()
-    pb = b.want()
-    b.core.left(b.now, pb)
-    assert pb in b.carrier.calling_off and not b.answers[pb] and b.core.open == 0
-    b.end(pb, Ending.CALLED_OFF)
-    assert pb.stage is Stage.OVER and not b.core.held
-
-
-def test_a_streamer_told_off_between_choice_and_connect_is_not_sent_to_past_the_grace():
-    b = Bench(streamers=1)
-    pb = b.want()
-    assert b.core.may_send(b.now, pb)
-    b.core.list_changed(b.now, [line(0, 0, Standing.DRAINING)], False, False)
-    assert b.core.may_send(b.now + S, pb) and not b.core.may_send(b.now + S + 1, pb)
-    b.core.list_changed(b.now, [line(0, 0)], False, False)
-    assert b.core.may_send(b.now + 2 * S, pb)
-
-
-def test_a_streamer_missing_from_a_whole_list_counts_as_told_off():
-    b = Bench(streamers=2)
-    pb = b.want()
-    b.core.list_changed(b.now, [line(1 - pb.streamer.id, 0)], True, False)
-    assert not b.core.may_send(b.now + S + 1, pb)
-
-
-def test_a_fault_of_the_decisions_still_leaves_one_answer_in_time():
-    b = Bench()
-    b.core.controller.wanted = lambda *_: 1 / 0
-    pb = b.want("paid", left=2 * S)
-    b.wait(2 * S)
-    ((at, answer),) = b.answers[pb]
-    assert answer.kind is Kind.REJECTED and at <= T0 + 2 * S and b.core.decision_errors == 1, (
-        "it was never sent"
+        self.now = end_time
+
+
+def test_timed_out_attempt_is_cancelled_and_the_next_one_waits_for_its_end():
+    harness = CoreHarness()
+    playback = harness.want()
+    harness.wait(600 * MS)
+    assert playback in harness.transport.cancelling and len(harness.transport.sends) == 1
+    harness.wait(300 * MS)
+    assert len(harness.transport.sends) == 1, "in flight until its end is confirmed"
+    harness.end(playback, Ending.CALLED_OFF)
+    assert len(harness.transport.sends) == 2
+    harness.plays(playback)
+    assert harness.answers[playback][0][1].kind is Kind.PLAYS
+
+
+def test_timed_out_attempt_of_a_non_repeatable_plan_is_aborted_in_time_and_not_repeated():
+    harness = CoreHarness()
+    playback = harness.want("paid", time_left=2 * S)
+    harness.wait(1990 * MS)
+    ((at, answer),) = harness.answers[playback]
+    assert answer.kind is Kind.ABORTED and at < T0 + 2 * S and playback in harness.transport.cancelling
+    harness.end(playback, Ending.CALLED_OFF)
+    harness.wait(5 * S)
+    assert len(harness.transport.sends) == 1 and not harness.core.held
+
+
+def test_attempt_that_succeeds_while_being_cancelled_is_released_without_a_second_answer():
+    harness = CoreHarness()
+    playback = harness.want("paid", time_left=S)
+    harness.wait(990 * MS)
+    assert playback.stage is Stage.CANCELLING
+    harness.plays(playback)
+    assert (
+        len(harness.answers[playback]) == 1
+        and playback.stage is Stage.OVER
+        and not harness.transport.playing
+        and not harness.core.held
+    )
+
+
+def test_viewer_that_leaves_gets_no_answer_and_its_attempt_is_tracked_until_it_ends():
+    harness = CoreHarness()
+    playback = harness.want()
+    harness.core.left(harness.now, playback)
+    assert (
+        playback in harness.transport.cancelling and not harness.answers[playback] and harness.core.open == 0
     )
-    assert 0 < answer.come_back <= b.core.deployment.rules.longest_advice
-    assert ("fault", pb) in b.seen
+    harness.end(playback, Ending.CALLED_OFF)
+    assert playback.stage is Stage.OVER and not harness.core.held
 
 
-def test_what_the_core_gives_up_is_rejected_only_where_no_try_can_have_run_or_it_does_no_harm():
+def test_no_set_up_to_a_streamer_that_drains_after_it_was_chosen_once_the_grace_period_is_over():
+    harness = CoreHarness(streamers=1)
+    playback = harness.want()
+    assert harness.core.may_send(harness.now, playback)
+    harness.core.list_changed(harness.now, [line(0, 0, Standing.DRAINING)], False, False)
+    assert harness.core.may_send(harness.now + S, playback) and not harness.core.may_send(
+        harness.now + S + 1, playback
+    )
+    harness.core.list_changed(harness.now, [line(0, 0)], False, False)
+    assert harness.core.may_send(harness.now + 2 * S, playback)
+
+
+def test_streamer_missing_from_a_full_list_gets_no_set_up_after_the_grace_period():
+    harness = CoreHarness(streamers=2)
+    playback = harness.want()
+    harness.core.list_changed(harness.now, [line(1 - playback.streamer.id, 0)], True, False)
+    assert not harness.core.may_send(harness.now + S + 1, playback)
+
+
+def test_exception_in_the_decision_logic_still_gives_one_answer_in_time():
+    harness = CoreHarness()
+    harness.core.controller.wanted = lambda *_: 1 / 0
+    playback = harness.want("paid", time_left=2 * S)
+    harness.wait(2 * S)
+    ((at, answer),) = harness.answers[playback]
+    assert answer.kind is Kind.REJECTED and at <= T0 + 2 * S and harness.core.decision_errors == 1, (
+        "no attempt was sent"
+    )
+    assert 0 < answer.come_back <= harness.core.deployment.rules.longest_advice
+    assert ("fault", playback) in harness.events
+
+
+def test_fallback_answer_is_a_rejection_only_if_a_repeated_attempt_does_no_harm():
     for plan, kind in (("paid", Kind.ABORTED), ("free", Kind.REJECTED)):
-        b = Bench()
-        pb = b.want(plan)
-        assert pb.tries == 1 and b.core.last_answer(pb).kind is kind
+        harness = CoreHarness()
+        playback = harness.want(plan)
+        assert playback.tries == 1 and harness.core.last_answer(playback).kind is kind
 
 
-def test_the_baselines_choose_too():
-    for order in (Random, RoundRobin, LeastConnections):
-        core = Core(deployment(), T0, "c0", S, decisions=order)
+def test_baseline_policies_place_playbacks():
+    for policy in (Random, RoundRobin, LeastConnections):
+        core = Core(deployment(), T0, "c0", S, decisions=policy)
         core.controller.began_empty = False
         core.list_changed(T0, [line(n, n % 4) for n in range(4)], True, False)
-        carrier = Script()
+        transport = ScriptedTransport()
         for n in range(4):
-            core.want(T0 + n, Wanted("free", "t", ALL, 3, S, 20 * S), carrier, lambda answer: None)
-        assert len(carrier.sends) == 4 and not core.decision_errors
-        assert order is Random or len({streamer for _, streamer in carrier.sends}) == 4
+            core.want(T0 + n, Wanted("free", "t", ALL_CELLS, 3, S, 20 * S), transport, lambda answer: None)
+        assert len(transport.sends) == 4 and not core.decision_errors
+        assert policy is Random or len({streamer_id for _, streamer_id in transport.sends}) == 4
 
 
-def test_two_runs_of_a_controller_never_share_the_name_of_a_playback():
-    first, second = Bench(), Bench()
+def test_playback_ids_differ_between_runs_of_a_controller():
+    first, second = CoreHarness(), CoreHarness()
     second.core.run_id = Core(deployment(), T0 + 1, "c0").run_id
     assert first.want().id != second.want().id
 
 
-def test_what_is_handed_over_plays_and_counts():
-    b = Bench()
-    pb = b.core.hand_over(b.now, Wanted("free", "t", ALL, 3, 900 * S, 0), b.carrier, 2, 1)
-    assert pb.stage is Stage.PLAYING and b.core.controller.streamers[2].playbacks
-    nowhere = b.core.hand_over(b.now, Wanted("free", "t", ALL, 3, 900 * S, 0), b.carrier, 99, 1)
-    assert nowhere.stage is Stage.OVER and nowhere.id not in b.core.held
+def test_adopted_playback_is_playing_and_counts_at_its_streamer():
+    harness = CoreHarness()
+    playback = harness.core.hand_over(
+        harness.now, Wanted("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 2, 1
+    )
+    assert playback.stage is Stage.PLAYING and harness.core.controller.streamers[2].playbacks
+    not_listed = harness.core.hand_over(
+        harness.now, Wanted("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 99, 1
+    )
+    assert not_listed.stage is Stage.OVER and not_listed.id not in harness.core.held
 
 
-steps = st.tuples(
+event_tuples = st.tuples(
     st.sampled_from(["want", "want", "play", "end", "left", "over", "list", "share", "wait"]),
     st.integers(0, 999),
     st.integers(0, 5),
 )
-BAD = [Ending.FULL, Ending.ERRED, Ending.UNREACHED, Ending.BROKEN, Ending.NEVER_SENT]
+FAILURES = [Ending.FULL, Ending.ERRED, Ending.UNREACHED, Ending.BROKEN, Ending.NEVER_SENT]
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=120)
-@given(st.lists(steps, min_size=5, max_size=80))
-def test_any_history_gives_each_playback_one_answer_in_time(history):
-    b, left, maybe_ran = Bench(), set(), set()
-    for what, x, y in history:
-        out, playing = list(b.carrier.out), list(b.carrier.playing)
-        pb = out[x % len(out)] if out else None
-        if what == "want":
-            b.want(["free", "paid"][x % 2], left=(x % 50 + 1) * 100 * MS, title=f"t{y % 3}")
-        elif what == "play" and pb:
-            if pb in b.carrier.calling_off:
-                maybe_ran.add(pb)
-            b.plays(pb)
-        elif what == "end" and pb:
-            ending = BAD[y % len(BAD)]
-            if (pb.cancel_reason or ending).may_have_run:
-                maybe_ran.add(pb)
-            b.end(pb, ending)
-        elif what == "left" and b.answers:
-            pb = list(b.answers)[x % len(b.answers)]
-            if not b.answers[pb] or pb.stage is Stage.PLAYING:
-                left.add(pb)
-                b.core.left(b.now, pb)
-        elif what == "over" and playing:
-            b.core.over(b.now, playing[x % len(playing)], [Ending.PLAYED_OUT, Ending.BROKEN][y % 2])
-        elif what == "list":
-            standing = [Standing.READY, Standing.DRAINING, Standing.GONE][y % 3]
-            b.core.list_changed(b.now, [line(x % 4, x % 4, standing)], False, False)
-        elif what == "share":
-            b.core.told_share(b.now, x % 4, x / 999)
-        elif what == "wait":
-            b.wait((x % 40) * 25 * MS)
-        for pb in [p for p, _ in b.carrier.sends]:
-            sent = sum(p is pb for p, _ in b.carrier.sends)
-            assert sent < 2 or pb.wanted.plan == "free" or pb not in maybe_ran or sent == pb.tries
-    b.wait(6 * S)
-    for pb, got in b.answers.items():
-        assert len(got) == 1 or pb in left and not got
-        if got:
-            at, answer = got[0]
-            assert at <= pb.deadline
-            if answer.kind is Kind.REJECTED and pb.wanted.plan == "paid":
-                assert pb not in maybe_ran
-    for pb in list(b.carrier.out):
-        b.end(pb, Ending.CALLED_OFF)
-    assert b.core.open == 0
-    assert set(b.core.held.values()) == set(b.carrier.playing)
-
-
-# The small decisions beside it.
+@given(st.lists(event_tuples, min_size=5, max_size=80))
+def test_any_sequence_of_events_gives_each_playback_one_answer_in_time(events):
+    harness, left_playbacks, maybe_ran = CoreHarness(), set(), set()
+    for action, choice, variant in events:
+        in_flight, playing = list(harness.transport.in_flight), list(harness.transport.playing)
+        playback = in_flight[choice % len(in_flight)] if in_flight else None
+        if action == "want":
+            harness.want(
+                ["free", "paid"][choice % 2], time_left=(choice % 50 + 1) * 100 * MS, title=f"t{variant % 3}"
+            )
+        elif action == "play" and playback:
+            if playback in harness.transport.cancelling:
+                maybe_ran.add(playback)
+            harness.plays(playback)
+        elif action == "end" and playback:
+            ending = FAILURES[variant % len(FAILURES)]
+            if (playback.cancel_reason or ending).may_have_run:
+                maybe_ran.add(playback)
+            harness.end(playback, ending)
+        elif action == "left" and harness.answers:
+            playback = list(harness.answers)[choice % len(harness.answers)]
+            if not harness.answers[playback] or playback.stage is Stage.PLAYING:
+                left_playbacks.add(playback)
+                harness.core.left(harness.now, playback)
+        elif action == "over" and playing:
+            harness.core.over(
+                harness.now, playing[choice % len(playing)], [Ending.PLAYED_OUT, Ending.BROKEN][variant % 2]
+            )
+        elif action == "list":
+            standing = [Standing.READY, Standing.DRAINING, Standing.GONE][variant % 3]
+            harness.core.list_changed(harness.now, [line(choice % 4, choice % 4, standing)], False, False)
+        elif action == "share":
+            harness.core.told_share(harness.now, choice % 4, choice / 999)
+        elif action == "wait":
+            harness.wait((choice % 40) * 25 * MS)
+        for playback in [p for p, _ in harness.transport.sends]:
+            sent = sum(p is playback for p, _ in harness.transport.sends)
+            assert (
+                sent < 2
+                or playback.wanted.plan == "free"
+                or playback not in maybe_ran
+                or sent == playback.tries
+            )
+    harness.wait(6 * S)
+    for playback, answers in harness.answers.items():
+        assert len(answers) == 1 or playback in left_playbacks and not answers
+        if answers:
+            at, answer = answers[0]
+            assert at <= playback.deadline
+            if answer.kind is Kind.REJECTED and playback.wanted.plan == "paid":
+                assert playback not in maybe_ran
+    for playback in list(harness.transport.in_flight):
+        harness.end(playback, Ending.CALLED_OFF)
+    assert harness.core.open == 0
+    assert set(harness.core.held.values()) == set(harness.transport.playing)
+
+
+# Admission gate, visits and delivery meter.
 
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.booleans(), st.integers(0, 10**9)), max_size=150))
-def test_the_gate_bounds_what_is_inside_and_what_one_source_holds(events):
-    gate, now, inside = Gate(8), 0, []
-    for source, enters, passed in events:
-        now += passed
+def test_gate_limits_open_requests_in_all_and_by_source(events):
+    gate, now, open_sources = Gate(8), 0, []
+    for source, enters, elapsed in events:
+        now += elapsed
         if enters:
-            before, mine = len(inside), inside.count(source)
-            wait = gate.enter(now, source)
-            assert bool(wait) == (before >= 8 or before >= 4 and mine >= 2)
-            assert wait == 0 or S <= wait <= 2 * MAX_RETRY_AFTER_NS
-            if not wait:
-                inside.append(source)
-        elif inside:
-            gate.leave(now, inside.pop(0))
-        assert gate.count == len(inside) and gate.open_by_source == {s: inside.count(s) for s in set(inside)}
-
-
-def test_those_turned_away_together_are_not_sent_back_together():
+            open_before, from_source = len(open_sources), open_sources.count(source)
+            retry_after = gate.enter(now, source)
+            assert bool(retry_after) == (open_before >= 8 or open_before >= 4 and from_source >= 2)
+            assert retry_after == 0 or S <= retry_after <= 2 * MAX_RETRY_AFTER_NS
+            if not retry_after:
+                open_sources.append(source)
+        elif open_sources:
+            gate.leave(now, open_sources.pop(0))
+        assert gate.count == len(open_sources) and gate.open_by_source == {
+            s: open_sources.count(s) for s in set(open_sources)
+        }
+
+
+def test_retry_delays_of_requests_refused_together_differ():
     gate = Gate(1)
     gate.enter(0, "a")
     assert len({gate.retry_after(0) for _ in range(50)}) > 40
 
 
-def test_two_requests_of_one_visit_are_one_playback_and_a_later_one_is_its_next_try():
+def test_concurrent_requests_of_a_visit_share_a_playback_and_a_later_one_is_a_new_attempt():
     visits = Visits(10)
     visit, joins = visits.come(0, "v", "t")
     visits.taken(visit, "pb1")
@@ -283,7 +323,7 @@
     assert visit.attempts == 2
 
 
-def test_visits_are_forgotten_and_bounded():
+def test_visits_expire_and_their_number_is_limited():
     visits = Visits(5)
     for n in range(20):
         visits.come(n, f"v{n}", "t")
@@ -292,16 +332,16 @@
     assert list(visits.visits) == [("new", "t")]
 
 
-def test_a_short_share_is_told_once_a_second_and_once_more_when_it_is_over():
-    meter, told = Meter(), []
+def test_low_delivery_share_is_reported_once_a_second_and_once_after_recovery():
+    meter, reports = Meter(), []
     for n in range(40):
         meter.delivered(n * 250 * MS, 1, 250 * MS, 500 * MS if n < 20 else 200 * MS)
-        told += [(n, round(share, 2)) for _, share in meter.due(n * 250 * MS)]
-    assert [n for n, _ in told[:5]] == [0, 4, 8, 12, 16] and told[0][1] == 0.5
-    assert told[-1][1] >= 0.98 and sum(share >= 0.98 for _, share in told) == 1
+        reports += [(n, round(share, 2)) for _, share in meter.due(n * 250 * MS)]
+    assert [n for n, _ in reports[:5]] == [0, 4, 8, 12, 16] and reports[0][1] == 0.5
+    assert reports[-1][1] >= 0.98 and sum(share >= 0.98 for _, share in reports) == 1
 
 
-def test_a_piece_that_does_not_come_counts_as_short_before_it_ends():
+def test_stalled_segment_lowers_the_share_before_it_ends():
     meter = Meter()
     meter.standing(S, 1, S, 900 * MS)
     assert meter.due(S) == []
@@ -309,17 +349,17 @@
     assert meter.due(4 * S) == [(1, 0.25)]
 
 
-def test_a_streamers_figures_are_let_through_once_in_two_seconds():
-    rationed = Rationed()
-    assert [rationed.due(n * S, 1) for n in range(5)] == [True, False, True, False, True]
+def test_load_reports_of_a_streamer_are_passed_on_every_two_seconds():
+    limiter = Rationed()
+    assert [limiter.due(n * S, 1) for n in range(5)] == [True, False, True, False, True]
     for n in range(9000):
-        rationed.due(n * S, n)
-    assert len(rationed.last_passed) < 5000
+        limiter.due(n * S, n)
+    assert len(limiter.last_passed) < 5000
 
 
-def test_the_answer_leaves_a_tenth_of_the_clients_time_for_the_way():
-    b = Bench()
-    pb = b.want("paid", left=4 * S)
-    b.wait(4 * S)
-    ((at, answer),) = b.answers[pb]
+def test_answer_is_given_a_tenth_of_the_wait_before_the_deadline():
+    harness = CoreHarness()
+    playback = harness.want("paid", time_left=4 * S)
+    harness.wait(4 * S)
+    ((at, answer),) = harness.answers[playback]
     assert answer.kind is Kind.ABORTED and T0 + 3 * S < at <= T0 + 3700 * MS
