--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,7 @@
-"""A controller, stand-in streamers and players in one process, for tests over real sockets."""
+"""Integration fixture: a controller, stand-in streamers and players in one process, over real sockets.
+
+`in_world` runs a test coroutine within a `World`. The files of a world live in a temporary folder.
+"""
 
 import asyncio
 import os
@@ -33,43 +36,50 @@
 
 
 class World:
-    """`streamers` stand-ins on two racks; `front` is more of the front file."""
+    """A running controller (`service`) with `streamers` stand-in streamers on two racks (`fleet`).
+
+    `front` is text appended to the controller's settings file, `carrier` a callable that gets the service
+    before it starts and may replace parts of it. `told` collects the log as (level, event, facts).
+    """
 
     list_file = "list.rec"
 
     def __init__(self, streamers=3, front="", carrier=None):
         self.folder = tempfile.TemporaryDirectory()
-        self.streamers, self.more, self.make = streamers, front, carrier
+        self.streamers, self.more, self.customize_service = streamers, front, carrier
         self.pool, self.told = Pool(), []
 
     def path(self, name):
+        """Return the path of a file in the world's folder."""
         return os.path.join(self.folder.name, name)
 
     async def __aenter__(self):
-        rows = "".join(
+        streamer_rows = "".join(
             f'streamers: "s{n}": {{id: {n}, rack: {n % 2}, kind: "box", link: 2MB/s}}\n'
             for n in range(self.streamers)
         )
-        text = DEPLOYMENT + f'uplinks: {{"0": 4MB/s}}\nledger: "{self.path("fleet.jsonl")}"\n' + rows
+        text = DEPLOYMENT + f'uplinks: {{"0": 4MB/s}}\nledger: "{self.path("fleet.jsonl")}"\n' + streamer_rows
         self.fleet = Fleet(records.loads(text, "fleet"))
         self.fleet.start()
-        self.seen, self.runner = ledgers.Ledger(self.path("seen.jsonl")), []
+        self.player_ledger, self.test_notes = ledgers.Ledger(self.path("seen.jsonl")), []
         self.standing, self.started = {}, {}
         self.write_list()
         await self.serve()
         return self
 
     async def serve(self, listen="127.0.0.1:0"):
-        store = "" if "store:" in self.more else 'catalogue: store: "c0.store"'
+        """Write the settings file and start the controller; also starts it again after a test closed it."""
+        store_setting = "" if "store:" in self.more else 'catalogue: store: "c0.store"'
         with open(self.path("front.rec"), "w", encoding="utf-8") as file:
             file.write(
                 DEPLOYMENT + f'controller: name: "c0"\nlist: "{self.list_file}"\nlist_poll: 20ms\n'
-                f'http: listen: "{listen}"\n{store}\n{self.more}\n'
+                f'http: listen: "{listen}"\n{store_setting}\n{self.more}\n'
             )
         self.service = service.Service(service.read(self.path("front.rec")), log=Log(self.told))
-        if self.make:
-            self.make(self.service)
-        # what just started may find streamers that just started too; tests of that say so themselves
+        if self.customize_service:
+            self.customize_service(self.service)
+        # A controller that starts with nothing known assumes that the streamers may have just started too.
+        # Tests of that case set the flag again themselves.
         self.service.core.controller.began_empty = False
         await self.service.start()
         self.address = self.service.address
@@ -79,105 +89,117 @@
         await self.service.close()
         self.fleet.stop()
         self.pool.close()
-        self.seen.flush()
+        self.player_ledger.flush()
 
-    def note(self, what, **facts):
-        self.runner.append({"what": what, "t": time.monotonic_ns(), **facts})
+    def note(self, event, **facts):
+        """Record what the test itself did, for the audit."""
+        self.test_notes.append({"what": event, "t": time.monotonic_ns(), **facts})
 
     def write_list(self, **standing):
-        self.standing.update({int(k[1:]): v for k, v in standing.items()})
+        """Write the server list. `standing`: changes by streamer, as in `s0="draining"`; they persist."""
+        self.standing.update({int(name[1:]): state for name, state in standing.items()})
         write_list(self.path("list.rec"), self.fleet.lines(), self.started, self.standing)
-        for id, state in standing.items():
-            self.note("listed", streamer=int(id[1:]), standing=state)
+        for name, state in standing.items():
+            self.note("listed", streamer=int(name[1:]), standing=state)
 
     async def listed(self):
-        """Waits until the list as written is in force."""
+        """Wait until the controller has taken up the list as last written."""
         version = self.service.listing.version
         while self.service.listing.version == version:
             await asyncio.sleep(0.01)
 
     async def ask(self, title="clip", headers=None, within=5.0, path=None):
-        """(code, headers, body, seconds it took) of a set-up; code 0: the connection broke."""
-        began = time.monotonic()
+        """Request a playback; return (code, headers, body, duration in s).
+
+        `within`: timeout in s. Code 0: the connection could not be made or broke; the body is then the error.
+        """
+        started_at = time.monotonic()
         try:
-            answer = await fetch(
+            response = await fetch(
                 self.pool, self.address, "GET", path or f"/v/{title}/main.m3u8", headers, within=within
             )
-        except (Broken, Unreached) as wrong:
-            answer = (0, {}, str(wrong).encode())
-        return (*answer, time.monotonic() - began)
-
-    def player(self, title="clip", visit="", **more):
-        found = self.service.titles.find(title)
-        plan = found.plan if found else "free"
+        except (Broken, Unreached) as error:
+            response = (0, {}, str(error).encode())
+        return (*response, time.monotonic() - started_at)
+
+    def player(self, title="clip", visit="", **player_options):
+        """Return a stand-in player that gives up as the title's plan says ("free" for unknown titles)."""
+        known_title = self.service.titles.find(title)
+        plan = known_title.plan if known_title else "free"
         abandon = self.service.value["deployment"]["plans"][plan]["abandon"] / 1e9
-        return Player(lambda: self.address, title, self.seen, self.pool, visit, plan, abandon, **more)
+        return Player(
+            lambda: self.address, title, self.player_ledger, self.pool, visit, plan, abandon, **player_options
+        )
 
-    async def load(self, name, done):
-        """Viewers of a short title, one after the other, until there is something in `done`."""
-        n = 0
+    async def load(self, visit_prefix, done):
+        """Run viewers of a short title, one after the other, until the container `done` is not empty."""
+        viewer_count = 0
         while not done:
-            n += 1
-            await self.player("clip", f"{name}{n}", seconds=0.2).watch()
+            viewer_count += 1
+            await self.player("clip", f"{visit_prefix}{viewer_count}", seconds=0.2).watch()
 
     def raw(self, data):
-        """A socket that has sent `data`."""
+        """Return a socket connected to the controller that has sent `data`; the caller closes it."""
         host, _, port = self.address.rpartition(":")
         sock = socket.create_connection((host, int(port)))
         sock.sendall(data)
         return sock
 
-    def notes(self, what=None):
+    def notes(self, event=None):
+        """Return the streamers' ledger entries, of one event or all."""
         self.fleet.ledger.flush()
-        return [n for n in ledgers.read(self.path("fleet.jsonl")) if what in (None, n["what"])]
+        return [n for n in ledgers.read(self.path("fleet.jsonl")) if event in (None, n["what"])]
 
     def facts(self):
-        self.seen.flush()
+        """Return what players, test and streamers recorded, as input of the audit."""
+        self.player_ledger.flush()
         return Facts(
             self.service.value["deployment"],
             {
                 "viewers": ledgers.read(self.path("seen.jsonl")),
-                "runner": self.runner,
+                "runner": self.test_notes,
                 "streamers": self.notes(),
             },
             told_within=0.3,
         )
 
     def breaks(self):
+        """Return the audit's report of broken rules."""
         return judge.report(self.facts())
 
     async def quiet(self):
-        """Waits until nothing is owed or out."""
+        """Wait until the controller has no playback and no attempt in flight."""
         while self.service.core.held or self.service.carrier.tries:
             await asyncio.sleep(0.01)
 
 
 class Log:
-    """Keeps what is logged: (level, event, facts)."""
+    """Logger that appends each line to the list `entries` as (level, event, facts)."""
 
-    def __init__(self, told):
-        self.told = told
+    def __init__(self, entries):
+        self.told = entries
 
     def __getattr__(self, level):
         return lambda event, **facts: self.told.append((level, event, facts))
 
 
 async def until(condition):
+    """Wait until `condition()` is true, without a timeout of its own."""
     while not condition():
         await asyncio.sleep(0.005)
 
 
-def in_world(test=None, kind=World, **made):
-    """Runs a coroutine test within a World."""
+def in_world(test=None, kind=World, **world_options):
+    """Decorate a test coroutine to run within a new `kind(**world_options)`, for 60 s at most."""
     if test is None:
-        return lambda test: in_world(test, kind, **made)
+        return lambda test: in_world(test, kind, **world_options)
 
     def run():
-        async def inside():
-            async with kind(**made) as world:
+        async def run_test():
+            async with kind(**world_options) as world:
                 await asyncio.wait_for(test(world), 60)
 
-        asyncio.run(inside())
+        asyncio.run(run_test())
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
     return run
