--- a/terndrift/core/carried.py
+++ b/terndrift/core/carried.py
@@ -60,10 +60,10 @@
 
 
 class Carrier(Protocol):
-    """Transport by which the core reaches streamers; implemented by each front. No call may block.
+    """Transport by which the core reaches streamers; each protocol has its own. No call may block.
 
-    The core gets exactly one `Core.began` or `Core.try_over` for each `set_up`, also after `call_off`. A
-    playback that plays ends by `Core.over` or `Core.left`, after which the core calls `let_go` once.
+    The transport reports exactly one `Core.began` or `Core.try_over` for each `set_up`, also after
+    `call_off`. A playback that plays ends by `Core.over` or `Core.left`; the core then calls `let_go` once.
     """
 
     def set_up(self, playback, streamer, rung, timeout):
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -292,8 +292,8 @@
     def among(self, now, controller_count, warm_up_turn, warm_link_use):
         """Report what the fleet's controllers agreed on (`among` in terndrift/interface.py).
 
-        `warm_link_use`: streamer id -> demand on its link in hundredths of its capacity, passed on as a load
-        report of a while ago.
+        `warm_link_use`: id of a warm streamer -> demand on its link in hundredths of its capacity, passed on
+        as a load report of a while ago.
         """
         self._call(
             now, None, lambda: self.controller.among(now, controller_count, warm_up_turn, warm_link_use)
--- a/tests/world.py
+++ b/tests/world.py
@@ -97,7 +97,7 @@
 
     def write_list(self, **standing):
         """Write the server list. `standing`: changes by streamer, as in `s0="draining"`; they persist."""
-        self.standing.update({int(name[1:]): state for name, state in standing.items()})
+        self.standing.update({int(key[1:]): value for key, value in standing.items()})
         write_list(self.path("list.rec"), self.fleet.lines(), self.started, self.standing)
         for name, state in standing.items():
             self.note("listed", streamer=int(name[1:]), standing=state)
