--- a/terndrift/platform/__init__.py
+++ b/terndrift/platform/__init__.py
@@ -1,5 +1,9 @@
-"""The operators' platform: their protocol as one more way in and out of the same core and decisions.
+"""Controller process for the operators' platform: their wire protocol in front of the shared core.
 
-`message` and `link` are free of I/O; `settings` reads what a controller is told at its start, `feed` the
-control feed, `front` faces viewers, `carrier` streamers; `service` starts and stops all of it.
+The placement decisions and the core are the same as behind the other fronts; this package only adds the
+platform's protocol, configuration and process control.
+
+`message` and `link` do no I/O. `settings` parses the configuration a controller is started with, `feed`
+polls the control feed, `front` serves viewers and `carrier` talks to streamers. `service` starts and stops
+all of them.
 """
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -1,4 +1,9 @@
-"""A controller on the platform as a process: start, SIGHUP (a new configuration), SIGTERM (a restart)."""
+"""The controller process on the operators' platform: startup, SIGHUP (reload), SIGTERM (shutdown).
+
+`main` is called by `terndrift.platform.__main__`. A `Service` wires configuration, core, viewer front,
+streamer carrier and control feed together and owns their lifetime. It takes no placement decisions: those are
+the core's.
+"""
 
 import asyncio
 import signal
@@ -16,26 +21,26 @@
 from terndrift.platform.front import Front
 from terndrift.terms import Malformed
 
-SECOND = 1_000_000_000
-# SIGKILL comes no sooner after SIGTERM than the longest wait of a viewer, counted as 3 s where it is longer,
-# and 0.7 s more (PROTOCOL): all is answered and released so many seconds before.
-LONGEST_WAIT, AFTER_IT, BEFORE = 3.0, 0.7, 0.2
-# Of that, seconds until the last answers have left this process, and until the other sides have ended
-# their connections; what is not done then is not waited for.
-FLUSH, FINISH = 0.08, 0.05
-LOOK = 0.005  # seconds between looks at whether it is done
-# Turns of the loop until what came on connections just accepted has been read and answered.
-TURNS = 4
-SIGNALS = (signal.SIGHUP, signal.SIGTERM)
+NS_PER_SECOND = 1_000_000_000
+# SIGKILL follows SIGTERM no sooner than the longest deadline of a viewer, capped at 3 s, plus 0.7 s (as the
+# operators' PROTOCOL document says). The final answers and releases are sent 0.2 s before that.
+MAX_DEADLINE_S, KILL_DELAY_S, SHUTDOWN_BUDGET_S = 3.0, 0.7, 0.2
+# Parts of that budget: for writing out the final messages, and for peers to close their connections. Whatever
+# is unfinished after that is not waited for.
+FLUSH_TIMEOUT_S, CLOSE_TIMEOUT_S = 0.08, 0.05
+POLL_INTERVAL_S = 0.005
+# Event loop iterations needed to read and answer what came on connections that were just accepted.
+ACCEPT_LOOP_TURNS = 4
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 
 
 class Stage(Enum):
-    """Where the process stands."""
+    """Lifecycle of the process."""
 
-    STARTING = "starting"  # nobody is taken
+    STARTING = "starting"  # accepts no viewers yet
     SERVING = "serving"
-    DRAINING = "draining"  # told to end; all goes on
-    CLOSING = "closing"  # the last answers have been given; what comes is rejected
+    DRAINING = "draining"  # SIGTERM received; still serves as before
+    CLOSING = "closing"  # final answers are sent; new set-ups are rejected
     STOPPED = "stopped"
 
 
@@ -49,7 +54,10 @@
 
 
 class Service:
-    """One controller: its configuration, core, front, carrier and feed."""
+    """One controller: owns its configuration, core, front, carrier and feed.
+
+    `path` is the configuration file, read again by `reread`.
+    """
 
     def __init__(self, configuration, log, path=None):
         self.configuration, self.log, self.path = configuration, log, path
@@ -64,90 +72,107 @@
         self.host = Host(self.core, self.clock)
         self.carrier = Carrier(self.host, configuration, log)
         self.front = Front(self.host, self.carrier, configuration, log)
-        self.feed = Feed(configuration.feed, 0, self._event, log, configuration.deployment.seed)
-        self.old = True  # the events of the start are a list from before it
+        self.feed = Feed(configuration.feed_address, 0, self._apply_event, log, configuration.deployment.seed)
+        self.list_is_cached = True  # the configuration's events are a list from before this start
         self.tasks, self.address, self.stopped = [], None, asyncio.Event()
 
-    def _turn(self, stage):
-        """Every change of the process's stage."""
+    def _change_stage(self, stage):
         assert stage in TRANSITIONS[self.stage], f"{self.stage} to {stage}"
         self.stage = stage
 
-    def _event(self, event, complete):
-        """Takes an event of the list; returns what of it can't be read, None: nothing. `complete`: what it
-        does not name, if it is a whole list, is gone."""
+    def _apply_event(self, event, final):
+        """Applies a feed event; returns a description of what could not be read, or None.
+
+        Streamers that a full list does not name are removed, unless one of its rows could not be read: that
+        row may be theirs. With `final` the event is not requested again, and they are removed even then.
+        """
         members = event.get("members")
         if members is None:
             return None
         rows = members.get("hosts") if isinstance(members, dict) else None
         if not isinstance(rows, list):
             return "no list of hosts"
-        entries, said, unreadable = [], [], None
+        entries, changes, unreadable = [], [], None
         for row in rows:
             try:
                 entry, name, address = settings.listed(row, self.configuration.layout, self.clock)
-            except Malformed as wrong:
-                unreadable = unreadable or str(wrong)
+            except Malformed as error:
+                unreadable = unreadable or str(error)
                 continue
             self.carrier.listed(entry, name, address)
             entries.append(entry)
-            said.append((name, entry.standing.name))
-        whole = bool(members.get("whole")) and (unreadable is None or complete)
+            changes.append((name, entry.standing.name))
+        whole = bool(members.get("whole")) and (unreadable is None or final)
         if whole:
-            self.carrier.only({e.id for e in entries if e.standing is not Standing.GONE})
-        self.host.do(self.core.list_changed, entries, whole, self.old)
-        self.log.info("list", n=event.get("n"), whole=whole, changed=said[:20])
+            self.carrier.only({listed.id for listed in entries if listed.standing is not Standing.GONE})
+        self.host.do(self.core.list_changed, entries, whole, self.list_is_cached)
+        self.log.info("list", n=event.get("n"), whole=whole, changed=changes[:20])
         return unreadable
 
     async def begin(self):
-        """Within a running loop: takes the list of the configuration, and what has changed since; then
-        starts, unless it was told to end meanwhile. Raises as `start`."""
-        self._know()
-        await self.feed.first()
+        """Loads the server list, then starts serving unless SIGTERM came meanwhile.
+
+        The list is the configuration's, updated by one call to the feed. Raises OSError, as `start` does.
+        """
+        self._load_initial_list()
+        await self.feed.fetch_initial()
         if self.stage is Stage.STARTING:
             self.start()
 
-    def _know(self):
-        self.feed.take_known(self.configuration.known)
-        self.old = False
+    def _load_initial_list(self):
+        self.feed.apply_initial_events(self.configuration.initial_events)
+        self.list_is_cached = False
 
     def start(self):
-        """Opens the front. Raises OSError without the port."""
-        if self.old:
-            self._know()
-        self.address = self.front.listen_on(self.configuration.listen)
+        """Opens the listening socket and starts the background tasks in the running event loop.
+
+        Raises OSError if the socket cannot be bound.
+        """
+        if self.list_is_cached:
+            self._load_initial_list()
+        self.address = self.front.listen_on(self.configuration.listen_address)
         self.front.ready = True
-        self._turn(Stage.SERVING)
-        self.tasks += [asyncio.ensure_future(self.feed.follow()), asyncio.ensure_future(self._quarters())]
+        self._change_stage(Stage.SERVING)
+        self.tasks += [
+            asyncio.ensure_future(self.feed.follow()),
+            asyncio.ensure_future(self._run_housekeeping()),
+        ]
         self.log.info("listening", address=self.address, name=self.configuration.name)
         if self.configuration.unknown:
             self.log.info("settings not known", names=self.configuration.unknown)
 
-    async def _quarters(self):
+    async def _run_housekeeping(self):
+        """Enforces timeouts of connections and reports a late event loop, four times a second."""
         while True:
             await asyncio.sleep(0.25)
             try:
                 self.host.tell_late(self.log)
                 self.front.every_quarter()
                 self.carrier.every_quarter()
-            except Exception as fault:  # the next quarter must come all the same
-                self.log.error("fault of a bound", exc_info=fault)
+            except Exception as exception:  # a bug in one round must not end the later ones
+                self.log.error("fault of a bound", exc_info=exception)
 
     def reread(self):
-        """SIGHUP: another configuration. What can't be read leaves the old one in force; of a good one the
-        feed's address is taken, and whatever else it changes is named and waits for a restart."""
+        """Reloads the configuration file; the SIGHUP handler.
+
+        Only the feed address takes effect. Other changes are logged and need a restart; an invalid file is
+        logged and leaves the old configuration in force.
+        """
         try:
             new = settings.read(self.path)
-        except Malformed as wrong:
-            self.log.error("configuration not taken", why=str(wrong))
+        except Malformed as error:
+            self.log.error("configuration not taken", why=str(error))
             return
-        self.log.info("configuration", feed=new.feed)
-        if ignored := settings.changed_beside_feed(self.configuration, new):
+        self.log.info("configuration", feed=new.feed_address)
+        if ignored := settings.changed_settings(self.configuration, new):
             self.log.warning("changes that wait for a restart", names=ignored)
-        self.feed.move(new.feed)
+        self.feed.set_address(new.feed_address)
 
     def terminate(self):
-        """SIGTERM. Before anybody was taken there is nothing to wait for; said again it changes nothing."""
+        """Begins the shutdown; the SIGTERM handler.
+
+        Closes at once if no viewer was accepted yet, else drains. A repeated call has no effect.
+        """
         if self.stage is Stage.STARTING:
             self.log.info("told to end before it served")
             self.close()
@@ -155,64 +180,78 @@
             self.tasks.append(asyncio.ensure_future(self.drain()))
 
     async def drain(self):
-        """All goes on, as set-ups still come and what plays plays; just before SIGKILL is due what is open is
-        answered and what stands released on both sides: its viewers come again at once."""
-        self._turn(Stage.DRAINING)
+        """Serves on until shortly before SIGKILL is due, then ends everything and closes.
+
+        Set-ups still arrive and playbacks go on meanwhile. At the end open set-ups are answered and playbacks
+        are released on both sides, whose viewers then come back at once.
+        """
+        self._change_stage(Stage.DRAINING)
         self.log.info("draining", open=self.core.open, playbacks=len(self.core.held))
-        longest = min(LONGEST_WAIT, max(self.configuration.deadlines.values(), default=0) / SECOND)
-        await asyncio.sleep(longest + AFTER_IT - BEFORE)
-        self._turn(Stage.CLOSING)
+        max_deadline_s = min(
+            MAX_DEADLINE_S, max(self.configuration.deadlines.values(), default=0) / NS_PER_SECOND
+        )
+        await asyncio.sleep(max_deadline_s + KILL_DELAY_S - SHUTDOWN_BUDGET_S)
+        self._change_stage(Stage.CLOSING)
         self.front.last_answers()
-        await self._within(FLUSH, self._all_sent)
+        await self._wait_until(FLUSH_TIMEOUT_S, self._all_sent)
         self.front.listener.close()
-        for _ in range(TURNS):
+        for _ in range(ACCEPT_LOOP_TURNS):
             await asyncio.sleep(0)
         self.front.finish()
         for connection in self.carrier.connections():
-            connection.finish("the controller ends")
-        await self._within(FINISH, lambda: not self.front.connections)
+            connection.finish("controller is shutting down")
+        await self._wait_until(CLOSE_TIMEOUT_S, lambda: not self.front.connections)
         self.close()
 
     def _all_sent(self):
-        return not any(one.unsent() for one in [*self.front.connections, *self.carrier.connections()])
+        return not any(
+            connection.unsent() for connection in [*self.front.connections, *self.carrier.connections()]
+        )
 
-    async def _within(self, seconds, done):
-        """Waits until it is done, and so long at most."""
+    async def _wait_until(self, timeout_s, condition):
+        """Polls until `condition()` holds or the timeout has passed."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while not done() and loop.time() < until:
-            await asyncio.sleep(LOOK)
+        deadline = loop.time() + timeout_s
+        while not condition() and loop.time() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def close(self):
-        """Ends at once, from whatever stage."""
+        """Stops everything at once, from any stage; a repeated call has no effect."""
         if self.stage is Stage.STOPPED:
             return
-        self._turn(Stage.STOPPED)
+        self._change_stage(Stage.STOPPED)
         for task in self.tasks:
             task.cancel()
         self.host.stop()
         self.front.listener.close()
         for connection in list(self.front.connections):
-            connection.close("the controller ends")
+            connection.close("controller is shutting down")
         self.carrier.close()
         self.feed.close()
         self.stopped.set()
 
     async def run(self):
-        """The whole life of the process. Signals that came while it was loaded are acted on now."""
+        """Runs the controller from startup to shutdown.
+
+        Unblocks HANDLED_SIGNALS once their handlers are installed; those received earlier are handled then.
+        """
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reread)
         loop.add_signal_handler(signal.SIGTERM, self.terminate)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         await self.begin()
         if self.stage is not Stage.STOPPED:
             process.stands()
         await self.stopped.wait()
-        process.goes_down(loop, SIGNALS)
+        process.goes_down(loop, HANDLED_SIGNALS)
         self.log.info("stopped")
 
 
 def main(environ):
+    """Runs a controller configured by the file that LB_CONFIG names in `environ`.
+
+    Logs JSON lines to standard error; exits with status 1 and one line if it cannot start.
+    """
     log = logs.setup("info", "json", LogStream(sys.stderr.fileno()))
     path = environ.get("LB_CONFIG")
     if not path:
@@ -223,5 +262,5 @@
 
     try:
         asyncio.run(serve())
-    except (Malformed, OSError) as wrong:
-        sys.exit(f"terndrift: {wrong}")
+    except (Malformed, OSError) as error:
+        sys.exit(f"terndrift: {error}")
--- a/terndrift/platform/settings.py
+++ b/terndrift/platform/settings.py
@@ -1,4 +1,10 @@
-"""What a controller is told at its start: LB_CONFIG, and the control feed's events in our words (DEPLOY)."""
+"""Startup configuration of a controller on the operators' platform, and rows of its server list.
+
+`service` calls `read` on the file named by LB_CONFIG, at startup and on SIGHUP, and `listed` on each row of a
+control feed event; both formats are specified in the operators' DEPLOY document. The settings shared with the
+simulator are parsed by `terndrift.terms`. Nothing here is kept between calls, and invalid input raises
+Malformed instead of being replaced by a default.
+"""
 
 import json
 import zlib
@@ -9,34 +15,35 @@
 from terndrift.platform.descriptors import Descriptors, shared_out
 from terndrift.terms import Malformed
 
-# Of a configuration that is read again these are expected to differ: the feed's address is taken, the events
-# come from the feed, the seed is for a start.
-EXPECTED_TO_CHANGE = ("feed", "known", "seed")
-STANDINGS = {"up": Standing.READY, "draining": Standing.DRAINING, "removed": Standing.GONE}
+# Keys not compared when a configuration is reloaded: the new feed address takes effect at once, events come
+# from the feed, and the seed matters at startup only.
+KEYS_NOT_COMPARED = ("feed", "known", "seed")
+STANDING_BY_HEALTH = {"up": Standing.READY, "draining": Standing.DRAINING, "removed": Standing.GONE}
 
 
 @dataclass(frozen=True)
 class Configuration:
-    """What one controller is told at its start."""
+    """The parsed startup configuration of one controller."""
 
     name: str
-    listen: tuple  # (host, port)
-    feed: str  # host:port
+    listen_address: tuple  # (host, port)
+    feed_address: str  # host:port
     descriptors: Descriptors
     deployment: object
     layout: object
     deadlines: dict  # plan -> ns
-    connect: int  # ns to make a connection to a streamer
-    keepalive: int  # ns after which streamers close a connection left idle
-    most_on_connection: int  # set-ups that one connection carries at once
-    tell_every: int  # ns between what a streamer says of its link; 0: never
+    connect: int  # timeout of a connection attempt to a streamer, in ns
+    keepalive: int  # ns after which streamers close an idle connection
+    most_on_connection: int  # maximum of concurrent set-ups on one connection
+    tell_every: int  # ns between a streamer's reports of its link use; 0: it sends none
     drain_grace: int  # ns
-    known: list  # events
-    unknown: list  # names of settings that nothing here knows
-    values: dict  # all of it flat, but for what is expected to change: name -> text
+    initial_events: list
+    unknown: list  # names of settings that no document names and nothing reads
+    flat_values: dict  # every value outside KEYS_NOT_COMPARED: dotted name -> text
 
 
-def address(text, what):
+def parse_address(text, what):
+    """Splits "host:port" into (host, port); raises Malformed, naming the field `what`."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise Malformed(f"{what}: '{text}' is not host:port")
@@ -44,42 +51,42 @@
 
 
 def read(path):
-    """Raises Malformed, which names the file and what is wrong with it."""
+    """Loads a Configuration from a JSON file; raises Malformed, naming the file and the invalid field."""
     try:
         with open(path, "rb") as file:
             value = json.load(file)
-    except (OSError, ValueError) as wrong:
-        raise Malformed(f"{path}: {wrong}") from None
+    except (OSError, ValueError) as error:
+        raise Malformed(f"{path}: {error}") from None
     try:
         return configuration(value)
-    except Malformed as wrong:
-        raise Malformed(f"{path}: {wrong}") from None
+    except Malformed as error:
+        raise Malformed(f"{path}: {error}") from None
 
 
 def configuration(value):
-    """A configuration from its JSON; raises Malformed, which names the field."""
+    """Parses a Configuration from decoded JSON; raises Malformed, naming the invalid field."""
     if not isinstance(value, dict):
         raise Malformed("not an object")
     for key, kind in (("name", str), ("listen", str), ("feed", str), ("settings", dict), ("known", dict)):
         if not isinstance(value.get(key), kind):
-            raise Malformed(f"{key}: missing, or not {kind.__name__}")
+            raise Malformed(f"{key}: missing or not of type {kind.__name__}")
     flat = terms.Read(terms.flat(value["settings"]))
-    made, _, layout = terms.deployment(flat)
+    deployment, _, layout = terms.deployment(flat)
     seed = zlib.crc32(str(value.get("seed", value["name"])).encode())
-    address(value["feed"], "feed")
+    parse_address(value["feed"], "feed")
     limits = value.get("limits", {})
     if not isinstance(limits, dict):
         raise Malformed("limits: not an object")
     limits = terms.flat(limits, "limits")
     events = value["known"].get("events")
     if not isinstance(events, list):
-        raise Malformed("known.events: missing, or not a list")
+        raise Malformed("known.events: missing or not a list")
     return Configuration(
         name=value["name"],
-        listen=address(value["listen"], "listen"),
-        feed=value["feed"],
+        listen_address=parse_address(value["listen"], "listen"),
+        feed_address=value["feed"],
         descriptors=shared_out(terms.whole(limits, "limits.sockets", 1024, 16)),
-        deployment=replace(made, seed=seed),
+        deployment=replace(deployment, seed=seed),
         layout=layout,
         deadlines=terms.deadlines(flat),
         connect=terms.whole(flat, "ceilings.connect_timeout_ns", 250 * 10**6, 1),
@@ -87,29 +94,32 @@
         most_on_connection=terms.whole(flat, "ceilings.max_streams", 2**20, 1),
         tell_every=terms.whole(flat, "family_info.reports_every_ns", 0, 0),
         drain_grace=terms.whole(flat, "rules.drain_grace_ns", 0, 0),
-        known=events,
-        unknown=flat.unknown(),  # last: what is read above counts
-        values=terms.flat({key: part for key, part in value.items() if key not in EXPECTED_TO_CHANGE}),
+        initial_events=events,
+        unknown=flat.unknown(),  # must come after every read above: names read so far are not unknown
+        flat_values=terms.flat({key: part for key, part in value.items() if key not in KEYS_NOT_COMPARED}),
     )
 
 
-def changed_beside_feed(old, new):
-    """Names of what differs between two configurations beside the feed's address, in order."""
-    names = old.values.keys() | new.values.keys()
-    return sorted(name for name in names if old.values.get(name) != new.values.get(name))
+def changed_settings(old, new):
+    """Sorted names of the settings that differ between two Configurations, without KEYS_NOT_COMPARED."""
+    names = old.flat_values.keys() | new.flat_values.keys()
+    return sorted(name for name in names if old.flat_values.get(name) != new.flat_values.get(name))
 
 
 def streamer_id(name):
-    """The same number at every controller: the decisions take turns by it."""
+    """Numeric id of a streamer; the same at every controller, as they take turns at cold streamers by it."""
     return zlib.crc32(name.encode())
 
 
 def listed(row, layout, clock):
-    """(Listed, name, address) of a row of the list; raises Malformed."""
+    """Parses a row of the server list into (Listed, streamer name, "host:port"); raises Malformed.
+
+    `layout` maps cells to racks; `clock` converts the wall-clock start time to the controller's own time.
+    """
     try:
         name, cell = str(row["host"]), int(row["block"])
-        standing = STANDINGS[row["health"]]
-        started = int(row.get("born_ms") or 0)
+        standing = STANDING_BY_HEALTH[row["health"]]
+        started_ms = int(row.get("born_ms") or 0)
         return (
             Listed(
                 id=streamer_id(name),
@@ -119,10 +129,10 @@
                 rack=layout.rack(cell),
                 standing=standing,
                 weight=float(row.get("share", 1)),
-                started=clock.of_wall_ns(started * 1_000_000),
+                started=clock.of_wall_ns(started_ms * 1_000_000),
             ),
             name,
             str(row.get("dial", "")),
         )
-    except (KeyError, TypeError, ValueError, OverflowError) as wrong:
-        raise Malformed(f"a row of the list: {type(wrong).__name__} {wrong}") from None
+    except (KeyError, TypeError, ValueError, OverflowError) as error:
+        raise Malformed(f"a row of the list: {type(error).__name__} {error}") from None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -157,11 +157,11 @@
             service = Service.__new__(Service)
             service.stage = stage
             if to in allowed:
-                service._turn(to)
+                service._change_stage(to)
                 assert service.stage is to
             else:
                 with pytest.raises(AssertionError):
-                    service._turn(to)
+                    service._change_stage(to)
 
 
 # Shutdown.
@@ -206,7 +206,7 @@
         close()
 
     world.service.front.listener.close = accept_none_before
-    with changed(services, LONGEST_WAIT=0, AFTER_IT=0.2):
+    with changed(services, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
         await world.service.drain()
     heard = await read_all(late[0])
     assert [(h.id, h.cause) for h in heard] == [(id, m.REJECTED)]
@@ -223,7 +223,7 @@
         viewer.send(set_up(id) + set_up(world.id())[:-3])  # and one half written, of which nothing is owed
 
     front.last_answers = and_one_more
-    with changed(services, LONGEST_WAIT=0, AFTER_IT=0.2):
+    with changed(services, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
         await world.service.drain()
     heard = await viewer.hear()
     assert (heard.id, heard.cause) == (id, m.REJECTED)
@@ -243,7 +243,7 @@
         connection.send(more)
     for _ in range(8):
         connection.send(more)
-    with changed(services, LONGEST_WAIT=0, AFTER_IT=0.2, FLUSH=60):
+    with changed(services, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2, FLUSH_TIMEOUT_S=60):
         ending = asyncio.ensure_future(world.service.drain())
         await until(lambda: world.service.stage is services.Stage.CLOSING)
         assert connection.unsent()
@@ -282,7 +282,7 @@
     service, answered = world.service, []
     last_answers = service.front.last_answers
     service.front.last_answers = lambda: (answered.append(1), last_answers())
-    with changed(services, LONGEST_WAIT=0, AFTER_IT=0.2):
+    with changed(services, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
         service.reread()
         service.terminate()
         service.reread()
@@ -583,7 +583,7 @@
 @in_world(streamers=1)
 async def test_the_process_ends_with_a_connection_still_coming_up(world):
     dials = SlowDials()
-    with changed(carriers, connect=dials), changed(services, LONGEST_WAIT=0, AFTER_IT=0.2):
+    with changed(carriers, connect=dials), changed(services, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
         viewer = await world.viewer()
         id = viewer.ask()
         await until(lambda: dials.begun)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -10,7 +10,7 @@
 
 from terndrift.interface import Standing
 from terndrift.platform import settings
-from terndrift.platform.feed import BadReply, Feed
+from terndrift.platform.feed import Feed, FeedReplyError
 
 
 def following(got, said=None, held=0, unreadable=()):
@@ -30,31 +30,31 @@
 def test_events_are_handed_on_once_and_in_order():
     got = []
     feed = following(got, held=2)
-    feed.take(reply(2, 4, 3))
-    feed.take(reply(3, 4))
+    feed.apply_reply(reply(2, 4, 3))
+    feed.apply_reply(reply(3, 4))
     assert got == [(3, False), (4, False)] and feed.held == 4
 
 
 def test_the_number_of_the_last_event_is_not_held_for_the_events_that_a_reply_lacks():
     got = []
     feed = following(got)
-    feed.take(reply(1, 2, last=5))
+    feed.apply_reply(reply(1, 2, last=5))
     assert feed.held == 2, "3 to 5 would never be asked for"
-    feed.take(reply(3, 4, 5))
+    feed.apply_reply(reply(3, 4, 5))
     assert [n for n, _ in got] == [1, 2, 3, 4, 5]
 
 
 def test_a_missing_event_is_asked_for_once_more_and_then_passed_over():
     got, said = [], []
     feed = following(got, said)
-    with pytest.raises(BadReply, match="event 2: missing"):
-        feed.take(reply(1, 3))
+    with pytest.raises(FeedReplyError, match="event 2: missing"):
+        feed.apply_reply(reply(1, 3))
     assert feed.held == 1 and got == [(1, False)]
-    feed.take(reply(2, 3))
+    feed.apply_reply(reply(2, 3))
     assert [n for n, _ in got] == [1, 2, 3] and not said
-    with pytest.raises(BadReply, match="event 4: missing"):
-        feed.take(reply(5, 6))
-    feed.take(reply(5, 6))
+    with pytest.raises(FeedReplyError, match="event 4: missing"):
+        feed.apply_reply(reply(5, 6))
+    feed.apply_reply(reply(5, 6))
     assert [n for n, _ in got] == [1, 2, 3, 5, 6] and feed.held == 6
     assert ["passed over" in facts["why"] for _, _, facts in said] == [True]
 
@@ -62,19 +62,19 @@
 def test_a_whole_list_needs_nothing_that_came_before_it():
     got = []
     feed = following(got)
-    feed.take({"n": 7, "events": [{"n": 7, "members": {"whole": True, "hosts": []}}]})
+    feed.apply_reply({"n": 7, "events": [{"n": 7, "members": {"whole": True, "hosts": []}}]})
     assert feed.held == 7 and got == [(7, False)]
 
 
 def test_an_event_that_can_not_be_read_is_not_held_until_it_came_the_same_twice():
     got, said = [], []
     feed = following(got, said, unreadable={2})
-    with pytest.raises(BadReply, match="event 2: a row"):
-        feed.take(reply(1, 2, 3))
+    with pytest.raises(FeedReplyError, match="event 2: a row"):
+        feed.apply_reply(reply(1, 2, 3))
     assert feed.held == 1
-    feed.take(reply(2, 3))
+    feed.apply_reply(reply(2, 3))
     assert got == [(1, False), (2, False), (2, True), (3, False)] and feed.held == 3
-    feed.take(reply(2, 3))
+    feed.apply_reply(reply(2, 3))
     assert len(got) == 4, "it does not come again"
     assert [level for level, _, _ in said] == ["warning"]
 
@@ -83,30 +83,30 @@
     got, said = [], []
     feed = following(got, said)
     spoilt = {"n": 3, "events": ["?", {"members": {}}, {"n": "2"}, {"n": 3}]}
-    with pytest.raises(BadReply):
-        feed.take(spoilt)
+    with pytest.raises(FeedReplyError):
+        feed.apply_reply(spoilt)
     assert not got and feed.held == 0
-    feed.take(spoilt)
+    feed.apply_reply(spoilt)
     assert [n for n, _ in got] == [3] and feed.held == 3 and len(said) == 3
 
 
 @pytest.mark.parametrize("bad", [None, [], {}, {"events": None}, {"events": {"n": 1}}, 7])
 def test_a_reply_of_another_form_is_named(bad):
-    with pytest.raises(BadReply, match="no list of events"):
-        following([]).take(bad)
+    with pytest.raises(FeedReplyError, match="no list of events"):
+        following([]).apply_reply(bad)
 
 
 def test_a_feed_that_is_gone_is_asked_ever_more_seldom_and_not_in_step():
     feeds, all_pauses = [Feed("127.0.0.1:1", 0, None, Log([]), seed) for seed in range(50)], []
     for feed in feeds:
         pauses = []
-        for feed.broken in range(1, 60):  # noqa: B020
-            pauses.append(feed.pause())
+        for feed.failed_calls in range(1, 60):  # noqa: B020
+            pauses.append(feed.retry_delay())
         assert pauses[0] <= 0.1 and all(0.4 <= p <= 0.8 for p in pauses[3:]), "asked again within 2 s"
         all_pauses.append(tuple(pauses))
     assert len(set(all_pauses)) == 50
-    feeds[0].move("127.0.0.1:2")
-    assert feeds[0].broken == 0, "at another address it is asked at once"
+    feeds[0].set_address("127.0.0.1:2")
+    assert feeds[0].failed_calls == 0, "at another address it is asked at once"
 
 
 # Over sockets.
@@ -205,7 +205,7 @@
     async def inside():
         async with Scripted() as old, Scripted(http(reply(1))) as new, followed(following([]), old) as feed:
             await until(lambda: old.asked)
-            feed.move(new.address)
+            feed.set_address(new.address)
             await until(lambda: feed.held == 1)
             await until(lambda: not old.open)
 
@@ -216,10 +216,10 @@
     async def inside():
         async with Scripted(http(reply(1))) as new:
             feed = following([])
-            feed.pause = lambda: 3600
+            feed.retry_delay = lambda: 3600
             async with followed(feed):
-                await until(lambda: feed.broken)
-                feed.move(new.address)
+                await until(lambda: feed.failed_calls)
+                feed.set_address(new.address)
                 await until(lambda: feed.held == 1)
 
     run(inside())
@@ -231,15 +231,15 @@
         async with Scripted(http(reply(1, 2))) as old, Scripted(http(reply(2, 3))) as new:
             feed = following(got)
             feed.address = old.address
-            ask = feed._ask
+            ask = feed._poll
 
             async def ask_and_move(*args):
                 task = asyncio.ensure_future(ask(*args))
                 await until(lambda: feed.call is not None and feed.call.done() or task.done())
-                feed.move(new.address)
+                feed.set_address(new.address)
                 return await task
 
-            feed._ask = ask_and_move
+            feed._poll = ask_and_move
             async with followed(feed):
                 await until(lambda: feed.held == 3)
             assert [n for n, _ in got] == [1, 2, 3] and "SUB=2" in new.asked[0]
@@ -251,9 +251,9 @@
     async def inside():
         async with Scripted() as old, Scripted(http(reply(1))) as new, followed(following([]), old) as feed:
             await until(lambda: old.asked)
-            feed.move("127.0.0.1:1")
-            await until(lambda: feed.broken)
-            feed.move(new.address)
+            feed.set_address("127.0.0.1:1")
+            await until(lambda: feed.failed_calls)
+            feed.set_address(new.address)
             await until(lambda: feed.held == 1)
 
     run(inside())
@@ -264,7 +264,7 @@
         async with Scripted() as server:
             feed = following([])
             feed.address = server.address
-            await feed.first()
+            await feed.fetch_initial()
             await until(lambda: not server.open)
             assert feed.held == 0
 
@@ -275,7 +275,7 @@
 async def test_a_drain_in_a_row_spoilt_once_reaches_the_decisions(world):
     """The first time that it is told it can't be read: it must not count as held."""
     world.feed.tell({**world.streamers[0].row("draining"), "block": "?"}, world.streamers[1].row())
-    await until(lambda: world.service.feed.doubted == 2)
+    await until(lambda: world.service.feed.retried_event == 2)
     world.feed.events[-1]["members"]["hosts"][0] = world.streamers[0].row("draining")
     at = world.by_name("s-00000000")
     await until(lambda: at.listed.standing is Standing.DRAINING)
@@ -286,7 +286,7 @@
 async def test_a_whole_list_with_a_row_that_can_not_be_read_drops_nobody_the_first_time(world):
     rows = [s.row() for s in world.streamers[:2]]
     world.feed.tell(rows[0], {**rows[1], "share": []}, whole=True)
-    await until(lambda: world.service.feed.doubted == 2)
+    await until(lambda: world.service.feed.retried_event == 2)
     standing = {s.name: world.by_name(s.name).listed.standing for s in world.streamers}
     assert set(standing.values()) == {Standing.READY}
     world.feed.events[-1]["members"]["hosts"][1] = rows[1]
