--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -10,7 +10,7 @@
 from terndrift.fleet.copies import Copies
 from terndrift.fleet.leases import ASK, Leases
 from terndrift.fleet.load import Loads
-from terndrift.fleet.members import Members, Standing
+from terndrift.fleet.members import Membership, Standing
 from terndrift.fleet.messages import (
     Agreed,
     AskHead,
@@ -47,7 +47,7 @@
 
     def __init__(self, fleet, me, known, voters, durable, run, now, mint, seed=0):
         self.fleet, self.me, self.known, self.voters = fleet, me, set(known), list(voters)
-        self.members = Members(me, known, run, now, seed)
+        self.members = Membership(me, known, run, now, seed)
         self.follower = Follower(now)
         self.voter = None
         if durable is not None:
@@ -83,7 +83,9 @@
 
     def received(self, now, sealed):
         sender, m = sealed.sender, sealed.message
-        self.follower.told(now, sender, sealed.epoch, sealed.agreed, sealed.age, self.members.asked(m))
+        self.follower.told(
+            now, sender, sealed.epoch, sealed.agreed, sealed.age, self.members.request_sent_at(m)
+        )
         if isinstance(m, messages.Raft):
             if self.voter:
                 self.voter.received(now, sender, m)
--- a/terndrift/fleet/members.py
+++ b/terndrift/fleet/members.py
@@ -1,10 +1,14 @@
-"""Who is there: SWIM with suspicion (Das, Gupta, Motivala 2002), and Lifeguard's local health (Dadgar,
-Phillips, Currey 2017). Free of I/O: messages and the time in ns come in; `out` has (to, message) to send.
+"""Membership of the fleet: SWIM with suspicion (Das, Gupta, Motivala 2002) and the local health of Lifeguard
+(Dadgar, Phillips, Currey 2017).
 
-Each period one member is pinged, all in turn in an order of chance; who does not answer is asked for through
-others, then suspected, and dead only if it does not refute that in time. What a member costs is the same
-however many there are: a ping and its answers a period, and a whole exchange now and then, also with the
-dead, so that halves which lost each other find together again.
+`Controller` passes in messages and the time, and sends what is in `out`, as (recipient, message). There is no
+I/O here; all times and durations are in ns.
+
+In each protocol period one member is pinged, in a shuffled round-robin order. If it does not answer, helpers
+are asked to ping it; then it is suspected, and declared dead only if it does not refute the suspicion in
+time. The cost per member does not depend on the size of the fleet: one ping with its answers per period, and
+now and then an exchange of the full state. That exchange includes dead members, so that the two halves of a
+healed partition find each other again.
 """
 
 import math
@@ -12,38 +16,43 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from terndrift.fleet.messages import Ack, AskFor, Nack, News, Ping, Whole
+from terndrift.fleet.messages import Ack, AskFor, MemberUpdate, Nack, Ping, Whole
 
 MS = 1_000_000
 SECOND = 1000 * MS
-PERIOD = SECOND  # between pings; SWIM's protocol period
-ANSWER = PERIOD // 4  # a direct answer is awaited so long, then others are asked; many times a round trip
-HELPERS = 3  # others that are asked to ping; SWIM's k
-# Bytes of news in one message, each its name and NEWS more: with what else stands there it fits a datagram.
-ROOM, NEWS = 1000, 18
-MOST_TOLD = 20  # members told at once, of one whole exchange, that they are doubted here
-# News is told SPREAD * log10(members + 2) times, rounded up (SWIM's lambda log n). With 4 one in 20,000
-# misses it: of the 90,000 pairs of 300 that a cut has made doubt each other four, which met minutes later.
-SPREAD = 6
-# A suspicion stands at least ALPHA * log10(members) periods, and BETA times that while only one member says
-# so (Lifeguard's defaults: 5 and 6).
-ALPHA, BETA, CONFIRMATIONS = 5, 6, 3
-# Before it is held for dead a suspect is told so this often, half a period apart: with three in ten datagrams
-# lost each way, 93% hear of it and are heard.
-LAST_WORDS = 4
-SICKEST = 8  # local health stretches time-outs up to this many times over (Lifeguard's S)
-# Between whole exchanges of one member, for each that it knows: so what they cost it is the same in any
-# fleet (some 75 bytes a second), and over all members there are two or three a second, which is how soon
-# two halves meet again.
-WHOLE = SECOND * 2 // 5
-LEAST_WHOLE = 20 * SECOND
-YOUNG = 6  # exchanges at the start that are a second apart
-# A wake this late says that this process stood still, not the others.
-STOOD = PERIOD
+PROTOCOL_PERIOD = SECOND  # between pings; the protocol period of SWIM
+# Wait for a direct ack before indirect probes are sent; many times a round trip.
+DIRECT_ACK_TIMEOUT = PROTOCOL_PERIOD // 4
+INDIRECT_PROBES = 3  # helpers asked to ping a member that does not answer; k of SWIM
+# Bytes of gossip in one message, counting for each update its name and the overhead: together with the rest
+# of the message it fits a datagram.
+MAX_GOSSIP_BYTES, UPDATE_OVERHEAD_BYTES = 1000, 18
+# Members pinged after one full state exchange because they are alive to the other side and not to this one.
+MAX_DISPUTED_PINGS = 20
+# An update is sent RETRANSMIT_MULTIPLIER * log10(members + 2) times, rounded up (lambda log n of SWIM). With
+# 4 one member in 20,000 misses an update: of the 90,000 pairs of 300 members that a partition made suspect
+# each other, four did, and met again only minutes later.
+RETRANSMIT_MULTIPLIER = 6
+# A suspicion lasts at least SUSPICION_MULTIPLIER * log10(members) periods, and MAX_SUSPICION_MULTIPLIER times
+# that while a single member reports it (alpha and beta of Lifeguard, whose defaults are 5 and 6). It is down
+# to the minimum after this many confirmations by others.
+SUSPICION_MULTIPLIER, MAX_SUSPICION_MULTIPLIER, EXPECTED_CONFIRMATIONS = 5, 6, 3
+# Pings that tell a suspect of the suspicion before it is declared dead, half a period apart: with three in
+# ten datagrams lost each way, 93% of the suspects receive one and are heard.
+SUSPECT_WARNINGS = 4
+MAX_HEALTH_SCORE = 8  # local health stretches timeouts up to this many times (S of Lifeguard)
+# Interval between full state exchanges of one member, for each member that it knows. That makes their cost
+# per member the same in any fleet (some 75 bytes a second), with two or three exchanges a second in the whole
+# fleet, which is how soon the halves of a healed partition meet again.
+EXCHANGE_INTERVAL_PER_MEMBER = SECOND * 2 // 5
+MIN_EXCHANGE_INTERVAL = 20 * SECOND
+INITIAL_EXCHANGES = 6  # exchanges after the start that are a second apart
+# A wake-up this late means that this process itself was paused, not that the others were silent.
+PAUSE_THRESHOLD = PROTOCOL_PERIOD
 
 
 class Standing(IntEnum):
-    """In the order in which one overrides another of the same run and incarnation."""
+    """State of a member; within a run and an incarnation a higher value overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -51,73 +60,89 @@
     LEFT = 3
 
 
-ROUTES = {  # of one run; a new run begins anew
+TRANSITIONS = {  # within a run; a new run may start with any of them
     Standing.ALIVE: (Standing.SUSPECT, Standing.DEAD, Standing.LEFT),
     Standing.SUSPECT: (Standing.ALIVE, Standing.DEAD, Standing.LEFT),
-    Standing.DEAD: (Standing.ALIVE, Standing.SUSPECT, Standing.LEFT),  # of a later incarnation
+    Standing.DEAD: (Standing.ALIVE, Standing.SUSPECT, Standing.LEFT),  # with a later incarnation
     Standing.LEFT: (),
 }
 
 
-def in_own_order(names, mark):
-    """Names in an order that the mark gives, another one for each asker: many that start together then ask
-    all alike."""
-    return sorted(names, key=lambda n: zlib.crc32(f"{mark}{n}".encode()) * 2654435761 % 2**32)
+def in_own_order(names, salt):
+    """Returns the names in a pseudo-random order that depends on the salt.
+
+    With a salt of its own each requester asks in another order, so that many members that start together
+    spread their requests evenly.
+    """
+    return sorted(names, key=lambda n: zlib.crc32(f"{salt}{n}".encode()) * 2654435761 % 2**32)
 
 
 @dataclass
 class Member:
+    """What this controller knows of another member."""
+
     name: str
     run: int = 0  # 0: never heard of
     incarnation: int = 0
     standing: Standing = Standing.DEAD
-    since: int = 0
-    accusers: set = field(default_factory=set)  # who said that it is suspect
-    told: int = 0  # times that the present news of it was passed on
-    warned: int = 0  # times that it was told, shortly before its time, that it is suspected
-    word_at: int = 0  # when it is told the next time
+    since: int = 0  # time of the last change of its standing
+    suspected_by: set = field(default_factory=set)  # members that reported the suspicion
+    transmissions: int = 0  # how often its current update was gossiped
+    warnings_sent: int = 0  # of SUSPECT_WARNINGS, during the present suspicion
+    next_warning_at: int = 0
 
-    def news(self):
-        return News(self.name, self.run, self.incarnation, int(self.standing))
+    def update(self):
+        """Returns its state in the form in which it is gossiped."""
+        return MemberUpdate(self.name, self.run, self.incarnation, int(self.standing))
 
 
 @dataclass
 class Probe:
+    """The probe of the current protocol period."""
+
     target: str
     seq: int
-    began: int
-    ask_at: int  # others are asked then
-    fails_at: int
-    asked: bool = False
-    again_at: int = 0  # the straight way is tried a last time
-    helpers: int = 0
+    started_at: int
+    indirect_at: int  # when helpers are asked
+    deadline: int
+    indirect_sent: bool = False
+    retry_at: int = 0  # of the last direct ping; 0: none is due
+    helper_count: int = 0
     nacks: int = 0
 
 
-class Members:
-    """`names`: everybody whom the records name, `me` included; `run`: this start, ms since 1970."""
+class Membership:
+    """The membership as one member sees it.
+
+    `names` are all members of the configuration, `me` included. `run` identifies this start of the process by
+    its time in ms since 1970. `received`, `tick` and `leave` add to `out`; `tick` has to be called at
+    `next_at()`.
+    """
 
     def __init__(self, me, names, run, now, seed=0):
         self.me, self.run, self.incarnation, self.now = me, run, 0, now
-        self.seed, self.draws = zlib.crc32(f"{seed}:{me}".encode()), 0
+        self.seed, self.draw_count = zlib.crc32(f"{seed}:{me}".encode()), 0
         self.members = {name: Member(name, since=now) for name in names if name != me}
-        self.out, self.changes = [], []  # to be sent; (time, name, standing before, after) for the log
-        self.seq, self.probe, self.forwards = 0, None, {}  # forwards: own seq -> (who asked, its seq, until)
-        self.order, self.health, self.own_told, self.leaving = [], 0, 0, False
-        self.young = YOUNG
-        self.false_deaths = 0  # of this member, refuted: others held it for dead though it lives
-        # by chance, so that many who start at once do not speak in step
-        self.next_ping = now + int(PERIOD * self._chance())
-        self.next_whole = now + int(SECOND * self._chance())
-        self.due = min(self.next_ping, self.next_whole)
-
-    # What there is to know.
+        # out: (recipient, message); changes: (time, name, standing before, after), consumed by the host's log
+        self.out, self.changes = [], []
+        # forwards: own seq -> (requester, its seq, deadline, target) of pings sent for an AskFor
+        self.seq, self.probe, self.forwards = 0, None, {}
+        self.probe_order, self.health, self.own_transmissions, self.leaving = [], 0, 0, False
+        self.initial_exchanges_left = INITIAL_EXCHANGES
+        self.false_deaths = 0  # how often others declared this running member dead
+        # jitter, so that members that start together do not send in step
+        self.next_ping_at = now + int(PROTOCOL_PERIOD * self._random())
+        self.next_exchange_at = now + int(SECOND * self._random())
+        self.wake_at = min(self.next_ping_at, self.next_exchange_at)
+
+    # Queries.
 
     def alive(self):
-        """Names of those that are there, suspects included: until it is dead a member is not given up."""
+        """Names of the other members that are alive, suspects included: a suspect counts until it is dead."""
         return [n for n, m in self.members.items() if m.run and m.standing <= Standing.SUSPECT]
 
     def view(self, now):
+        """Returns the state of all members for operators, by name; `for_s` is seconds in that standing."""
         rows = {
             self.me: {
                 "standing": "left" if self.leaving else "alive",
@@ -126,292 +151,349 @@
                 "for_s": None,
             }
         }
-        for name, m in self.members.items():
-            word = m.standing.name.lower() if m.run else "unheard"
+        for name, member in self.members.items():
+            standing = member.standing.name.lower() if member.run else "unheard"
             rows[name] = {
-                "standing": word,
-                "run": m.run,
-                "incarnation": m.incarnation,
-                "for_s": round((now - m.since) / SECOND, 1),
+                "standing": standing,
+                "run": member.run,
+                "incarnation": member.incarnation,
+                "for_s": round((now - member.since) / SECOND, 1),
             }
         return rows
 
     def next_at(self):
-        return self.due
+        """When `tick` has to be called next."""
+        return self.wake_at
 
-    def asked(self, message):
-        """When this member said what that message answers; None: it answers nothing that is awaited."""
-        p = self.probe
-        return p.began if isinstance(message, Ack) and p and p.seq == message.seq else None
+    def request_sent_at(self, message):
+        """When the current probe was started, if the message acknowledges it; otherwise None."""
+        probe = self.probe
+        return probe.started_at if isinstance(message, Ack) and probe and probe.seq == message.seq else None
 
-    # What happens.
+    # Events.
 
     def received(self, now, sender, message):
-        self._time(now)
+        """Handles a membership message; `sender` is a member of the configuration."""
+        self._advance_clock(now)
         match message:
-            case Ping(seq, news):
-                self._hear(now, sender, news)
-                self.out.append((sender, Ack(seq, self._news(sender))))
-            case Ack(seq, news):
-                self._hear(now, sender, news)
-                self._answered(now, sender, seq)
-            case AskFor(seq, target, news):
-                self._hear(now, sender, news)
+            case Ping(seq, updates):
+                self._apply_updates(now, sender, updates)
+                self.out.append((sender, Ack(seq, self._select_updates(sender))))
+            case Ack(seq, updates):
+                self._apply_updates(now, sender, updates)
+                self._ack_received(now, sender, seq)
+            case AskFor(seq, target, updates):
+                self._apply_updates(now, sender, updates)
                 if target in self.members:
                     self.seq += 1
-                    self.forwards[self.seq] = sender, seq, now + ANSWER * 3 // 4, target
-                    self.out.append((target, Ping(self.seq, self._news(target))))
+                    self.forwards[self.seq] = sender, seq, now + DIRECT_ACK_TIMEOUT * 3 // 4, target
+                    self.out.append((target, Ping(self.seq, self._select_updates(target))))
             case Nack(seq):
                 if self.probe and seq == self.probe.seq:
                     self.probe.nacks += 1
-            case Whole(news, answer):
-                self._hear(now, sender, news)
-                self._disputed(news)
-                if not answer:
-                    self.out.append((sender, self.whole(True)))
-        self._plan()
-
-    def whole(self, answer=False):
-        return Whole([self._own()] + [m.news() for m in self.members.values() if m.run], answer)
-
-    def _own(self):
+            case Whole(updates, is_response):
+                self._apply_updates(now, sender, updates)
+                self._ping_disputed(updates)
+                if not is_response:
+                    self.out.append((sender, self.full_state(True)))
+        self._schedule()
+
+    def full_state(self, is_response=False):
+        """Returns a `Whole` with this member and all that it has heard of."""
+        return Whole([self._own_update()] + [m.update() for m in self.members.values() if m.run], is_response)
+
+    def _own_update(self):
         standing = Standing.LEFT if self.leaving else Standing.ALIVE
-        return News(self.me, self.run, self.incarnation, int(standing))
+        return MemberUpdate(self.me, self.run, self.incarnation, int(standing))
 
     def leave(self, now):
-        """Said, not found out: to a few, who pass it on."""
-        self.leaving, self.own_told = True, 0
-        for name in self._some(max(HELPERS, int(2 * math.log2(len(self.members) + 1))), self.alive()):
+        """Announces a planned stop to a few members, which gossip it, so that nobody has to detect it."""
+        self.leaving, self.own_transmissions = True, 0
+        for name in self._sample(
+            max(INDIRECT_PROBES, int(2 * math.log2(len(self.members) + 1))), self.alive()
+        ):
             self.seq += 1
-            self.out.append((name, Ping(self.seq, self._news(name))))
+            self.out.append((name, Ping(self.seq, self._select_updates(name))))
 
     def tick(self, now):
-        self._time(now)
-        for seq, (sender, its, until, _) in list(self.forwards.items()):
-            if now >= until:
+        """Runs all timers that are due: probes, suspicions, full state exchanges."""
+        self._advance_clock(now)
+        for seq, (requester, request_seq, deadline, _) in list(self.forwards.items()):
+            if now >= deadline:
                 del self.forwards[seq]
-                self.out.append((sender, Nack(its)))
+                self.out.append((requester, Nack(request_seq)))
         if self.probe:
-            self._probing(now)
-        if now >= self.next_ping and not self.leaving:
-            self._ping(now)
-        for m in self.members.values():
-            if m.standing is Standing.SUSPECT:
-                self._doubt(now, m)
-        if now >= self.next_whole:
+            self._advance_probe(now)
+        if now >= self.next_ping_at and not self.leaving:
+            self._start_probe(now)
+        for member in self.members.values():
+            if member.standing is Standing.SUSPECT:
+                self._advance_suspicion(now, member)
+        if now >= self.next_exchange_at:
             alone = not self.alive()
-            self.young -= not alone and self.young > 0
-            wait = SECOND if alone or self.young else max(LEAST_WHOLE, WHOLE * len(self.members))
-            self.next_whole = now + int(wait * (0.75 + 0.5 * self._chance()))
-            # with the dead and the unheard too: they may be on the other side of a cut that has healed, and
-            # who left may be back
-            others = self._some(HELPERS if alone else 1, self.members)
-            self.out += [(name, self.whole()) for name in others]
-        self._plan()
-
-    # Its own clock and chance.
-
-    def _time(self, now):
-        """A clock that jumped says that this process stood still: nothing is held against the others that
-        they could not have said to it, and it answers for itself first."""
-        late = now - max(self.now, self.due)
-        if late > STOOD:
-            self.health = SICKEST
+            self.initial_exchanges_left -= not alone and self.initial_exchanges_left > 0
+            interval = (
+                SECOND
+                if alone or self.initial_exchanges_left
+                else max(MIN_EXCHANGE_INTERVAL, EXCHANGE_INTERVAL_PER_MEMBER * len(self.members))
+            )
+            self.next_exchange_at = now + int(interval * (0.75 + 0.5 * self._random()))
+            # Members that are dead, have left or were never heard of take part too: they may be on the other
+            # side of a partition that has healed, or be back.
+            recipients = self._sample(INDIRECT_PROBES if alone else 1, self.members)
+            self.out += [(name, self.full_state()) for name in recipients]
+        self._schedule()
+
+    # Clock, randomness and timers.
+
+    def _advance_clock(self, now):
+        """Sets the time, and handles a pause of this process.
+
+        After a pause the others are not blamed for messages that they could not deliver: suspicions are
+        extended by the pause, the current probe is dropped, and a full state exchange lets this member refute
+        first what was said of it meanwhile.
+        """
+        late_by = now - max(self.now, self.wake_at)
+        if late_by > PAUSE_THRESHOLD:
+            self.health = MAX_HEALTH_SCORE
             self.probe = None
             self.forwards.clear()
-            for m in self.members.values():
-                if m.standing is Standing.SUSPECT:
-                    m.since += late
-            self.next_ping = now + int(PERIOD * self._chance())
-            self.next_whole = now
+            for member in self.members.values():
+                if member.standing is Standing.SUSPECT:
+                    member.since += late_by
+            self.next_ping_at = now + int(PROTOCOL_PERIOD * self._random())
+            self.next_exchange_at = now
         self.now = now
 
-    def _chance(self):
-        self.draws += 1
-        return zlib.crc32(b"%d" % self.draws, self.seed) * 2654435761 % 2**32 / 2**32
+    def _random(self):
+        """Returns the next pseudo-random number of [0, 1), reproducible from the seed and the name."""
+        self.draw_count += 1
+        return zlib.crc32(b"%d" % self.draw_count, self.seed) * 2654435761 % 2**32 / 2**32
 
-    def _some(self, count, among):
-        pool, out = sorted(among), []
-        while pool and len(out) < count:
-            out.append(pool.pop(int(self._chance() * len(pool))))
-        return out
+    def _sample(self, count, names):
+        pool, sample = sorted(names), []
+        while pool and len(sample) < count:
+            sample.append(pool.pop(int(self._random() * len(pool))))
+        return sample
 
-    def _plan(self):
-        times = [self.next_ping, self.next_whole] + [f[2] for f in self.forwards.values()]
+    def _schedule(self):
+        times = [self.next_ping_at, self.next_exchange_at] + [f[2] for f in self.forwards.values()]
         if self.probe:
-            p = self.probe
-            times.append(p.ask_at if not p.asked else p.again_at or p.fails_at)
-        times += [self._word_at(m) for m in self.members.values() if m.standing is Standing.SUSPECT]
-        self.due = min(times)
+            probe = self.probe
+            times.append(probe.indirect_at if not probe.indirect_sent else probe.retry_at or probe.deadline)
+        times += [self._suspicion_due_at(m) for m in self.members.values() if m.standing is Standing.SUSPECT]
+        self.wake_at = min(times)
 
     # Probing.
 
-    def _ping(self, now):
-        self.next_ping = now + PERIOD * (1 + self.health)
+    def _start_probe(self, now):
+        self.next_ping_at = now + PROTOCOL_PERIOD * (1 + self.health)
         while True:
-            if not self.order:
-                self.order = self._some(len(self.members), self.alive())
-                if not self.order:
+            if not self.probe_order:
+                self.probe_order = self._sample(len(self.members), self.alive())
+                if not self.probe_order:
                     return
-            target = self.order.pop()
+            target = self.probe_order.pop()
             if self.members[target].standing <= Standing.SUSPECT:
                 break
         self.seq += 1
-        self.probe = Probe(target, self.seq, now, now + ANSWER * (1 + self.health), self.next_ping)
-        self.out.append((target, Ping(self.seq, self._news(target))))
-
-    def _probing(self, now):
-        p = self.probe
-        if now >= p.ask_at and not p.asked:
-            p.asked, p.again_at = True, (now + p.fails_at) // 2
-            helpers = self._some(HELPERS, [n for n in self.alive() if n != p.target])
-            p.helpers = len(helpers)
+        self.probe = Probe(
+            target, self.seq, now, now + DIRECT_ACK_TIMEOUT * (1 + self.health), self.next_ping_at
+        )
+        self.out.append((target, Ping(self.seq, self._select_updates(target))))
+
+    def _advance_probe(self, now):
+        probe = self.probe
+        if now >= probe.indirect_at and not probe.indirect_sent:
+            probe.indirect_sent, probe.retry_at = True, (now + probe.deadline) // 2
+            helpers = self._sample(INDIRECT_PROBES, [n for n in self.alive() if n != probe.target])
+            probe.helper_count = len(helpers)
             for name in helpers:
-                self.out.append((name, AskFor(p.seq, p.target, self._news(name))))
-            # once more by the straight way: where one datagram in three is lost, that is most of it
-            self.out.append((p.target, Ping(p.seq, self._news(p.target))))
-        elif p.again_at and now >= p.again_at:
-            p.again_at = 0
-            self.out.append((p.target, Ping(p.seq, self._news(p.target))))
-        if now >= p.fails_at:
+                self.out.append((name, AskFor(probe.seq, probe.target, self._select_updates(name))))
+            # The direct ping is repeated: where one datagram in three is lost, loss is the usual reason for
+            # the missing ack.
+            self.out.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
+        elif probe.retry_at and now >= probe.retry_at:
+            probe.retry_at = 0
+            self.out.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
+        if now >= probe.deadline:
             self.probe = None
-            # helpers that say nothing at all point at this member's own link or loop
-            self.health = min(SICKEST, self.health + max(0, p.helpers - p.nacks) + (0 if p.helpers else 1))
-            m = self.members[p.target]
-            if m.standing is Standing.ALIVE:
-                m.accusers = {self.me}
-                self._turn(now, m, Standing.SUSPECT)
-            elif m.standing is Standing.SUSPECT:
-                m.accusers.add(self.me)
-
-    def _doubt(self, now, m):
-        """Before it is given up it is told so: guards against a cut that has healed meanwhile, while all ping
-        seldom as the cut has made them doubt themselves. A few datagrams a member and death."""
-        if now < self._word_at(m):
+            # Helpers that send not even a nack point to a fault of this member's own link or event loop.
+            self.health = min(
+                MAX_HEALTH_SCORE,
+                self.health + max(0, probe.helper_count - probe.nacks) + (0 if probe.helper_count else 1),
+            )
+            member = self.members[probe.target]
+            if member.standing is Standing.ALIVE:
+                member.suspected_by = {self.me}
+                self._transition(now, member, Standing.SUSPECT)
+            elif member.standing is Standing.SUSPECT:
+                member.suspected_by.add(self.me)
+
+    def _advance_suspicion(self, now, member):
+        """Warns a suspect that its suspicion is about to expire, and declares it dead after the last warning.
+
+        Without the warnings running members are declared dead after a partition that has healed already: it
+        has worsened the local health of all, so that they ping rarely and a suspect does not hear of the
+        suspicion in time. The cost is a few datagrams for each death.
+        """
+        if now < self._suspicion_due_at(member):
             return
-        if m.warned >= LAST_WORDS:
-            self._turn(now, m, Standing.DEAD)
+        if member.warnings_sent >= SUSPECT_WARNINGS:
+            self._transition(now, member, Standing.DEAD)
             return
-        m.warned, m.word_at = m.warned + 1, now + PERIOD // 2
+        member.warnings_sent, member.next_warning_at = member.warnings_sent + 1, now + PROTOCOL_PERIOD // 2
         self.seq += 1
-        self.out.append((m.name, Ping(self.seq, self._news(m.name))))
+        self.out.append((member.name, Ping(self.seq, self._select_updates(member.name))))
+
+    def _suspicion_due_at(self, member):
+        """When a suspect is to be warned next or, after all warnings, declared dead.
 
-    def _word_at(self, m):
-        """When a suspect is told next, or given up if it was told often enough: however short its time became
-        meanwhile, as others came to suspect it too, it is told first."""
-        return m.word_at if m.warned else m.since + self._patience(m) - LAST_WORDS * PERIOD // 2
+        All warnings are sent even if confirmations by others have cut the timeout short meanwhile.
+        """
+        return (
+            member.next_warning_at
+            if member.warnings_sent
+            else member.since + self._suspicion_timeout(member) - SUSPECT_WARNINGS * PROTOCOL_PERIOD // 2
+        )
 
-    def _answered(self, now, sender, seq):
+    def _ack_received(self, now, sender, seq):
         if seq in self.forwards:
-            asker, its, _, target = self.forwards.pop(seq)
+            requester, request_seq, _, target = self.forwards.pop(seq)
             if target == sender:
-                self.out.append((asker, Ack(its, [self.members[target].news()])))
+                self.out.append((requester, Ack(request_seq, [self.members[target].update()])))
             return
-        p = self.probe
-        if p and p.seq == seq:
+        probe = self.probe
+        if probe and probe.seq == seq:
             self.probe = None
-            self.health //= 2  # one by one it would ping seldom for most of a minute after a cut
-
-    def _patience(self, m):
-        """ns for which a suspicion stands: long while one member says so, short once several do."""
-        n = max(10, len(self.members) + 1)
-        least = ALPHA * math.log10(n) * PERIOD
-        told = min(1.0, math.log(len(m.accusers) or 1) / math.log(CONFIRMATIONS + 1))
-        return int(max(least, BETA * least - (BETA - 1) * least * told)) * (1 + self.health // 2)
-
-    # News.
-
-    def _news(self, to):
-        """What is told with a message: of the receiver itself if it is doubted, then what was told least."""
-        often = math.ceil(SPREAD * math.log10(len(self.members) + 2))
-        out, m = [], self.members.get(to)
-        if m and m.run and m.standing is not Standing.ALIVE:
-            out.append(m.news())
-        if self.own_told < often:
-            self.own_told += 1
-            out.append(self._own())
-        fresh = [x for x in self.members.values() if x.run and x.told < often and x is not m]
-        room = ROOM - sum(len(n.name) + NEWS for n in out)
-        for x in sorted(fresh, key=lambda x: (x.told, x.name)):
-            if (room := room - len(x.name) - NEWS) < 0:
+            # Halved: in steps of one this member would ping rarely for most of a minute after a partition.
+            self.health //= 2
+
+    def _suspicion_timeout(self, member):
+        """Returns how long a suspicion lasts: long while one member reports it, short once several do."""
+        count = max(10, len(self.members) + 1)
+        shortest = SUSPICION_MULTIPLIER * math.log10(count) * PROTOCOL_PERIOD
+        confirmed = min(1.0, math.log(len(member.suspected_by) or 1) / math.log(EXPECTED_CONFIRMATIONS + 1))
+        return int(
+            max(
+                shortest,
+                MAX_SUSPICION_MULTIPLIER * shortest - (MAX_SUSPICION_MULTIPLIER - 1) * shortest * confirmed,
+            )
+        ) * (1 + self.health // 2)
+
+    # Gossip.
+
+    def _select_updates(self, to):
+        """Returns the updates to piggyback on a message, within MAX_GOSSIP_BYTES.
+
+        What is said of the recipient itself comes first, unless it is alive; then the updates that were sent
+        least often.
+        """
+        max_transmissions = math.ceil(RETRANSMIT_MULTIPLIER * math.log10(len(self.members) + 2))
+        updates, recipient = [], self.members.get(to)
+        if recipient and recipient.run and recipient.standing is not Standing.ALIVE:
+            updates.append(recipient.update())
+        if self.own_transmissions < max_transmissions:
+            self.own_transmissions += 1
+            updates.append(self._own_update())
+        pending = [
+            m
+            for m in self.members.values()
+            if m.run and m.transmissions < max_transmissions and m is not recipient
+        ]
+        bytes_left = MAX_GOSSIP_BYTES - sum(len(u.name) + UPDATE_OVERHEAD_BYTES for u in updates)
+        for m in sorted(pending, key=lambda m: (m.transmissions, m.name)):
+            if (bytes_left := bytes_left - len(m.name) - UPDATE_OVERHEAD_BYTES) < 0:
                 break
-            x.told += 1
-            out.append(x.news())
-        return out
-
-    def _hear(self, now, sender, news):
-        m = self.members.get(sender)
-        for one in news:
-            if one.name == self.me:
-                self._of_me(one)
-                if one.state != Standing.ALIVE and not self.leaving:
-                    # said back at once: whoever missed the refutation might hear of it only much later
+            m.transmissions += 1
+            updates.append(m.update())
+        return updates
+
+    def _apply_updates(self, now, sender, updates):
+        member = self.members.get(sender)
+        for update in updates:
+            if update.name == self.me:
+                self._refute(update)
+                if update.standing != Standing.ALIVE and not self.leaving:
+                    # Answered at once: a member that missed the refutation might hear of it only much later.
                     self.seq += 1
-                    self.out.append((sender, Ping(self.seq, [self._own()])))
-            elif one.name in self.members and 0 <= one.state <= 3 and one.run > 0 and one.incarnation >= 0:
-                self._of(now, sender, one)
-        if m and not m.run:
-            # it speaks, and nothing was heard of it: it will say so itself, and is asked
-            self.out.append((sender, self.whole()))
-
-    def _disputed(self, news):
-        """Whom the other side of an exchange sees alive, and this one does not, is told so straight: after
-        a cut each has to refute by itself what the other half says of it."""
-        doubts = Standing.SUSPECT, Standing.DEAD
-        doubted = {m.name: m for m in self.members.values() if m.standing in doubts}
-        there = [
-            n.name
-            for n in news
-            if n.state == Standing.ALIVE
-            and (m := doubted.get(n.name))
-            and (n.run, n.incarnation) == (m.run, m.incarnation)
+                    self.out.append((sender, Ping(self.seq, [self._own_update()])))
+            elif (
+                update.name in self.members
+                and 0 <= update.standing <= 3
+                and update.run > 0
+                and update.incarnation >= 0
+            ):
+                self._apply_update(now, sender, update)
+        if member and not member.run:
+            # The sender is unknown so far and has not announced itself in this message: its response will.
+            self.out.append((sender, self.full_state()))
+
+    def _ping_disputed(self, updates):
+        """Pings members that are alive to the other side of an exchange but suspect or dead to this one.
+
+        After a partition each member has to refute by itself what the other half says of it, and learns of it
+        from this ping.
+        """
+        failed = Standing.SUSPECT, Standing.DEAD
+        failed_members = {m.name: m for m in self.members.values() if m.standing in failed}
+        disputed = [
+            u.name
+            for u in updates
+            if u.standing == Standing.ALIVE
+            and (m := failed_members.get(u.name))
+            and (u.run, u.incarnation) == (m.run, m.incarnation)
         ]
-        for name in self._some(MOST_TOLD, there):
+        for name in self._sample(MAX_DISPUTED_PINGS, disputed):
             self.seq += 1
-            self.out.append((name, Ping(self.seq, self._news(name))))
+            self.out.append((name, Ping(self.seq, self._select_updates(name))))
 
-    def _of_me(self, one):
-        if one.run > self.run:  # an earlier start of this name with a clock ahead of ours
-            self.run, self.incarnation, self.own_told = one.run + 1, 0, 0
+    def _refute(self, update):
+        """Handles an update on this member itself, and refutes it if it does not say alive."""
+        if update.run > self.run:  # an earlier run of this name, started while its clock was ahead
+            self.run, self.incarnation, self.own_transmissions = update.run + 1, 0, 0
         elif (
-            one.run == self.run
-            and one.state != Standing.ALIVE
+            update.run == self.run
+            and update.standing != Standing.ALIVE
             and not self.leaving
-            and one.incarnation >= self.incarnation
+            and update.incarnation >= self.incarnation
         ):
-            self.incarnation, self.own_told = one.incarnation + 1, 0
-            self.health = min(SICKEST, self.health + 1)
-            self.false_deaths += one.state == Standing.DEAD
-
-    def _of(self, now, sender, one):
-        m, standing = self.members[one.name], Standing(one.state)
-        if one.run < m.run or m.standing is Standing.LEFT and one.run == m.run:
+            self.incarnation, self.own_transmissions = update.incarnation + 1, 0
+            self.health = min(MAX_HEALTH_SCORE, self.health + 1)
+            self.false_deaths += update.standing == Standing.DEAD
+
+    def _apply_update(self, now, sender, update):
+        """Applies an update on another member if it is newer, and counts confirmations of a suspicion."""
+        member, standing = self.members[update.name], Standing(update.standing)
+        if update.run < member.run or member.standing is Standing.LEFT and update.run == member.run:
             return
-        if one.run > m.run:
-            before, m.run, m.incarnation = m.standing, one.run, one.incarnation
-            m.accusers = {sender} if standing is Standing.SUSPECT else set()
-            self._enter(now, m, before, standing)
-        elif (one.incarnation, standing) > (m.incarnation, m.standing):
-            m.incarnation = one.incarnation
-            if standing is Standing.SUSPECT and m.standing is not Standing.SUSPECT:
-                m.accusers = {sender}
-            if standing is not m.standing:
-                self._turn(now, m, standing)
-            m.told = 0
+        if update.run > member.run:
+            before, member.run, member.incarnation = member.standing, update.run, update.incarnation
+            member.suspected_by = {sender} if standing is Standing.SUSPECT else set()
+            self._set_standing(now, member, before, standing)
+        elif (update.incarnation, standing) > (member.incarnation, member.standing):
+            member.incarnation = update.incarnation
+            if standing is Standing.SUSPECT and member.standing is not Standing.SUSPECT:
+                member.suspected_by = {sender}
+            if standing is not member.standing:
+                self._transition(now, member, standing)
+            member.transmissions = 0
         elif (
-            standing is Standing.SUSPECT is m.standing
-            and one.incarnation == m.incarnation
-            and sender not in m.accusers
-            and len(m.accusers) <= CONFIRMATIONS
+            standing is Standing.SUSPECT is member.standing
+            and update.incarnation == member.incarnation
+            and sender not in member.suspected_by
+            and len(member.suspected_by) <= EXPECTED_CONFIRMATIONS
         ):
-            m.accusers.add(sender)
-            m.told = 0
-
-    def _turn(self, now, m, standing):
-        """Every change of a member's standing within a run."""
-        assert standing in ROUTES[m.standing], f"{m.name}: {m.standing.name} to {standing.name}"
-        self._enter(now, m, m.standing, standing)
-
-    def _enter(self, now, m, before, standing):
-        m.standing, m.since, m.told, m.warned = standing, now, 0, 0
-        self.changes.append((now, m.name, before, standing))
+            member.suspected_by.add(sender)
+            member.transmissions = 0
+
+    def _transition(self, now, member, standing):
+        """Changes the standing of a member within a run; all such changes go through here."""
+        assert standing in TRANSITIONS[member.standing], (
+            f"{member.name}: invalid transition from {member.standing.name} to {standing.name}"
+        )
+        self._set_standing(now, member, member.standing, standing)
+
+    def _set_standing(self, now, member, before, standing):
+        member.standing, member.since, member.transmissions, member.warnings_sent = standing, now, 0, 0
+        self.changes.append((now, member.name, before, standing))
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -1,109 +1,145 @@
-"""What controllers say to each other: msgspec structs in MessagePack, one to a datagram or an HTTP body.
+"""Messages between controllers: msgspec structs encoded as MessagePack, one per datagram or HTTP body.
 
-`Sealed` is around every message: a fleet's name, who speaks and to whom. What does not fit is dropped by
-`opened`, never an exception: datagrams come from anywhere.
+Every message travels in a `Sealed` envelope with the name of the fleet, the sender and the recipient.
+`Controller` encodes with `sealed`, the host decodes with `opened`. Datagrams can come from anywhere, so
+`opened` never raises on invalid input: it returns the reason for which the packet is to be dropped.
+
+The structs are encoded as arrays, tagged with their class name: the order of the fields and the names of the
+subclasses of `Message` are part of the protocol.
 """
 
 import msgspec
 
-# A datagram that no network on the way has to cut: what IPv6 carries whole (RFC 8200, 5), less headers.
+# Bytes. The minimum IPv6 MTU (RFC 8200, section 5) less headers, so that no network fragments a datagram.
 DATAGRAM = 1200
-# A body over HTTP: a part of the record, or all members of a large fleet.
+# Bytes. Limit of an HTTP body, which carries a part of the record or all members of a large fleet.
 BODY = 4 << 20
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True, omit_defaults=True):
-    pass
+    """Base of all messages that a `Sealed` can carry; the tag is the name of the class."""
+
 
+# Membership (members.py).
 
-# Members (members.py).
 
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """The state of one member as gossiped.
 
-class News(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of a member: `run`, its start (ms since 1970); `incarnation` counts its own
-    refutations."""
+    `run` identifies a start of the process by its time (ms since 1970); `incarnation` is raised by the member
+    itself each time it refutes a suspicion or a report of its death within a run.
+    """
 
     name: str
     run: int
     incarnation: int
-    state: int  # members.Standing
+    standing: int  # members.Standing
 
 
 class Ping(Message):
+    """A probe, answered by an `Ack` with the same `seq`. Membership updates are piggybacked."""
+
     seq: int
-    news: list[News] = []
+    updates: list[MemberUpdate] = []
 
 
 class Ack(Message):
+    """Answers the `Ping` or, through a helper, the `AskFor` with that `seq`."""
+
     seq: int
-    news: list[News] = []
+    updates: list[MemberUpdate] = []
 
 
 class AskFor(Message):
-    """Please ping that member for me; `Nack` tells that it did not answer you either (Lifeguard)."""
+    """An indirect probe: asks a helper to ping `target`.
+
+    The helper answers with an `Ack`, or with a `Nack` if the target did not answer it either (Lifeguard).
+    """
 
     seq: int
     target: str
-    news: list[News] = []
+    updates: list[MemberUpdate] = []
 
 
 class Nack(Message):
+    """From a helper: the target of the `AskFor` with that `seq` did not answer its ping in time."""
+
     seq: int
 
 
 class Whole(Message):
-    """All that a member knows; the other side answers with its own, unless this is the answer."""
+    """Full state exchange: the state of every member that the sender has heard of.
 
-    news: list[News]
-    answer: bool = False
+    The recipient answers with its own full state, unless this is a response itself.
+    """
 
+    updates: list[MemberUpdate]
+    is_response: bool = False
 
-# The record (record.py). `epoch`: (number, mark) of its beginning; `who`: identity of the speaking voter.
+
+# Replication of the record (record.py).
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
+    """A log entry."""
+
     term: int
-    kind: str  # "begin" of a leader's term, "voters" in force from here on, or "value"
+    # "begin": first entry of a leader's term; "voters": the voters from this entry on; "value": a proposal
+    kind: str
     id: str  # of the proposal
     value: object = None
 
 
 class Raft(Message):
+    """Base of the messages between voters.
+
+    `epoch`: (number, unique mark) of the record, which changes when the record is begun anew; `who`: the
+    identity of the sending voter, which is replaced when the voter has lost what it confirmed.
+    """
+
     epoch: tuple[int, str]
     who: str
     term: int
 
 
 class AskVote(Raft):
+    """Requests a vote for the sender, whose log ends at entry `last` of `last_term`."""
+
     last_term: int
     last: int
-    pre: bool  # would you vote for me? Nothing is changed by it
-    planned: bool = False  # the leader stops and has named me: it does not matter how lately it was heard
+    pre: bool  # a pre-vote: changes no state of the voter
+    planned: bool = False  # leadership transfer: not ignored for having heard the leader lately
 
 
 class Vote(Raft):
+    """Response to `AskVote`."""
+
     granted: bool
     pre: bool
-    asked: int  # the term asked for
+    asked: int  # the term for which the vote was requested
 
 
 class Append(Raft):
+    """Log entries or a heartbeat from the leader; `entries` follow the entry `before` of `before_term`."""
+
     before_term: int
     before: int
     entries: list[Entry]
-    agreed: int
-    round: int  # of the leader's questions: an answer tells that it was heard since
-    seen: dict[str, int] = {}  # identity -> the highest entry that it was seen to confirm
+    agreed: int  # commit index of the leader
+    round: int  # counts the leader's requests: a response with it proves contact since that request
+    seen: dict[str, int] = {}  # identity -> the highest index that this voter is known to have confirmed
 
 
 class Kept(Raft):
+    """Response to `Append` and `Base`, sent once the entries are durable."""
+
     ok: bool
-    last: int  # kept up to here; not ok: try from here
+    last: int  # ok: the last durable index; otherwise the index from which the leader should retry
     round: int
 
 
 class Base(Raft):
-    """The state up to `last`, for one whose next entries are no longer kept."""
+    """A snapshot of the state up to `last`, for a voter whose next entries are no longer in the log."""
 
     last_term: int
     last: int
@@ -112,120 +148,122 @@
 
 
 class Lead(Raft):
-    """Stand for election now: the leader is about to stop."""
+    """Leadership transfer: the leader is about to stop and asks the recipient to start an election now."""
 
 
 class Hello(Raft):
-    """A voter that has started asks the others what they hold and have seen of it."""
+    """From a voter that has started: asks the others how far their logs are and what it once confirmed."""
 
     nonce: str
     last: int
 
 
 class Seen(Raft):
+    """Response to the `Hello` with that `nonce`: the end of the sender's log, and its voters."""
+
     nonce: str
     last_term: int
     last: int
-    yours: int  # the highest entry that you were seen to confirm
+    yours: int  # the highest index that the recipient is known to have confirmed
     voters: dict[str, str]
 
 
 class LetIn(Raft):
-    """A voter under a new identity asks to be let in."""
+    """From a voter with a new identity: asks to be added to the voters."""
 
     name: str
 
 
 class Propose(Message):
+    """A proposal on its way to the leader; `hops` counts the controllers that have forwarded it."""
+
     id: str
     value: object
     hops: int = 0
 
 
 class Holds(Message):
-    """To the voters while there is work: by which of it (`rev`) this controller goes, and how many playbacks
-    and set-ups it has on each machine that it has told off; of those that wait, on which it has most."""
+    """A controller's report to the voters while planned work is under way.
+
+    `rev` is the revision of the work that the controller has applied. `counts` has its playbacks and set-ups
+    on each machine that it places on no more, and on those waiting for work where it has the most.
+    """
 
     rev: int
     counts: dict[str, int]
-    wall: int = 0  # ms since 1970 by its clock
-    asked: int = 0  # by viewers, of late
-    turned: int = 0  # away, of these
-    ill: list[str] = []  # machines that warm up, at which it can't set up
-    left: dict[str, dict] = {}  # rows of machines that were out by an earlier beginning of the record
+    wall: int = 0  # the sender's wall clock, ms since 1970
+    asked: int = 0  # recent requests of viewers
+    turned: int = 0  # how many of these were turned away
+    ill: list[str] = []  # machines warming up at which the sender's set-ups fail
+    left: dict[str, dict] = {}  # rows of machines that were out for work in an earlier epoch of the record
 
 
-# What is known of streamers (warm.py).
+# Observations of streamers (warm.py).
 
 
 class Fact(msgspec.Struct, array_like=True, frozen=True):
-    """Of a streamer, by one witness, who saw it in that run: its start as their list says (ns since 1970, 0:
-    long ago), for how long it was seen to run, how long ago that was, and how long ago it was seen to fail
-    (-1: not since); all but the start in ms."""
+    """One controller's observation of a streamer."""
 
     address: str
-    who: str
-    run: int
-    started: int
-    ran: int
-    ago: int
-    ill: int = -1
-    use: int = 0  # hundredths of its link that were asked for
+    who: str  # the controller that made the observation
+    run: int  # the run of that controller
+    started: int  # start of the streamer according to that controller's list, ns since 1970; 0: long ago
+    ran: int  # ms for which it was observed to run
+    ago: int  # ms since it was last observed to run
+    ill: int = -1  # ms since it was last observed to fail; -1: not since it ran
+    use: int = 0  # demand on its link, in hundredths of the capacity
 
 
 class AskKnown(Message):
-    """From one that has started: what do you know?"""
+    """From a controller that has started: asks for all observations that the recipient has."""
 
 
 class Knows(Message):
-    """`answers`: a question, with all that is known."""
+    """Observations of streamers, gossiped in parts."""
 
     facts: list[Fact]
-    answers: bool = False
+    answers: bool = False  # responds to an `AskKnown`, with all that the sender has
 
 
 # Catalogues (copies.py).
 
 
 class AskHead(Message):
-    """From one that has started: how far is your catalogue?"""
+    """From a controller that has started: asks for the last changes in the recipient's catalogue."""
 
 
 class Head(Message):
-    """`ids` of its last changes, newest last; `sure`: others' word says that none is ahead."""
+    """How far the sender's catalogue is: the number of its changes and the ids of the last ones."""
 
     count: int
-    ids: list[str] = []
-    sure: bool = False
+    ids: list[str] = []  # newest last
+    sure: bool = False  # confirmed by the responses of other controllers that no catalogue is ahead
 
 
-# Load (load.py), and what rides beside it (beside.py).
+# Load reports (load.py) and the data piggybacked on them (beside.py).
 
 
 class Beside(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
-    """`found`: streamer -> row (findings.py); `back`: how many were told to come in each of the next
-    seconds; `keys`: the heaviest, asked for so often; `strained`: controllers that are; `caps`: decided with
-    the level, key -> part that is shed."""
+    """Data piggybacked on a `Load`."""
 
-    found: dict[str, list[int]] = {}
-    back: list[int] = []
-    keys: dict[str, int] = {}
-    strained: list[str] = []
-    caps: dict[str, float] = {}
+    found: dict[str, list[int]] = {}  # streamer -> row of its failures (findings.py)
+    back: list[int] = []  # viewers told to come back, by second from now
+    keys: dict[str, int] = {}  # the most requested titles and addresses -> requests
+    strained: list[str] = []  # names of overloaded controllers
+    caps: dict[str, float] = {}  # key -> share of its requests to be shed; decided together with the level
 
 
 class Load(Message):
-    """What one member (kind 0), a group (1) or all (2) saw of late: plan -> figures; figures beside plans;
-    the level of shedding in force, who decided it and how many ms ago."""
+    """Recent load of one member, a group of members or the whole fleet."""
 
-    kind: int
-    plans: dict[str, list[int]]
-    more: list[int]
-    members: int
+    kind: int  # 0: one member; 1: a group; 2: all
+    plans: dict[str, list[int]]  # plan -> counts
+    more: list[int]  # counts that belong to no plan
+    members: int  # how many members the counts cover
     group: int = 0
-    level: float = 0.0
-    by: str = ""
-    ago: int = 0
+    level: float = 0.0  # load shedding level in force
+    by: str = ""  # the controller that decided the level
+    ago: int = 0  # ms since it was decided
     beside: Beside | None = None
 
 
@@ -233,41 +271,46 @@
 
 
 class AskLease(Message):
-    """`at`: the asker's own clock, comes back with the answer; `wants`: kind -> a second."""
+    """Requests leases on fleet-wide limits, from the leader or by way of another voter."""
 
-    who: str
-    at: int
-    wants: dict[str, float]
+    who: str  # the requester
+    at: int  # the requester's clock, returned with the response
+    wants: dict[str, float]  # kind of limit -> wanted rate per second
     hops: int = 0
 
 
 class Lease(Message):
-    at: int
-    parts: dict[str, float]
+    """Response to `AskLease`."""
+
+    at: int  # of the request
+    parts: dict[str, float]  # kind of limit -> leased rate per second
 
 
 class Pull(Message):
-    """From a follower: what is agreed after `last` of that epoch? `at`: its own clock, which comes back with
-    the answer: what that says is known as of then, however long either of them was on its way."""
+    """From a follower: requests the committed entries after `last` of that epoch."""
 
     epoch: tuple[int, str]
     last: int
+    # The requester's clock, returned with the response, whose content counts as of this time however long
+    # either message was delayed.
     at: int = 0
 
 
 class Agreed(Message):
-    """Of what is agreed: the state up to `last`, or entries from `after` on."""
+    """Response to `Pull`: the committed entries after `after`, or a snapshot if those are no longer kept."""
 
     epoch: tuple[int, str]
     after: int
     entries: list[Entry]
-    agreed: int
-    state: dict | None = None
-    age: int = 0  # ns since the sender knew this to be all that is agreed; -1: it never did
-    at: int = 0  # of the question
+    agreed: int  # commit index known to the sender
+    state: dict | None = None  # the snapshot
+    age: int = 0  # ns since the sender knew its commit index to be current; -1: it never did
+    at: int = 0  # of the request
 
 
 class Sealed(msgspec.Struct, array_like=True, frozen=True):
+    """The envelope of every message, with how far the sender's copy of the record is."""
+
     fleet: str
     sender: str
     to: str
@@ -299,8 +342,8 @@
         | Lease
     )
     epoch: int = 0
-    agreed: int = 0  # how much of the record the sender has: who has less asks it for the rest
-    age: int = -1  # ms since it knew that to be all; -1: it never did
+    agreed: int = 0  # the sender's commit index: a recipient that is behind pulls the rest from the sender
+    age: int = -1  # ms since the sender knew its commit index to be current; -1: it never did
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -308,17 +351,22 @@
 
 
 def sealed(fleet, sender, to, message, epoch=0, agreed=0, age=-1):
+    """Encodes a message in its envelope; the last three arguments are described in `Sealed`."""
     return _encode(Sealed(fleet, sender, to, message, epoch, agreed, age))
 
 
 def opened(data, fleet, me, known):
-    """The Sealed, or a word on why it is dropped."""
+    """Decodes a packet; returns the `Sealed`, or the reason for which the packet must be dropped.
+
+    The reasons are "huge" (larger than BODY), "garbage" (not decodable), "astray" (for another fleet or
+    recipient) and "unknown" (the sender is not in `known`, or is `me`).
+    """
     if len(data) > BODY:
         return "huge"
     try:
-        found = _decode(data)
+        envelope = _decode(data)
     except (msgspec.DecodeError, RecursionError, OverflowError):
         return "garbage"
-    if found.fleet != fleet or found.to != me:
+    if envelope.fleet != fleet or envelope.to != me:
         return "astray"
-    return found if found.sender in known and found.sender != me else "unknown"
+    return envelope if envelope.sender in known and envelope.sender != me else "unknown"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,13 +8,13 @@
 
 from terndrift.fleet import record
 from terndrift.fleet.arena import Arena
-from terndrift.fleet.members import Members, Standing
+from terndrift.fleet.members import Membership, Standing
 from terndrift.fleet.messages import (
     DATAGRAM,
     Ack,
     Append,
     Entry,
-    News,
+    MemberUpdate,
     Ping,
     Propose,
     Sealed,
@@ -291,7 +291,7 @@
 
 
 def test_a_suspect_refutes_and_news_of_an_earlier_incarnation_counts_no_more():
-    one = Members("a", "ab", 1, 0)
+    one = Membership("a", "ab", 1, 0)
     one.received(0, "b", Ping(1, [news("b", 5, 0, Standing.ALIVE)]))
     one.received(0, "b", Ping(2, [news("b", 5, 1, Standing.SUSPECT)]))
     assert one.members["b"].standing is Standing.SUSPECT
@@ -303,7 +303,7 @@
 
 
 def news(name, run, incarnation, standing):
-    return News(name, run, incarnation, int(standing))
+    return MemberUpdate(name, run, incarnation, int(standing))
 
 
 # Small worlds.
@@ -367,36 +367,40 @@
 
 def test_the_longest_names_and_most_news_still_fit_a_datagram():
     names = [f"{n:040d}" for n in range(120)]
-    one = Members(names[0], names, 1 << 42, 0)
-    one.received(0, names[1], Whole([News(n, 1 << 42, 1000, 1) for n in names[1:]], True))
+    one = Membership(names[0], names, 1 << 42, 0)
+    one.received(0, names[1], Whole([MemberUpdate(n, 1 << 42, 1000, 1) for n in names[1:]], True))
     one.out.clear()
     for _ in range(9):
         one.tick(one.next_at())
     pings = [m for _, m in one.out if isinstance(m, Ping)]
     sizes = [len(sealed("f" * 40, names[0], names[1], m, 9, 1 << 40, 1 << 20)) for m in pings]
-    assert pings and len(pings[0].news) > 15 and max(sizes) <= DATAGRAM
+    assert pings and len(pings[0].updates) > 15 and max(sizes) <= DATAGRAM
 
 
 def test_a_suspect_is_told_before_it_is_given_up_however_suddenly_its_time_runs_out():
     """fleet-split, seed 7: one accuser for 15 s, then four more within a second, and dead at once."""
-    one = Members("a", "abcdef", 1, 0)
+    one = Membership("a", "abcdef", 1, 0)
     for name in "bcdef":
-        one.received(0, name, Ping(1, [News(name, 5, 0, 0)]))
-    one.received(0, "c", Ping(2, [News("b", 5, 0, int(Standing.SUSPECT))]))
+        one.received(0, name, Ping(1, [MemberUpdate(name, 5, 0, 0)]))
+    one.received(0, "c", Ping(2, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
     now = 0
     while now < 15 * record.SECOND:
         now = max(now + record.SECOND // 10, one.next_at())
         one.tick(now)
         if one.probe:  # everybody else answers
             one.received(now, one.probe.target, Ack(one.probe.seq, []))
-        one.members["b"].accusers = {"c"}
-    assert one.members["b"].standing is Standing.SUSPECT and not one.members["b"].warned
+        one.members["b"].suspected_by = {"c"}
+    assert one.members["b"].standing is Standing.SUSPECT and not one.members["b"].warnings_sent
     one.out.clear()
     for name in "def":
-        one.received(now, name, Ping(3, [News("b", 5, 0, int(Standing.SUSPECT))]))
+        one.received(now, name, Ping(3, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
     one.tick(now)
     assert one.members["b"].standing is Standing.SUSPECT
-    assert [m for to, m in one.out if to == "b" and isinstance(m, Ping) and News("b", 5, 0, 1) in m.news]
+    assert [
+        m
+        for to, m in one.out
+        if to == "b" and isinstance(m, Ping) and MemberUpdate("b", 5, 0, 1) in m.updates
+    ]
 
 
 def test_the_platform_and_the_simulators_way_in_know_nothing_of_the_fleet():
