--- a/terndrift/fleet/__init__.py
+++ b/terndrift/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""Controllers that know each other: who is there, and one record of what all have agreed.
+"""A fleet of controllers: membership, and a replicated record of what they have agreed on.
 
-Free of I/O but for `service`; nothing under `platform/` or `adapter/` imports it. Why: `docs/fleet.md`.
+Only `service` does I/O. Nothing under `platform/` or `adapter/` imports this package. For the design see
+`docs/fleet.md`.
 """
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -1,8 +1,9 @@
-"""One controller of a fleet, free of I/O: its members, its part of the record, and what rides on every
-message.
+"""One controller of a fleet: combines the membership, the record and the gossip of all other parts.
 
-What comes in is opened already (`messages.opened`). `out` has (to, bytes), in order; `writes` the records to
-be made durable: what a voter says after them is held until the host tells by `kept` that they are.
+The host (`service`, or the simulated network of `arena`) passes in decoded messages and the time, sends what
+is in `out` and stores what is in `writes`. There is no I/O here; times and durations are in ns. What a voter
+sends after a record of `writes` is held back until the host has reported by `kept` that the record is
+durable: no vote or confirmation may rest on records that a crash could lose.
 """
 
 from terndrift.fleet import messages, ranks, work
@@ -30,20 +31,28 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-AGAIN = SECOND  # a proposal not seen agreed is sent again, through another member, this often
-MOST_HOPS = 3
-WORK = SECOND // 2  # between looks at planned work, and words on what is held
-MOST_COUNTED = 600  # bytes of a word for machines that wait: with the rest it fits a datagram
-MOST_PROPOSALS = 256  # of one controller not yet seen agreed
-# What is known is asked for anew where it is older than this: of a voter, by a voter (at half of it) of the
-# leader. Two lost answers still keep it under CUT; oftener would cost voters a question a member a second.
-FRESH = 2 * SECOND
-YOUNG = 10 * SECOND  # with a start among a fleet that has no record yet, nobody is asked so often for good
+PROPOSAL_RETRY_INTERVAL = SECOND  # of a proposal not yet seen committed; retries rotate through voters
+MAX_PROPOSAL_HOPS = 3
+WORK_INTERVAL = SECOND // 2  # between checks of planned work, and between reports of what is held
+# Bytes of a report for machines that wait for work: together with the rest it fits a datagram.
+MAX_WAITING_COUNT_BYTES = 600
+MAX_PENDING_PROPOSALS = 256  # of this controller, not yet seen committed
+# A copy of the record older than this is refreshed from a voter; a voter refreshes its own from the leader at
+# half this age. Two lost responses still keep the age below CUT_OFF_AFTER; a shorter interval would cost the
+# voters one request per member and second.
+MAX_RECORD_AGE = 2 * SECOND
+# A controller without any record pulls it more often, but only this long after its start: in a fleet that has
+# no record yet the voters would otherwise be asked at that rate for good.
+STARTUP_PERIOD = 10 * SECOND
 
 
 class Controller:
-    """`known`: names of all whom the records name, this one included; `durable`: a voter's, None for
-    others."""
+    """The state of one controller in the fleet: membership, replicated record, and gossip.
+
+    `known` are the names of all controllers of the configuration, this one included, and `voters` those that
+    vote. `durable` is what a voter has stored, None for others; `mint()` returns a new identity for it. `run`
+    is the start of this process in ms since 1970.
+    """
 
     def __init__(self, fleet, me, known, voters, durable, run, now, mint, seed=0):
         self.fleet, self.me, self.known, self.voters = fleet, me, set(known), list(voters)
@@ -52,27 +61,37 @@
         self.voter = None
         if durable is not None:
             self.voter = Voter(me, voters, durable, self.follower, now, mint, seed)
-        self.out, self.writes, self.wrote, self.held = [], [], 0, []  # held: (wrote, to, bytes)
-        self.proposals = {}  # id -> [value, when to send it again, how often it was]
-        self.started, self.pull_at = now, now
-        # Work on machines. The host says what its list has, and how much it has on machines told off.
-        self.work, self.work_at, self.holds = work.Work(), now, {}  # holds: member -> (Holds, when)
+        # out: (recipient, bytes), in order; writes: records for the store; wrote: how many were ever put
+        # there; held: (value of wrote to wait for, recipient, bytes)
+        self.out, self.writes, self.wrote, self.held = [], [], 0, []
+        self.pending_proposals = {}  # id -> [value, time of the next retry, retries]
+        self.started_at, self.next_pull_at = now, now
+        # Planned work on machines. holds: member -> (Holds, time received)
+        self.work, self.work_at, self.holds = work.Work(), now, {}
+        # Set by the host. machines(): name -> Machine of its list; holding(names): name -> playbacks and
+        # set-ups there; wall(): ms since 1970; turned(now): recent (requests, turned away); ill(names): those
+        # at which set-ups fail
         self.machines, self.holding = dict, lambda names: dict.fromkeys(names, 0)
         self.wall, self.turned, self.ill = lambda: 0, lambda now: (0, 0), lambda names: []
-        self.epoch, self.map, self.left = self.follower.epoch, self.follower.state["map"], {}
-        self.told_off = None, set()  # what it goes by; names
+        # last_epoch and last_map: of the record when last looked at; left: machine -> its row, for those that
+        # were out for work when the record was begun anew
+        self.last_epoch, self.last_map, self.left = self.follower.epoch, self.follower.state["map"], {}
+        self.off_cache = None, set()  # what the set was computed from; names of machines not to place on
         self.warm, self.copies = Known(me, run, now), Copies(me, now, list, 0)
-        self.loads, self.shed = Loads(me, known, now), None  # shed: a shed.Level, where the host sheds
-        self.leases = Leases(me, {}, len(self.known), bool(voters), now)  # none, unless the host has limits
-        self.ranks, self.rank_at, self.ranked = ranks.Ranks(), now, False  # ranked: the host goes by turns
-        self.led_by = 0  # revision of the work after which the leader looked last
-        self._after(now)
+        self.loads, self.shed = Loads(me, known, now), None  # shed: a shed.Level if the host sheds load
+        # without limits until the host sets its own
+        self.leases = Leases(me, {}, len(self.known), bool(voters), now)
+        # ranked: set by the host if it shares the slow start of cold streamers by rank
+        self.ranks, self.next_rank_at, self.ranked = ranks.Ranks(), now, False
+        self.led_work_rev = 0  # revision of the work at the leader's last check
+        self._collect_output(now)
 
     def next_at(self):
-        times = [self.members.next_at()] + [p[1] for p in self.proposals.values()]
-        times += [self.pull_at] if self.voters else []
+        """When `tick` has to be called next."""
+        times = [self.members.next_at()] + [p[1] for p in self.pending_proposals.values()]
+        times += [self.next_pull_at] if self.voters else []
         times += [self.work_at] if self._has_work() else []
-        times += [self.rank_at] if self.ranked else []
+        times += [self.next_rank_at] if self.ranked else []
         times += [self.warm.next_at()] if self.warm.seen or self.ranked else []
         times += [
             at
@@ -81,294 +100,330 @@
         ]
         return min(times + [self.voter.next_at()] if self.voter else times)
 
-    def received(self, now, sealed):
-        sender, m = sealed.sender, sealed.message
+    def received(self, now, envelope):
+        """Handles a message that `messages.opened` has accepted."""
+        sender, message = envelope.sender, envelope.message
         self.follower.told(
-            now, sender, sealed.epoch, sealed.agreed, sealed.age, self.members.request_sent_at(m)
+            now,
+            sender,
+            envelope.epoch,
+            envelope.agreed,
+            envelope.age,
+            self.members.request_sent_at(message),
         )
-        if isinstance(m, messages.Raft):
+        if isinstance(message, messages.Raft):
             if self.voter:
-                self.voter.received(now, sender, m)
-        elif isinstance(m, Pull):
-            self.follower.asked(now, sender, m)
-        elif isinstance(m, Agreed):
-            self.follower.answered(now, sender, m)
-        elif isinstance(m, Propose):
-            self._proposed(now, m)
-        elif isinstance(m, Holds):
-            if sealed.epoch == self.follower.epoch[0]:  # revisions of another beginning say nothing here
-                self.holds[sender] = m, now
-        elif isinstance(m, AskKnown):
+                self.voter.received(now, sender, message)
+        elif isinstance(message, Pull):
+            self.follower.asked(now, sender, message)
+        elif isinstance(message, Agreed):
+            self.follower.answered(now, sender, message)
+        elif isinstance(message, Propose):
+            self._submit(now, message)
+        elif isinstance(message, Holds):
+            if envelope.epoch == self.follower.epoch[0]:  # revisions of another epoch cannot be compared
+                self.holds[sender] = message, now
+        elif isinstance(message, AskKnown):
             self.warm.asked(now, sender)
-        elif isinstance(m, Load):
-            self.loads.heard(now, sender, m)
-        elif isinstance(m, AskLease):
-            if m.who in self.known:
-                self.leases.asked(now, m, self._sure(now), self.leader())
-        elif isinstance(m, Lease):
+        elif isinstance(message, Load):
+            self.loads.heard(now, sender, message)
+        elif isinstance(message, AskLease):
+            if message.who in self.known:
+                self.leases.asked(now, message, self._leads_with_quorum(now), self.leader())
+        elif isinstance(message, Lease):
             if sender in self.voters:
-                self.leases.answered(now, m)
-        elif isinstance(m, AskHead):
+                self.leases.answered(now, message)
+        elif isinstance(message, AskHead):
             self.copies.asked(sender)
-        elif isinstance(m, Head):
-            if sealed.epoch >= self.follower.epoch[0]:  # an earlier beginning of the record says nothing
-                self.copies.heard(sender, m)
-        elif isinstance(m, Knows):
-            self.warm.heard(now, sender, m, {n: one.run for n, one in self.members.members.items()})
+        elif isinstance(message, Head):
+            if envelope.epoch >= self.follower.epoch[0]:  # the sender may still be in an outdated epoch
+                self.copies.heard(sender, message)
+        elif isinstance(message, Knows):
+            self.warm.heard(now, sender, message, {n: m.run for n, m in self.members.members.items()})
         else:
-            self.members.received(now, sender, m)
-        self._after(now)
+            self.members.received(now, sender, message)
+        self._collect_output(now)
 
     def tick(self, now):
+        """Runs all timers that are due."""
         if self.members.next_at() <= now:
             self.members.tick(now)
         if self.voter and self.voter.next_at() <= now:
             self.voter.tick(now)
         if now >= self.work_at and self._has_work():
-            self._work(now)
-        if self.ranked and now >= self.rank_at:
-            self._rank(now)
-        if (at := self.loads.next_at()) is not None and now >= at:
-            self._loads(now)
-        if (at := self.leases.next_at()) is not None and now >= at:
-            self.leases.tick(now, self._a_voter(now, self.leader(), now // ASK), self._sure(now))
-        # just started it has met nobody: of all that the records name some answer
-        there = self.members.alive() or sorted(self.known - {self.me})
-        self.copies.tick(now, there)
+            self._run_work(now)
+        if self.ranked and now >= self.next_rank_at:
+            self._propose_ranks(now)
+        if (due_at := self.loads.next_at()) is not None and now >= due_at:
+            self._report_load(now)
+        if (due_at := self.leases.next_at()) is not None and now >= due_at:
+            self.leases.tick(
+                now, self._choose_voter(now, self.leader(), now // ASK), self._leads_with_quorum(now)
+            )
+        # After a start no member is known to be alive yet: all of the configuration are tried, some answer.
+        candidates = self.members.alive() or sorted(self.known - {self.me})
+        self.copies.tick(now, candidates)
         if (self.ranked or self.warm.seen) and self.warm.next_at() <= now:
-            self.warm.tick(now, there)
-        if now >= self.pull_at and self.voters:
-            self._refresh(now)
-        for id, p in list(self.proposals.items()):
+            self.warm.tick(now, candidates)
+        if now >= self.next_pull_at and self.voters:
+            self._refresh_record(now)
+        for id, proposal in list(self.pending_proposals.items()):
             if id in self.follower.state["ids"]:
-                del self.proposals[id]
-            elif now >= p[1]:
-                p[1], p[2] = now + AGAIN, p[2] + 1
-                self._proposed(now, Propose(id, p[0]), p[2])
-        self._after(now)
-
-    def kept(self, now, wrote):
-        while self.held and self.held[0][0] <= wrote:
+                del self.pending_proposals[id]
+            elif now >= proposal[1]:
+                proposal[1], proposal[2] = now + PROPOSAL_RETRY_INTERVAL, proposal[2] + 1
+                self._submit(now, Propose(id, proposal[0]), proposal[2])
+        self._collect_output(now)
+
+    def kept(self, now, durable_count):
+        """Called by the host when the first `durable_count` records ever put into `writes` are durable."""
+        while self.held and self.held[0][0] <= durable_count:
             self.out.append(self.held.pop(0)[1:])
         if self.voter:
-            self.voter.kept(now, wrote)
-            self._after(now)
+            self.voter.kept(now, durable_count)
+            self._collect_output(now)
 
     def propose(self, now, id, value):
-        """Until it is seen agreed here it is sent again; False: too many wait already."""
-        if id not in self.proposals and len(self.proposals) >= MOST_PROPOSALS:
+        """Proposes a value, and retries until it is seen committed here.
+
+        Returns False if too many proposals are pending. A proposal with an id that was committed already has
+        no effect.
+        """
+        if id not in self.pending_proposals and len(self.pending_proposals) >= MAX_PENDING_PROPOSALS:
             return False
-        self.proposals[id] = [value, now + AGAIN, 0]
-        self._proposed(now, Propose(id, value))
-        self._after(now)
+        self.pending_proposals[id] = [value, now + PROPOSAL_RETRY_INTERVAL, 0]
+        self._submit(now, Propose(id, value))
+        self._collect_output(now)
         return True
 
     def leave(self, now):
-        """A planned stop, said to the others; a leader gives its place up first."""
+        """Announces a planned stop; a leader transfers its leadership first."""
         if self.voter:
             self.voter.stop(now)
         self.members.leave(now)
-        self._after(now)
+        self._collect_output(now)
 
     def restart(self, now, state):
+        """Begins the record anew, in a later epoch, from `state` or empty; on an operator's command alone."""
         self.voter.restart(now, state)
-        self._after(now)
+        self._collect_output(now)
 
     def off(self, now):
-        """(machines told off by agreed work, whether this controller may place on the others)."""
-        as_of = self.follower.epoch, self.follower.last, len(self.left)
-        if self.told_off[0] != as_of:  # asked for with each set-up, and changed by an entry alone
-            self.told_off = as_of, work.told_off(self.follower.state) | set(self.left)
-        return self.told_off[1], work.may_place(self.follower.age(now))
-
-    def _work(self, now):
-        """Tells the voters what it holds on machines told off; as the leader, takes the next step."""
-        self.work_at = now + WORK
-        state, me = self.follower.state, CONTROLLER + self.me
+        """Returns (machines excluded by planned work, whether this controller may place on the others)."""
+        cache_key = self.follower.epoch, self.follower.last, len(self.left)
+        if self.off_cache[0] != cache_key:  # read for each set-up, but changed only by a committed entry
+            self.off_cache = cache_key, work.told_off(self.follower.state) | set(self.left)
+        return self.off_cache[1], work.may_place(self.follower.age(now))
+
+    def _run_work(self, now):
+        """Reports to the voters what is held on excluded machines; as the leader, proposes the next step."""
+        self.work_at = now + WORK_INTERVAL
+        state, own_machine = self.follower.state, CONTROLLER + self.me
         off, table = self.off(now)[0], work.rows(state)
         if off or any(work.State(row["state"]) not in work.ENDED for row in table.values()):
-            said = self._holds(now, state, off, table)
-            self.holds[self.me] = said, now
-            self._say(now, [(v, said) for v in self.voters if v != self.me])
+            placement_report = self._placement_report(now, state, off, table)
+            self.holds[self.me] = placement_report, now
+            self._enqueue(now, [(v, placement_report) for v in self.voters if v != self.me])
         if self.voter and self.voter.role is Role.LEADER:
-            self.led_by = work.rev(state)
-            if me in off:
-                return self.voter.stop(now)  # it goes for work itself: another one leads on
+            self.led_work_rev = work.rev(state)
+            if own_machine in off:
+                return self.voter.stop(
+                    now
+                )  # this controller is about to be worked on: another one takes over
             for id, value in self.work.steps(now, state, self.seen()):
                 self.voter.propose(now, id, value)
         return None
 
-    def _holds(self, now, state, off, table):
-        waits = [name for name, row in table.items() if row["state"] == work.State.WAITING.value]
-        counts, room = self.holding(sorted(off)), MOST_COUNTED
-        for name, count in sorted(self.holding(waits).items(), key=lambda x: (-x[1], x[0])):
-            if not count or (room := room - len(name) - 4) < 0:
+    def _placement_report(self, now, state, off, table):
+        waiting = [name for name, row in table.items() if row["state"] == work.State.WAITING.value]
+        counts, bytes_left = self.holding(sorted(off)), MAX_WAITING_COUNT_BYTES
+        for name, count in sorted(self.holding(waiting).items(), key=lambda x: (-x[1], x[0])):
+            if not count or (bytes_left := bytes_left - len(name) - 4) < 0:
                 break
             counts[name] = count
         warming = [name for name, row in table.items() if row["state"] == work.State.WARMING.value]
         return Holds(work.rev(state), counts, self.wall(), *self.turned(now), self.ill(warming), self.left)
 
-    def _rank(self, now):
-        """As the leader, who has a turn at the cold pace and who has none any more."""
-        self.rank_at = now + SECOND
+    def _propose_ranks(self, now):
+        """As the leader, proposes who shares the slow start of cold streamers, when that has changed."""
+        self.next_rank_at = now + SECOND
         self.ranks.look(now, self.follower.state)
         if self.voter and self.voter.role is Role.LEADER:
-            there = {self.me, *self.members.alive()}
-            if one := self.ranks.next(now, self.follower.state, self.known, there):
-                self.voter.propose(now, *one)
-
-    def _loads(self, now):
-        """Tells what was seen of late; the one that decides steps the level of shedding."""
-        there = self.members.alive()
-        if self.shed and self.loads.decides(now, there):
-            if self.loads.level[1] != self.me:  # it goes on from where another one was
+            alive = {self.me, *self.members.alive()}
+            if proposal := self.ranks.next(now, self.follower.state, self.known, alive):
+                self.voter.propose(now, *proposal)
+
+    def _report_load(self, now):
+        """Reports the recent load; at the controller that decides, also steps the load shedding level."""
+        alive = self.members.alive()
+        if self.shed and self.loads.decides(now, alive):
+            if (
+                self.loads.level[1] != self.me
+            ):  # continues from the level of the controller that decided before
                 self.shed.value = self.loads.in_force(now)
                 self.shed.caps.parts = self.loads.caps_in_force(now)
             level = self.shed.step(now, self.loads.total(now)[0], self.loads.rides(now).keys)
             self.loads.decided(now, level, self.shed.caps.parts)
-        self.loads.tick(now, there)
+        self.loads.tick(now, alive)
 
-    def _sure(self, now):
-        """Whether it leads, and a majority has answered what it asked lately enough."""
-        v = self.voter
-        return v is not None and v.role is Role.LEADER and now - v.quorum_at() < ELECTION
+    def _leads_with_quorum(self, now):
+        """Whether this is the leader and a majority has answered a request sent less than ELECTION ago."""
+        voter = self.voter
+        return voter is not None and voter.role is Role.LEADER and now - voter.quorum_at() < ELECTION
 
     def turn(self, now):
-        """See Ranks.turn."""
+        """Returns this controller's share of the slow start of cold streamers; see `Ranks.turn`."""
         return self.ranks.turn(now, self.follower.state, self.me, self.follower.age(now))
 
     def seen(self):
-        """What planned work goes by, beside the record."""
+        """Returns what the leader goes by in planned work, beside the record."""
         return work.Seen(self.all_machines(), frozenset(self.known), self.holds, self.wall())
 
     def all_machines(self):
-        """Streamers as the host's list has them, and controllers as members are seen."""
-        out, state, there = dict(self.machines()), self.follower.state, set(self.members.alive())
+        """Returns name -> Machine: streamers from the host's list, and controllers from the membership."""
+        out, state, alive = dict(self.machines()), self.follower.state, set(self.members.alive())
         for name in self.known:
-            voter = name in self.voters
-            here = name == self.me and not self.members.leaving or name in there
+            is_voter = name in self.voters
+            is_alive = name == self.me and not self.members.leaving or name in alive
             run = self.members.run if name == self.me else self.members.members[name].run
-            ready = here and (not voter or name in state["voters"])
-            machine = Machine(CONTROLLER + name, -1, "", 0.0, ready, run, voter=voter)
+            ready = is_alive and (not is_voter or name in state["voters"])
+            machine = Machine(CONTROLLER + name, -1, "", 0.0, ready, run, voter=is_voter)
             out[machine.name] = machine
         return out
 
-    def _epoch(self):
-        """Machines that were out when the record began anew are out all the same, until an operator says."""
+    def _track_epoch(self):
+        """Keeps machines excluded that were out for work in the previous epoch, until an operator decides."""
         state = self.follower.state
-        if self.follower.epoch != self.epoch:
-            if self.epoch[0]:
-                self.left |= work.under_way({"map": self.map})
-            self.epoch, self.holds, self.work = self.follower.epoch, {}, work.Work()
-        self.map = state["map"]
+        if self.follower.epoch != self.last_epoch:
+            if self.last_epoch[0]:
+                self.left |= work.under_way({"map": self.last_map})
+            self.last_epoch, self.holds, self.work = self.follower.epoch, {}, work.Work()
+        self.last_map = state["map"]
         if self.left:
-            self.left = {n: row for n, row in self.left.items() if f"work/m/{n}" not in self.map}
+            self.left = {n: row for n, row in self.left.items() if f"work/m/{n}" not in self.last_map}
 
     def _has_work(self):
         return bool(self.left) or work.REV in self.follower.state["map"]
 
-    def _refresh(self, now):
-        """Asks, when what it knows gets old: a voter its leader, all others a voter, in turn."""
-        age, fresh = self.follower.age(now), FRESH // 2 if self.voter else FRESH
+    def _refresh_record(self, now):
+        """Pulls the record when the copy here is old: from the leader if known, else from a voter in turn."""
+        age, max_age = self.follower.age(now), MAX_RECORD_AGE // 2 if self.voter else MAX_RECORD_AGE
         leads = self.voter and self.voter.role is Role.LEADER
-        if leads or age is not None and age < fresh:
-            self.pull_at = now + (SECOND if leads else fresh - age)
+        if leads or age is not None and age < max_age:
+            self.next_pull_at = now + (SECOND if leads else max_age - age)
             return
-        # with nothing known yet it can't place where there is work: just started it asks sooner
-        young = age is None and now - self.started < YOUNG
-        self.pull_at = now + (SECOND // 4 if young else SECOND)
-        if to := self._a_voter(now, self.leader(), self.pull_at // (SECOND // 4)):
+        # Without any record it may not place where there is planned work: after a start it pulls sooner.
+        starting = age is None and now - self.started_at < STARTUP_PERIOD
+        self.next_pull_at = now + (SECOND // 4 if starting else SECOND)
+        if to := self._choose_voter(now, self.leader(), self.next_pull_at // (SECOND // 4)):
             self.follower.ask(now, to)
 
-    def _a_voter(self, now, leader, again=0):
-        """The leader if it is known, else a voter that is there, in turn; None: there is none."""
+    def _choose_voter(self, now, leader, rotation=0):
+        """Returns the leader if it is another, known controller, else a voter in rotation; None: no voter."""
         if leader not in (None, self.me):
             return leader
         others = [v for v in self.voters if v != self.me]
-        there = [v for v in others if v in self.members.alive()] or others
-        # one that is suspected may be cut off, and what is sent to it lost
-        sure = [v for v in there if self.members.members[v].standing is Standing.ALIVE]
-        there = sure or there
-        return there[(now // MS + again) % len(there)] if there else None
+        candidates = [v for v in others if v in self.members.alive()] or others
+        # A suspect may be cut off, so that what is sent to it is lost.
+        unsuspected = [v for v in candidates if self.members.members[v].standing is Standing.ALIVE]
+        candidates = unsuspected or candidates
+        return candidates[(now // MS + rotation) % len(candidates)] if candidates else None
 
     def leader(self):
-        """By what this controller knows; None: nobody, or it can't tell."""
+        """Returns the leader's name; None: there is none, or this controller is no voter and cannot tell."""
         return self.voter.leader if self.voter else None
 
     def cut_off(self, now):
-        """ns for which it has not known what is agreed; 0 while it does."""
+        """Returns how long (ns) the record here has been out of date; 0: it is current, or has not begun."""
         age = self.follower.age(now)
         if self.follower.epoch[0] == 0:
             return 0
-        age = now - self.started if age is None else age
-        return age if age > CUT else 0
+        age = now - self.started_at if age is None else age
+        return age if age > CUT_OFF_AFTER else 0
+
+    def _submit(self, now, proposal, retries=0):
+        """Proposes to the log as the leader, else forwards the proposal.
 
-    def _proposed(self, now, m, again=0):
-        if self.voter and self.voter.propose(now, m.id, m.value):
+        It goes to the leader if that is known, and from the second retry on to the voters in rotation.
+        """
+        if self.voter and self.voter.propose(now, proposal.id, proposal.value):
             return
-        if m.hops >= MOST_HOPS:
+        if proposal.hops >= MAX_PROPOSAL_HOPS:
             return
-        if to := self._a_voter(now, self.leader() if again <= 1 else None, again):
-            self._say(now, [(to, Propose(m.id, m.value, m.hops + 1))])
-
-    def _after(self, now):
-        """Gathers what there is to send and to keep; what a voter says waits for what it wrote before."""
-        v, f = self.voter, self.follower
-        self._epoch()
-        if v:
-            v.newer_epoch(now)
-            self.leases.led(now, v.role is Role.LEADER and (f.epoch, v.d.term))
-            if v.role is Role.LEADER and work.rev(f.state) != self.led_by:
-                self.work_at = now  # a step was agreed: the next one need not wait for the next look
-            self.writes += v.writes
-            v.writes, self.wrote = [], v.wrote
-            said, v.out = v.out, []
-            self._say(now, said, v.wrote if self.writes or self.held else 0)
-        for part in (f, self.members, self.warm, self.copies, self.loads, self.leases):
-            said, part.out = part.out, []
-            self._say(now, said)
-
-    def _say(self, now, said, after=0):
-        f = self.follower
-        age = f.age(now)
-        for to, m in said:
+        if to := self._choose_voter(now, self.leader() if retries <= 1 else None, retries):
+            self._enqueue(now, [(to, Propose(proposal.id, proposal.value, proposal.hops + 1))])
+
+    def _collect_output(self, now):
+        """Moves what all parts have to send and to store into `out`, `held` and `writes`.
+
+        Messages of the voter wait until the records that it wrote before them are durable.
+        """
+        voter, follower = self.voter, self.follower
+        self._track_epoch()
+        if voter:
+            voter.newer_epoch(now)
+            self.leases.led(now, voter.role is Role.LEADER and (follower.epoch, voter.d.term))
+            if voter.role is Role.LEADER and work.rev(follower.state) != self.led_work_rev:
+                self.work_at = now  # a step was committed: the next one need not wait for the interval
+            self.writes += voter.writes
+            voter.writes, self.wrote = [], voter.wrote
+            pending, voter.out = voter.out, []
+            self._enqueue(now, pending, voter.wrote if self.writes or self.held else 0)
+        for part in (follower, self.members, self.warm, self.copies, self.loads, self.leases):
+            pending, part.out = part.out, []
+            self._enqueue(now, pending)
+
+    def _enqueue(self, now, pending, after=0):
+        """Encodes (recipient, message) pairs for `out`, or for `held` until `after` records are durable."""
+        follower = self.follower
+        age = follower.age(now)
+        for to, message in pending:
             data = messages.sealed(
-                self.fleet, self.me, to, m, f.epoch[0], f.last, -1 if age is None else age // MS
+                self.fleet,
+                self.me,
+                to,
+                message,
+                follower.epoch[0],
+                follower.last,
+                -1 if age is None else age // MS,
             )
             if after:
                 self.held.append((after, to, data))
             else:
                 self.out.append((to, data))
 
-    # What operators see.
+    # For operators.
 
     def report(self, now):
-        f, v = self.follower, self.voter
-        age = f.age(now)
+        """Returns the state of the record at this controller, for operators."""
+        follower, voter = self.follower, self.voter
+        age = follower.age(now)
         out = {
             "name": self.me,
-            "epoch": list(f.epoch),
-            "agreed": f.last,
+            "epoch": list(follower.epoch),
+            "agreed": follower.last,
             "age_s": None if age is None else round(age / SECOND, 3),
             "cut_off_s": round(self.cut_off(now) / SECOND, 1),
-            "voters": f.state["voters"],
-            "proposals": len(self.proposals),
+            "voters": follower.state["voters"],
+            "proposals": len(self.pending_proposals),
             "role": "follower",
         }
-        if v:
+        if voter:
             out |= {
-                "role": v.role.value,
-                "identity": v.identity,
-                "term": v.d.term,
-                "leader": v.leader,
-                "log": v.d.last,
-                "doubts": v.role in (Role.DOUBTING, Role.OUT),
+                "role": voter.role.value,
+                "identity": voter.identity,
+                "term": voter.d.term,
+                "leader": voter.leader,
+                "log": voter.d.last,
+                "doubts": voter.role in (Role.DOUBTING, Role.OUT),
             }
-            if v.role is Role.LEADER:
-                out["followers"] = {n: v.match.get(i, 0) for n, i in v.d.voters().items() if n != self.me}
+            if voter.role is Role.LEADER:
+                out["followers"] = {
+                    n: voter.match.get(i, 0) for n, i in voter.d.voters().items() if n != self.me
+                }
         return out
 
 
-# Older than this, and a controller says that it is cut off: beats and their echo through members take a few
-# pings in a large fleet.
-CUT = 5 * SECOND
+# With a copy of the record older than this a controller counts as cut off: in a large fleet it takes a few
+# pings until the leader's heartbeats have spread through the members.
+CUT_OFF_AFTER = 5 * SECOND
--- a/terndrift/fleet/window.py
+++ b/terndrift/fleet/window.py
@@ -1,23 +1,28 @@
-"""Counts by the second, of the last whole seconds: what members tell each other of. Free of I/O."""
+"""Counts per second over a short window, which controllers report to each other. No I/O; times in ns."""
 
 from collections import deque
 
 SECOND = 1_000_000_000
-BEAT = SECOND // 2  # between words
-WINDOW = 2  # s: long enough for some answers at ten viewers a second, short enough to act within two seconds
+BEAT = SECOND // 2  # between load reports
+# Seconds: long enough to hold some answers at ten viewers a second, short enough to react within two seconds.
+WINDOW = 2
 
 
 class Seconds:
-    """`make()`: what one second counts in."""
+    """Counts by whole second, of the last WINDOW seconds and the current one.
 
-    def __init__(self, make):
-        self.make, self.rows = make, deque(maxlen=WINDOW + 1)  # (second, its counts)
+    `new_row()` returns the empty counts of one second, which the caller of `at` changes in place.
+    """
+
+    def __init__(self, new_row):
+        self.new_row, self.rows = new_row, deque(maxlen=WINDOW + 1)  # rows: (second, its counts)
 
     def at(self, now):
+        """Returns the counts of the current second, to be changed by the caller."""
         if not self.rows or self.rows[-1][0] != now // SECOND:
-            self.rows.append((now // SECOND, self.make()))
+            self.rows.append((now // SECOND, self.new_row()))
         return self.rows[-1][1]
 
     def of_late(self, now):
-        """Counts of the last WINDOW whole seconds, as far as anything was counted in them."""
+        """Returns the counts of the last WINDOW whole seconds; seconds without any count are left out."""
         return [row for n, row in self.rows if now // SECOND - WINDOW <= n < now // SECOND]
