--- a/terndrift/fleet/agreed.py
+++ b/terndrift/fleet/agreed.py
@@ -1,38 +1,48 @@
-"""What is agreed, as every controller has it: the state that the entries amount to, and how old that is.
+"""Committed state of the replicated log, as every controller holds it, and how recent it is.
 
-How old is reckoned from questions of its own alone: a word that nobody asked for may have waited, on its way
-or in the sockets of a process that stood still, for longer than anybody can tell.
+`member.Controller` owns a `Follower`, whether or not the controller is a voter. A voter feeds it committed
+entries; all others pull them from whoever is further ahead. Only committed entries may reach it.
+
+The age of the state counts from a controller's own requests alone. A message that answers none of them may
+have been delayed on its way, or in the socket of a process that was paused, for longer than anybody can
+tell.
 """
 
 from collections import deque
 
 from terndrift.fleet.messages import Agreed, Pull
 
+# Times are in ns.
 MS = 1_000_000
 SECOND = 1000 * MS
-# Ids of proposals remembered: one sent again within so many entries counts once.
-IDS = 4096
-# Pieces of one answer: what fits a body with room to spare.
-PIECE = 500
+# Proposal ids remembered: a proposal that is sent again within this many entries is applied once.
+MAX_REMEMBERED_IDS = 4096
+# Entries per answer: fits a message body with room to spare.
+MAX_ENTRIES_PER_ANSWER = 500
 
 
 def beginning(epoch, voters=()):
+    """Initial state of an epoch (number, mark); `voters`: name -> identity."""
     return {"epoch": list(epoch), "last": 0, "term": 0, "voters": dict(voters), "map": {}, "ids": {}}
 
 
 def applied(state, index, entry):
-    """Changes `state` by the next entry. A value is {key: value}; None takes a key out. Under "?" it may say
-    keys have to be for it to count: who proposes by an older state than the one in force changes nothing."""
-    assert index == state["last"] + 1, f"entry {index} after {state['last']}"
+    """Applies the entry at `index`, the next one, to `state` in place.
+
+    A value is {key: value}; None deletes a key. Under "?" it may hold the values that keys are required to
+    have: a proposal made against an outdated state changes nothing, and its index is noted as negative
+    under its id.
+    """
+    assert index == state["last"] + 1, f"entry {index} applied after entry {state['last']}"
     state["last"], state["term"] = index, entry.term
     if entry.kind == "voters":
         state["voters"] = dict(entry.value)
     elif entry.kind == "value" and entry.id not in state["ids"]:
-        late = any(state["map"].get(key) != value for key, value in entry.value.get("?", {}).items())
-        state["ids"][entry.id] = -index if late else index  # so that its proposer knows which it was
-        while len(state["ids"]) > IDS:
+        outdated = any(state["map"].get(key) != value for key, value in entry.value.get("?", {}).items())
+        state["ids"][entry.id] = -index if outdated else index  # tells the proposer whether it was applied
+        while len(state["ids"]) > MAX_REMEMBERED_IDS:
             del state["ids"][next(iter(state["ids"]))]
-        if late:
+        if outdated:
             return
         for key, value in entry.value.items():
             if key == "?":
@@ -44,76 +54,97 @@
 
 
 def copied(state):
-    """One that is not changed with it; values are never changed in place."""
+    """Copies a state; values are shared, as none is ever changed in place."""
     return {**state, "voters": dict(state["voters"]), "map": dict(state["map"]), "ids": dict(state["ids"])}
 
 
 class Follower:
-    """The agreed part of the record at a controller, voter or not. `out`: (to, message)."""
+    """The committed state at one controller, and the requests for what it lacks.
+
+    The owner sends what is in `out` (name, message) and takes the newly committed (index, entry) from
+    `heard`. Times are in ns by the controller's own clock.
+    """
 
     def __init__(self, now):
-        self.state, self.entries = beginning((0, "")), []  # entries: the last ones, for those who ask
-        self.as_of = None  # the latest time of which this is known to be all that was agreed
-        self.out, self.asked_at, self.heard = [], 0, []  # heard: (index, entry) that came to be agreed
-        self.asks = deque(maxlen=8)  # when it last asked
+        self.state, self.entries = beginning((0, "")), []  # entries: the latest ones, to answer requests from
+        self.as_of = None  # latest time at which the state is known to have been complete
+        self.out, self.pull_sent_at, self.heard = [], 0, []
+        self.asks = deque(maxlen=8)  # send times of the latest requests
 
     @property
     def epoch(self):
+        """Epoch of the state: (number, mark)."""
         return tuple(self.state["epoch"])
 
     @property
     def last(self):
+        """Index of the last committed entry that is applied here."""
         return self.state["last"]
 
     def age(self, now):
-        """ns; None: it never was known to be all."""
+        """Time (ns) since the state was last known to be complete; None if it never was."""
         return None if self.as_of is None else max(0, now - self.as_of)
 
     def known_at(self, at):
+        """Notes that the state was complete at time `at`."""
         self.as_of = at if self.as_of is None else max(self.as_of, at)
 
     def take(self, entry):
+        """Applies the next committed entry."""
         index = self.last + 1
         applied(self.state, index, entry)
         self.entries.append(entry)
-        if len(self.entries) > 2 * PIECE:
-            del self.entries[:PIECE]
+        if len(self.entries) > 2 * MAX_ENTRIES_PER_ANSWER:
+            del self.entries[:MAX_ENTRIES_PER_ANSWER]
         self.heard.append((index, entry))
 
     def begin(self, state):
-        """Another beginning: of a later epoch, or further on than what is here."""
+        """Replaces the state with a snapshot of a later epoch, or of a later index in this one."""
         epoch_changed = tuple(state["epoch"]) != self.epoch
         self.state, self.entries = copied(state), []
         if epoch_changed:
             self.as_of = None
 
     def ask(self, now, of):
-        self.asked_at = now
+        """Requests the entries that are missing here from the controller named `of`."""
+        self.pull_sent_at = now
         self.asks.append(now)
         self.out.append((of, Pull(self.epoch, self.last, now)))
 
     def told(self, now, sender, epoch, agreed, age, asked=None):
-        """What rides on every message: how far its sender is, and how old that is (ms); `asked`: when this
-        one said what the message answers, None: nothing."""
+        """Handles the epoch number, commit index and age (ms) that every message carries.
+
+        `asked` is the time at which this controller sent the request that the message answers, None if it
+        answers none; only an answer can make the state here more recent.
+        """
         if (epoch, agreed) > (self.epoch[0], self.last):
-            if now - self.asked_at > 100 * MS:
+            if now - self.pull_sent_at > 100 * MS:
                 self.ask(now, sender)
         elif (epoch, agreed) == (self.epoch[0], self.last) and age >= 0 and asked is not None:
             self.known_at(asked - age * MS)
 
     def asked(self, now, sender, pull):
+        """Answers a `Pull` with entries, or with a snapshot if the entries are no longer here.
+
+        Doesn't answer a sender that is further ahead.
+        """
         if pull.epoch > self.epoch or pull.epoch == self.epoch and pull.last > self.last:
             return
-        first = self.last - len(self.entries)
+        before_entries = self.last - len(self.entries)
         age = self.age(now)
-        if pull.epoch == self.epoch and pull.last >= first:
-            after, part, state = pull.last, self.entries[pull.last - first :][:PIECE], None
+        if pull.epoch == self.epoch and pull.last >= before_entries:
+            after, entries, state = (
+                pull.last,
+                self.entries[pull.last - before_entries :][:MAX_ENTRIES_PER_ANSWER],
+                None,
+            )
         else:
-            after, part, state = self.last, [], copied(self.state)
-        said = Agreed(self.epoch, after, part, self.last, state, -1 if age is None else age, pull.at)
-        self.out.append((sender, said))
+            after, entries, state = self.last, [], copied(self.state)
+        answer = Agreed(self.epoch, after, entries, self.last, state, -1 if age is None else age, pull.at)
+        self.out.append((sender, answer))
 
     def answered(self, now, sender, got):
+        """Handles an `Agreed` message; requests the rest if it doesn't bring the state up to date."""
         if got.epoch < self.epoch:
             return
         if got.state is not None and (got.epoch, got.state["last"]) > (self.epoch, self.last):
--- a/terndrift/fleet/record.py
+++ b/terndrift/fleet/record.py
@@ -1,11 +1,17 @@
-"""A voter of the record: a replicated log after Raft (Ongaro, Ousterhout 2014; Ongaro's thesis for pre-vote,
-checks of the quorum, leader change and voters changed one at a time). Free of I/O.
-
-Messages and the time come in; `writes` has what must be durable before anything of `out` is sent; the host
-calls `kept` once it is. What differs from the papers is that a disk is not believed (`docs/fleet.md`): a
-voter that has started asks the others what they hold and have seen of it, and neither votes nor confirms
-before so many of them have answered that one of any majority is among them. One that was seen to confirm
-more than it has, or that has nothing, goes on under a new identity, which the others have to let in.
+"""A voter of the replicated log ("the record"): Raft, without I/O.
+
+Follows Raft (Ongaro, Ousterhout 2014); pre-vote, the leader's quorum check, leadership transfer and
+membership changes one voter at a time are those of Ongaro's thesis. `member.Controller` owns a `Voter` on
+each controller that votes, and passes it messages and the time.
+
+`Voter.writes` holds the records that must be durable before anything in `Voter.out` is sent; the host calls
+`Voter.kept` once they are. A host must never send a message before the records written ahead of it are
+durable.
+
+Unlike Raft, a voter doesn't trust its own disk (`docs/fleet.md`). After a start it asks the others which
+log they hold and what they have seen it confirm. It neither votes nor confirms entries until so many have
+answered that they include a member of any majority. A voter that was seen to confirm more than it still
+has, or that has no stored state, takes a new identity, which the leader has to add as a voter.
 """
 
 import zlib
@@ -25,587 +31,737 @@
     Vote,
 )
 
+# Times are in ns.
 MS = 1_000_000
 SECOND = 1000 * MS
-BEAT = 150 * MS  # a leader is heard of so often: several times within the least ELECTION, with loss
-# Without a leader for so long, and up to twice that by chance, a voter stands for election: tens of round
-# trips and longer than a busy event loop was ever held (docs/path.md); also how long a leader may not have
-# heard a majority.
+HEARTBEAT_INTERVAL = 150 * MS  # several heartbeats within the shortest election timeout, to allow for loss
+# Election timeout: a voter starts an election after one to two times this without a leader, at random. A
+# leader that has not heard from a majority for this long steps down. It is tens of round trips, and longer
+# than a busy event loop was ever blocked (docs/path.md).
 ELECTION = SECOND
-# A candidacy is over after so long by its own clock; a voter back with doubts about its votes waits twice
-# that.
-CANDIDACY = ELECTION
-AGAIN = SECOND // 2  # between words of a voter that wants to be heard or let in
-MOST = 64  # entries in one message
-LONGEST = 1024  # entries kept before the state takes their place
+# A candidate gives up after this long by its own clock. A voter that restarted and can't tell how it voted
+# waits twice this long before it votes.
+CANDIDACY_TIMEOUT = ELECTION
+ANNOUNCE_INTERVAL = SECOND // 2  # between repeats of Hello and LetIn
+MOST = 64  # entries per Append message
+LONGEST = 1024  # log entries before a snapshot replaces them
 
 
 class Role(Enum):
-    DOUBTING = "doubting"  # has started and is not sure yet of what it once said
-    OUT = "out"  # a new identity, not let in
+    """Role of a voter; the values are written out in reports."""
+
+    DOUBTING = "doubting"  # restarted, and has not yet checked its stored state against the other voters
+    OUT = "out"  # has an identity that is not a voter, or not any more
     FOLLOWER = "follower"
-    ASKING = "asking"  # whether an election would be won (pre-vote)
+    PRE_CANDIDATE = "asking"  # has asked for pre-votes
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-ROUTES = {
+ROLE_TRANSITIONS = {
     Role.DOUBTING: (Role.OUT, Role.FOLLOWER),
     Role.OUT: (Role.FOLLOWER, Role.DOUBTING),
-    Role.FOLLOWER: (Role.ASKING, Role.CANDIDATE, Role.OUT),
-    Role.ASKING: (Role.FOLLOWER, Role.CANDIDATE, Role.OUT),
+    Role.FOLLOWER: (Role.PRE_CANDIDATE, Role.CANDIDATE, Role.OUT),
+    Role.PRE_CANDIDATE: (Role.FOLLOWER, Role.CANDIDATE, Role.OUT),
     Role.CANDIDATE: (Role.FOLLOWER, Role.LEADER, Role.OUT),
     Role.LEADER: (Role.FOLLOWER, Role.OUT),
 }
 
 
 class Durable:
-    """What a voter keeps, as its store has it: `restore`, `replay` and `items` are the store's."""
+    """Persistent state of a voter: identity, epoch, term, vote, snapshot (`base`) and log entries.
+
+    The store calls `restore`, `replay` and `items`. `confirmed` maps an identity to the highest log index
+    that it was seen to confirm.
+    """
 
     def __init__(self):
-        self.clear((0, ""))
+        self.reset((0, ""))
         self.identity = ""
 
-    def clear(self, epoch):
-        self.epoch, self.term, self.voted = epoch, 0, ""
-        self.base, self.entries, self.seen = beginning(epoch), [], {}
+    def reset(self, epoch):
+        """Empties everything but the identity and enters `epoch`."""
+        self.epoch, self.term, self.voted_for = epoch, 0, ""
+        self.base, self.entries, self.confirmed = beginning(epoch), [], {}
 
     def restore(self, items):
+        """Replays the records of a store's snapshot."""
         for record in items:
             self.replay(record)
 
     def replay(self, record):
-        what = record["what"]
-        if what == "identity":
+        """Applies one stored record."""
+        kind = record["what"]
+        if kind == "identity":
             self.identity = record["identity"]
-        elif what == "epoch":
-            self.clear(tuple(record["epoch"]))
-        elif what == "term":
-            self.term, self.voted = record["term"], record["voted"]
-        elif what == "log":
-            # a snapshot may have been taken once the base was beyond it: what it covers is left out
-            n = record["after"] - self.base["last"]
-            del self.entries[max(0, n) :]
-            self.entries += [Entry(*e) for e in record["entries"][max(0, -n) :]]
-            self.seen.update(record["seen"])
-        elif what == "base":
-            keep = self.last - record["state"]["last"] if record["keep"] else 0
+        elif kind == "epoch":
+            self.reset(tuple(record["epoch"]))
+        elif kind == "term":
+            self.term, self.voted_for = record["term"], record["voted"]
+        elif kind == "log":
+            # The store's snapshot may be newer than this record, with a base beyond it: skips the entries
+            # that the base already covers.
+            offset = record["after"] - self.base["last"]
+            del self.entries[max(0, offset) :]
+            self.entries += [Entry(*fields) for fields in record["entries"][max(0, -offset) :]]
+            self.confirmed.update(record["seen"])
+        elif kind == "base":
+            tail_length = self.last - record["state"]["last"] if record["keep"] else 0
             self.base = copied(record["state"])
-            self.entries = self.entries[len(self.entries) - keep :] if keep > 0 else []
+            self.entries = self.entries[len(self.entries) - tail_length :] if tail_length > 0 else []
 
     def items(self):
+        """Iterates over records that restore the current state in an empty instance."""
         return iter(
             [
                 {"what": "identity", "identity": self.identity},
                 {"what": "epoch", "epoch": list(self.epoch)},
-                {"what": "term", "term": self.term, "voted": self.voted},
+                {"what": "term", "term": self.term, "voted": self.voted_for},
                 {"what": "base", "state": copied(self.base), "keep": False},
                 {
                     "what": "log",
                     "after": self.base["last"],
-                    "entries": list(map(plain, self.entries)),
-                    "seen": dict(self.seen),
+                    "entries": list(map(entry_fields, self.entries)),
+                    "seen": dict(self.confirmed),
                 },
             ]
         )
 
     @property
     def last(self):
+        """Index of the last log entry."""
         return self.base["last"] + len(self.entries)
 
     def term_at(self, index):
-        """0 before the first; None: not here any more, or not yet."""
-        n = index - self.base["last"]
-        if n == 0:
+        """Term of the entry at `index`: 0 before the first one, None if it is compacted or not yet known."""
+        offset = index - self.base["last"]
+        if offset == 0:
             return self.base["term"]
-        return self.entries[n - 1].term if 0 < n <= len(self.entries) else None
+        return self.entries[offset - 1].term if 0 < offset <= len(self.entries) else None
 
-    def end(self):
-        """(term, index) of the last entry: how far this log is."""
+    def last_position(self):
+        """(term, index) of the last entry; comparing two of them tells which log is more up to date."""
         return self.term_at(self.last), self.last
 
     def voters(self):
-        """Of the newest entry that says so, agreed or not."""
-        return next((e.value for e in reversed(self.entries) if e.kind == "voters"), self.base["voters"])
+        """Voters (name -> identity) of the newest configuration in the log, committed or not."""
+        return next(
+            (entry.value for entry in reversed(self.entries) if entry.kind == "voters"), self.base["voters"]
+        )
+
 
+def required_answers(voters):
+    """Number of other voters that have to answer a Hello.
 
-def needed(voters):
-    """Others that have to answer a hello: so many that whichever majority confirmed something with this
-    voter, one of its others is among them."""
+    Whichever majority confirmed an entry together with this voter, at least one other member of it is then
+    among those that answered.
+    """
     return len(voters) - (len(voters) // 2 + 1) + 1 if len(voters) > 1 else 0
 
 
-def plain(entry):
+def entry_fields(entry):
+    """Fields of a log entry as a list, the form in which it is stored."""
     return [entry.term, entry.kind, entry.id, entry.value]
 
 
 class Voter:
-    """`names`: those whom the records name as voters; `mint()`: a new identity; `follower`: what is
-    agreed."""
-
-    def __init__(self, me, names, durable, follower, now, mint, seed=0):
-        self.me, self.names, self.d, self.follower, self.mint = me, list(names), durable, follower, mint
-        self.seed, self.draws = zlib.crc32(f"{seed}/{me}".encode()), 0
+    """State machine of one voter.
+
+    `voter_names` are the voters that the configuration names, `new_id()` returns a new unique id, and
+    `follower` receives the committed entries. Times are in ns. The owner passes on messages (`received`)
+    and the time (`tick`, due at `next_at`), takes messages (name, message) from `out` and records from
+    `writes`, and reports durable records with `kept`.
+    """
+
+    def __init__(self, name, voter_names, durable, follower, now, new_id, seed=0):
+        self.name, self.voter_names, self.d, self.follower, self.new_id = (
+            name,
+            list(voter_names),
+            durable,
+            follower,
+            new_id,
+        )
+        self.seed, self.random_draws = zlib.crc32(f"{seed}/{name}".encode()), 0
         self.out, self.writes = [], []
         self.role, self.leader, self.now = Role.DOUBTING, None, now
-        self.heard_leader, self.without_since = 0, now
-        self.votes, self.began, self.votes_from = set(), 0, 0
-        self.doubts, self.floor = {}, (0, 0)  # who answered the hello; how far this voter may once have been
-        self.next, self.match = {}, {}
-        self.wrote, self.pending = 0, []  # records handed out; (which, entry before) of log ones
-        self.round, self.sent, self.answered, self.newcomers, self.busy = 0, {}, {}, {}, {}
-        self.beat_at = self.again_at = now
-        self.nonce = mint()
+        self.leader_heard_at, self.leaderless_since = 0, now
+        self.votes, self.role_started_at, self.may_vote_from = set(), 0, 0
+        # Answers to Hello by identity; the log position that this voter may have reached before it restarted.
+        self.hello_answers, self.min_position = {}, (0, 0)
+        self.next_index, self.match = {}, {}  # identity -> log index
+        # Number of records in `writes` so far; (that number, index before the entries) of log records that
+        # are not durable yet.
+        self.wrote, self.pending_log_writes = 0, []
+        # Heartbeat round; round -> time sent; identity -> send time of the last round it answered; identity
+        # -> name of those that wait to become voters; identity -> index after which the last batch was
+        # sent.
+        self.round, self.round_sent_at, self.answered_at, self.joining, self.batch_after = 0, {}, {}, {}, {}
+        self.send_at = self.announce_at = now
+        self.nonce = new_id()
         if not durable.identity:
-            self._anew()
+            self._take_new_identity()
             self.role = Role.OUT
         else:
-            self._applied_again()
-        self._patience(now)
+            self._restore_follower()
+        self._reset_election_timer(now)
 
-    # What there is to know.
+    # Queries.
 
     @property
     def identity(self):
+        """Current identity, "name/id"; changes when the stored state turns out to be lost or stale."""
         return self.d.identity
 
-    def majority(self):
+    def quorum_size(self):
+        """Number of voters that make a majority of the newest configuration."""
         return len(self.d.voters()) // 2 + 1
 
     @property
-    def flushed(self):
-        """The last entry that is durable here, whatever still is to be written."""
-        return min([after for _, after in self.pending], default=self.d.last)
+    def last_durable(self):
+        """Index of the last log entry that is durable here, whatever is still to be written."""
+        return min([after for _, after in self.pending_log_writes], default=self.d.last)
 
     def next_at(self):
+        """Time (ns) at which `tick` has to be called next."""
         if self.role is Role.LEADER:
-            return min(self.beat_at, self.quorum_at() + ELECTION + 1)
+            return min(self.send_at, self.quorum_at() + ELECTION + 1)
         if self.role in (Role.OUT, Role.DOUBTING):
-            return self.again_at
-        return self.election_at if self.role is Role.FOLLOWER else min(self.election_at, self.beat_at)
+            return self.announce_at
+        return self.election_at if self.role is Role.FOLLOWER else min(self.election_at, self.send_at)
 
     def quorum_at(self):
-        """A leader's: when it last asked something that a majority has answered."""
+        """Time (ns) of the latest round that a majority has answered; of use on a leader only."""
         times = sorted(
-            [self.now] + [self.answered.get(i, 0) for i in self.d.voters().values() if i != self.identity],
+            [self.now]
+            + [
+                self.answered_at.get(identity, 0)
+                for identity in self.d.voters().values()
+                if identity != self.identity
+            ],
             reverse=True,
         )
-        return times[self.majority() - 1] if len(times) >= self.majority() else 0
-
-    # What happens.
-
-    def received(self, now, sender, m):
-        self._time(now)
-        if m.epoch != self.d.epoch:
-            return  # of another beginning: `agreed` rides on every message, and brings the later one
-        if isinstance(m, Hello):
-            return self._hello(sender, m)
-        if isinstance(m, Seen):
-            return self._seen(now, sender, m)
-        if isinstance(m, LetIn):
-            return self._let_in(now, sender, m)
-        if m.term > self.d.term and not (isinstance(m, AskVote) and m.pre):
-            led = self.role is Role.LEADER or now - self.heard_leader < ELECTION
-            if isinstance(m, AskVote) and led and not m.planned:
-                return None  # who was cut off may come back with a high term: it must not unseat who is heard
-            self._newer(now, m.term)
+        return times[self.quorum_size() - 1] if len(times) >= self.quorum_size() else 0
+
+    # Events.
+
+    def received(self, now, sender, message):
+        """Handles a `messages.Raft` message from the controller named `sender`."""
+        self._update_time(now)
+        if message.epoch != self.d.epoch:
+            return  # another epoch; `Sealed` carries it, so that the side with the earlier one learns it
+        if isinstance(message, Hello):
+            return self._handle_hello(sender, message)
+        if isinstance(message, Seen):
+            return self._handle_seen(now, sender, message)
+        if isinstance(message, LetIn):
+            return self._handle_let_in(now, sender, message)
+        if message.term > self.d.term and not (isinstance(message, AskVote) and message.pre):
+            leader_alive = self.role is Role.LEADER or now - self.leader_heard_at < ELECTION
+            if isinstance(message, AskVote) and leader_alive and not message.planned:
+                return None  # a voter back from a partition with a high term must not depose a working leader
+            self._adopt_term(now, message.term)
         handler = {
-            AskVote: self._asked,
-            Vote: self._voted,
-            Append: self._append,
-            Kept: self._confirmed,
-            Base: self._based,
-            Lead: self._lead,
-        }.get(type(m))
-        return handler(now, sender, m) if handler else None
+            AskVote: self._handle_ask_vote,
+            Vote: self._handle_vote,
+            Append: self._handle_append,
+            Kept: self._handle_kept,
+            Base: self._handle_base,
+            Lead: self._handle_lead,
+        }.get(type(message))
+        return handler(now, sender, message) if handler else None
 
     def tick(self, now):
-        self._time(now)
-        if self.role in (Role.OUT, Role.DOUBTING) and now >= self.again_at:
-            self.again_at = now + AGAIN
-            there = self.follower.epoch == self.d.epoch and self.follower.state["voters"]
+        """Handles timeouts that are due; has to be called at `next_at`, and may be called earlier."""
+        self._update_time(now)
+        if self.role in (Role.OUT, Role.DOUBTING) and now >= self.announce_at:
+            self.announce_at = now + ANNOUNCE_INTERVAL
+            committed_voters = self.follower.epoch == self.d.epoch and self.follower.state["voters"]
             if (
                 self.role is Role.DOUBTING
-                and there
-                and self.identity not in there.values()
+                and committed_voters
+                and self.identity not in committed_voters.values()
                 and self.follower.last > self.d.last
             ):
-                self._anew()  # it was put out meanwhile
-                self._become(now, Role.OUT)
+                self._take_new_identity()  # the voters were changed meanwhile, and this one was removed
+                self._change_role(now, Role.OUT)
             elif self.role is Role.DOUBTING:
-                self._tell(Hello, self.nonce, self.d.last)
+                self._broadcast(Hello, self.nonce, self.d.last)
             elif self.d.epoch[0]:
-                self._tell(LetIn, self.me)
-        elif self.role is Role.LEADER and now >= self.beat_at:
-            self._beat(now)
-        elif self.role in (Role.FOLLOWER, Role.ASKING, Role.CANDIDATE) and now >= self.election_at:
-            self._stand(now)
-        elif self.role in (Role.ASKING, Role.CANDIDATE) and now >= self.beat_at:
-            self._ask(now, self.role is Role.ASKING)  # of those whose answer may have got lost
-
-    def kept(self, now, wrote):
-        """The records handed out up to that number (`wrote` when they were) are durable."""
-        self.pending = [p for p in self.pending if p[0] > wrote]
+                self._broadcast(LetIn, self.name)
+        elif self.role is Role.LEADER and now >= self.send_at:
+            self._send_heartbeats(now)
+        elif self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE) and now >= self.election_at:
+            self._start_election(now)
+        elif self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE) and now >= self.send_at:
+            self._request_votes(now, self.role is Role.PRE_CANDIDATE)  # again, as answers may have been lost
+
+    def kept(self, now, record_count):
+        """Reports that the first `record_count` records handed out in `writes` are durable."""
+        self.pending_log_writes = [write for write in self.pending_log_writes if write[0] > record_count]
         if self.role is Role.LEADER:
-            self._agree(now)
+            self._advance_commit(now)
 
-    def propose(self, now, id, value):
-        """Whether it stands in this leader's log now, or did before; None: this voter does not lead."""
-        self._time(now)
+    def propose(self, now, proposal_id, value):
+        """Appends a value to the log unless its id is there already.
+
+        Returns True if the log holds the proposal now or held it before, None if this voter is not the
+        leader.
+        """
+        self._update_time(now)
         if self.role is not Role.LEADER:
             return None
-        if id not in self.follower.state["ids"] and not any(e.id == id for e in self.d.entries):
-            self._log(self.d.last, [Entry(self.d.term, "value", id, value)])
-            self.beat_at = now  # with all else that is proposed in this moment
+        if proposal_id not in self.follower.state["ids"] and not any(
+            entry.id == proposal_id for entry in self.d.entries
+        ):
+            self._append_to_log(self.d.last, [Entry(self.d.term, "value", proposal_id, value)])
+            self.send_at = now  # batches everything that is proposed at this moment
         return True
 
     def stop(self, now):
-        """A planned stop: the voter that is furthest stands for election at once."""
-        self._time(now)
+        """Transfers leadership before a planned stop: the voter with the longest log starts an election."""
+        self._update_time(now)
         if self.role is Role.LEADER:
-            others = {n: i for n, i in self.d.voters().items() if i != self.identity}
+            others = {
+                voter_name: identity
+                for voter_name, identity in self.d.voters().items()
+                if identity != self.identity
+            }
             if others:
-                name = max(others, key=lambda n: self.match.get(others[n], 0))
-                self.out.append((name, self._of(Lead)))
+                successor = max(others, key=lambda voter_name: self.match.get(others[voter_name], 0))
+                self.out.append((successor, self._message(Lead)))
 
     def restart(self, now, state=None):
-        """On the operator's word: a new epoch, which this voter begins alone with that state; the others
-        have to be let in."""
+        """Begins a new epoch on the operator's request.
+
+        This voter starts it alone, with the values and proposal ids of `state` if given; the others have to
+        be added as voters.
+        """
         number = max(self.d.epoch[0], self.follower.epoch[0]) + 1
-        epoch = number, self.mint()
-        begun = beginning(epoch, {self.me: self.identity})
+        epoch = number, self.new_id()
+        new_state = beginning(epoch, {self.name: self.identity})
         if state:
-            begun |= {"map": dict(state["map"]), "ids": dict(state["ids"])}
-        self._begin(epoch, begun)
-        self._become(now, Role.FOLLOWER)
+            new_state |= {"map": dict(state["map"]), "ids": dict(state["ids"])}
+        self._start_epoch(epoch, new_state)
+        self._change_role(now, Role.FOLLOWER)
         self.election_at = now
 
     def newer_epoch(self, now):
-        """The follower has learnt of a later beginning: what was kept of the earlier one counts no more."""
+        """Moves to the follower's epoch if that is later; the log of the earlier epoch is discarded."""
         if self.follower.epoch > self.d.epoch:
-            self._begin(self.follower.epoch, self.follower.state)
-            self._become(now, Role.OUT)
-            self.again_at = now
+            self._start_epoch(self.follower.epoch, self.follower.state)
+            self._change_role(now, Role.OUT)
+            self.announce_at = now
+
+    # Role, timers and persistent state.
 
-    # Itself.
+    def _update_time(self, now):
+        """Sets the time and ends roles that have expired; runs before anything else on each event.
 
-    def _time(self, now):
-        """Before anything else: a leader that has not heard a majority lately, as after a stop of its
-        process, leads no more; a candidacy ends."""
+        A leader that has not heard from a majority lately, as after its process was paused, steps down
+        before it does anything else. A candidacy ends after CANDIDACY_TIMEOUT.
+        """
         self.now = now
-        if self.role is Role.LEADER and now - self.quorum_at() > ELECTION and now - self.began > ELECTION:
-            self._become(now, Role.FOLLOWER)
-        if self.role in (Role.CANDIDATE, Role.ASKING) and now - self.began > CANDIDACY:
-            self._become(now, Role.FOLLOWER)
+        if (
+            self.role is Role.LEADER
+            and now - self.quorum_at() > ELECTION
+            and now - self.role_started_at > ELECTION
+        ):
+            self._change_role(now, Role.FOLLOWER)
+        if (
+            self.role in (Role.CANDIDATE, Role.PRE_CANDIDATE)
+            and now - self.role_started_at > CANDIDACY_TIMEOUT
+        ):
+            self._change_role(now, Role.FOLLOWER)
 
-    def _become(self, now, role):
-        """Every change of role."""
+    def _change_role(self, now, role):
+        """Makes a transition of ROLE_TRANSITIONS; all changes of role after the start go through here."""
         if role is self.role:
             return
-        assert role in ROUTES[self.role], f"{self.me}: {self.role.value} to {role.value}"
+        assert role in ROLE_TRANSITIONS[self.role], (
+            f"{self.name}: invalid role transition from {self.role.value} to {role.value}"
+        )
         if self.role is Role.LEADER:
-            self.leader, self.without_since = None, now
+            self.leader, self.leaderless_since = None, now
         self.role = role
-        self._patience(now)
+        self._reset_election_timer(now)
         if role is Role.LEADER:
-            self.leader, self.began = self.me, now
-            self.next = {i: self.d.last + 1 for i in self.d.voters().values()}
-            self.match, self.answered, self.sent = {}, {i: now for i in self.d.voters().values()}, {}
-            self._log(self.d.last, [Entry(self.d.term, "begin", "")])
-            self._beat(now)
+            self.leader, self.role_started_at = self.name, now
+            self.next_index = {identity: self.d.last + 1 for identity in self.d.voters().values()}
+            self.match, self.answered_at, self.round_sent_at = (
+                {},
+                {identity: now for identity in self.d.voters().values()},
+                {},
+            )
+            self._append_to_log(self.d.last, [Entry(self.d.term, "begin", "")])
+            self._send_heartbeats(now)
 
-    def _chance(self):
-        self.draws += 1
-        return zlib.crc32(b"%d" % self.draws, self.seed) * 2654435761 % 2**32 / 2**32
+    def _random_fraction(self):
+        """The next number in [0, 1) of a sequence that depends on the seed and the name alone."""
+        self.random_draws += 1
+        return zlib.crc32(b"%d" % self.random_draws, self.seed) * 2654435761 % 2**32 / 2**32
 
-    def _patience(self, now):
-        self.election_at = now + int(ELECTION * (1 + self._chance()))
+    def _reset_election_timer(self, now):
+        self.election_at = now + int(ELECTION * (1 + self._random_fraction()))
 
-    def _newer(self, now, term):
-        self._term(term, "")
+    def _adopt_term(self, now, term):
+        self._store_term(term, "")
         if self.role not in (Role.OUT, Role.DOUBTING):
-            self._become(now, Role.FOLLOWER)
+            self._change_role(now, Role.FOLLOWER)
 
-    def _term(self, term, voted):
-        self._keep({"what": "term", "term": term, "voted": voted})
+    def _store_term(self, term, voted_for):
+        self._store({"what": "term", "term": term, "voted": voted_for})
 
-    def _keep(self, record):
+    def _store(self, record):
+        """Applies a record to the persistent state and queues it for writing."""
         self.d.replay(record)
         self.writes.append(record)
         self.wrote += 1
 
-    def _anew(self):
-        self._keep({"what": "identity", "identity": f"{self.me}/{self.mint()}"})
+    def _take_new_identity(self):
+        self._store({"what": "identity", "identity": f"{self.name}/{self.new_id()}"})
 
-    def _begin(self, epoch, state):
-        self._keep({"what": "epoch", "epoch": list(epoch)})
-        self._keep({"what": "base", "state": copied(state), "keep": False})
-        self.leader, self.floor = None, (0, 0)
+    def _start_epoch(self, epoch, state):
+        self._store({"what": "epoch", "epoch": list(epoch)})
+        self._store({"what": "base", "state": copied(state), "keep": False})
+        self.leader, self.min_position = None, (0, 0)
         if self.follower.epoch < epoch:
             self.follower.begin(state)
 
-    def _applied_again(self):
-        """After a start: the base is agreed; what follows it will be told again."""
+    def _restore_follower(self):
+        """After a restart: the snapshot is committed; the leader tells how much of the log after it is."""
         if (self.d.epoch, self.d.base["last"]) > (self.follower.epoch, self.follower.last):
             self.follower.begin(self.d.base)
 
-    def _of(self, kind, *rest):
-        return kind(self.d.epoch, self.identity, self.d.term, *rest)
+    def _message(self, message_type, *fields):
+        return message_type(self.d.epoch, self.identity, self.d.term, *fields)
 
-    def _tell(self, kind, *rest):
-        """To all other voters that the records name or that are in force."""
-        for name in sorted({*self.names, *self.d.voters()} - {self.me}):
-            self.out.append((name, self._of(kind, *rest)))
+    def _broadcast(self, message_type, *fields):
+        """Sends to all other voters, of the configuration and of the log."""
+        for name in sorted({*self.voter_names, *self.d.voters()} - {self.name}):
+            self.out.append((name, self._message(message_type, *fields)))
 
-    # A start, and who is let in.
+    # Recovery after a start, and membership changes.
 
-    def _hello(self, sender, m):
-        term, last = self.d.end()
-        yours = max(self.d.seen.get(m.who, 0), self.match.get(m.who, 0))
-        self.out.append((sender, self._of(Seen, m.nonce, term, last, yours, self.d.voters())))
+    def _handle_hello(self, sender, message):
+        term, last = self.d.last_position()
+        confirmed = max(self.d.confirmed.get(message.who, 0), self.match.get(message.who, 0))
+        self.out.append((sender, self._message(Seen, message.nonce, term, last, confirmed, self.d.voters())))
 
-    def _seen(self, now, sender, m):
-        if self.role is not Role.DOUBTING or m.nonce != self.nonce:
+    def _handle_seen(self, now, sender, message):
+        if self.role is not Role.DOUBTING or message.nonce != self.nonce:
             return
-        if m.yours > self.d.last:  # it has lost what it once confirmed
-            self._anew()
-            return self._become(now, Role.OUT)
-        self.doubts[m.who] = m
-        # by the voters of the log that is furthest: its own may be of before they were changed
+        if message.yours > self.d.last:  # entries that this voter confirmed are lost
+            self._take_new_identity()
+            return self._change_role(now, Role.OUT)
+        self.hello_answers[message.who] = message
+        # Counts by the voters of the most up-to-date log: this voter's own log may predate a membership
+        # change.
         voters = max(
-            [(self.d.end(), self.d.voters())]
-            + [((s.last_term, s.last), s.voters) for s in self.doubts.values()],
-            key=lambda x: x[0],
+            [(self.d.last_position(), self.d.voters())]
+            + [((answer.last_term, answer.last), answer.voters) for answer in self.hello_answers.values()],
+            key=lambda log: log[0],
         )[1]
-        counted = [s for who, s in self.doubts.items() if who in voters.values()]
+        voter_answers = [
+            answer for identity, answer in self.hello_answers.items() if identity in voters.values()
+        ]
         if self.identity not in voters.values():
-            self._anew()
-            return self._become(now, Role.OUT)
-        if len(counted) >= needed(voters):
-            self.floor = max((s.last_term, s.last) for s in counted)
-            term = max(s.term for s in counted)
-            if term > self.d.term:  # it may have voted in any of these
-                self._term(term, "?")
-            elif not self.d.voted:
-                self._term(self.d.term, "?")
-            self.votes_from = now + 2 * CANDIDACY
-            self._become(now, Role.FOLLOWER)
-            self.election_at = max(self.election_at, self.votes_from)
-
-    def _let_in(self, now, sender, m):
-        if self.role is not Role.LEADER or sender != m.name or sender not in self.names:
+            self._take_new_identity()
+            return self._change_role(now, Role.OUT)
+        if len(voter_answers) >= required_answers(voters):
+            self.min_position = max((answer.last_term, answer.last) for answer in voter_answers)
+            term = max(answer.term for answer in voter_answers)
+            if term > self.d.term:  # it may have voted in any of these terms
+                self._store_term(term, "?")
+            elif not self.d.voted_for:
+                self._store_term(self.d.term, "?")
+            self.may_vote_from = now + 2 * CANDIDACY_TIMEOUT
+            self._change_role(now, Role.FOLLOWER)
+            self.election_at = max(self.election_at, self.may_vote_from)
+
+    def _handle_let_in(self, now, sender, message):
+        if self.role is not Role.LEADER or sender != message.name or sender not in self.voter_names:
             return
         voters = self.d.voters()
-        if m.who in voters.values():
+        if message.who in voters.values():
             return
-        # under this name only the newest
-        self.newcomers = {w: name for w, name in self.newcomers.items() if name != sender} | {m.who: sender}
-        self.next.setdefault(m.who, self.d.last + 1)
-        self._admit(now)
-
-    def _admit(self, now):
-        """One change of voters at a time, and none before something of this leader's own term is agreed."""
-        voters, settled = self.d.voters(), self.follower.last
-        if self.d.term_at(settled) != self.d.term or any(
-            e.kind == "voters" for e in self.d.entries[settled - self.d.base["last"] :]
+        # Only the newest identity of each name may join.
+        self.joining = {identity: name for identity, name in self.joining.items() if name != sender} | {
+            message.who: sender
+        }
+        self.next_index.setdefault(message.who, self.d.last + 1)
+        self._change_voters(now)
+
+    def _change_voters(self, now):
+        """Starts the next membership change that is due, if any.
+
+        Voters change one at a time, and not before an entry of this leader's own term is committed.
+        """
+        voters, commit_index = self.d.voters(), self.follower.last
+        if self.d.term_at(commit_index) != self.d.term or any(
+            entry.kind == "voters" for entry in self.d.entries[commit_index - self.d.base["last"] :]
         ):
             return
-        for who, name in self.newcomers.items():
-            if name in voters and voters[name] != who:
-                return self._voters(now, {n: i for n, i in voters.items() if n != name})
-            if name not in voters and self.match.get(who, 0) >= settled:
-                del self.newcomers[who]
-                return self._voters(now, {**voters, name: who})
+        for identity, name in self.joining.items():
+            if name in voters and voters[name] != identity:
+                return self._append_voters(
+                    now,
+                    {
+                        voter_name: voter_identity
+                        for voter_name, voter_identity in voters.items()
+                        if voter_name != name
+                    },
+                )
+            if name not in voters and self.match.get(identity, 0) >= commit_index:
+                del self.joining[identity]
+                return self._append_voters(now, {**voters, name: identity})
         return None
 
-    def _voters(self, now, voters):
-        self._log(self.d.last, [Entry(self.d.term, "voters", "", voters)])
-        self.beat_at = now
+    def _append_voters(self, now, voters):
+        self._append_to_log(self.d.last, [Entry(self.d.term, "voters", "", voters)])
+        self.send_at = now
 
     # Elections.
 
-    def _stand(self, now, planned=False):
+    def _start_election(self, now, planned=False):
+        """Starts with pre-votes, or at once in a new term if the leader has transferred leadership."""
         voters = self.d.voters()
-        if self.identity not in voters.values() or self.d.end() < self.floor:
-            return self._patience(now)
-        self._become(now, Role.FOLLOWER)
+        if self.identity not in voters.values() or self.d.last_position() < self.min_position:
+            return self._reset_election_timer(now)
+        self._change_role(now, Role.FOLLOWER)
         if self.leader:
-            self.leader, self.without_since = None, now
-        self.votes, self.began = {self.identity}, now
+            self.leader, self.leaderless_since = None, now
+        self.votes, self.role_started_at = {self.identity}, now
         if planned:
-            self._term(self.d.term + 1, self.identity)
-        self._become(now, Role.CANDIDATE if planned else Role.ASKING)
-        self._ask(now, pre=not planned, planned=planned)
+            self._store_term(self.d.term + 1, self.identity)
+        self._change_role(now, Role.CANDIDATE if planned else Role.PRE_CANDIDATE)
+        self._request_votes(now, pre_vote=not planned, planned=planned)
         return None
 
-    def _ask(self, now, pre, planned=False):
-        term, last = self.d.end()
-        self.beat_at = now + 2 * BEAT
-        for name, who in self.d.voters().items():
-            if who not in self.votes:
-                self.out.append((name, self._of(AskVote, term, last, pre, planned)))
-        self._count(now)
+    def _request_votes(self, now, pre_vote, planned=False):
+        """Asks the voters that have not granted their vote yet."""
+        last_term, last_index = self.d.last_position()
+        self.send_at = now + 2 * HEARTBEAT_INTERVAL
+        for name, identity in self.d.voters().items():
+            if identity not in self.votes:
+                self.out.append((name, self._message(AskVote, last_term, last_index, pre_vote, planned)))
+        self._count_votes(now)
 
-    def _asked(self, now, sender, m):
+    def _handle_ask_vote(self, now, sender, message):
         if self.role in (Role.OUT, Role.DOUBTING):
             return
-        asked = m.term + 1 if m.pre else m.term
-        fit = (m.last_term, m.last) >= max(self.d.end(), self.floor) and now >= self.votes_from
-        if m.pre:
+        requested_term = message.term + 1 if message.pre else message.term
+        eligible = (message.last_term, message.last) >= max(
+            self.d.last_position(), self.min_position
+        ) and now >= self.may_vote_from
+        if message.pre:
             granted = (
-                fit
-                and asked > self.d.term
-                and (now - self.heard_leader >= ELECTION and self.role is not Role.LEADER)
+                eligible
+                and requested_term > self.d.term
+                and (now - self.leader_heard_at >= ELECTION and self.role is not Role.LEADER)
             )
         else:
-            granted = fit and m.term == self.d.term and self.d.voted in ("", m.who)
-            if granted and not self.d.voted:
-                self._term(m.term, m.who)
-                self._patience(now)
-        self.out.append((sender, self._of(Vote, granted, m.pre, asked)))
-
-    def _voted(self, now, sender, m):
-        wanted = Role.ASKING if m.pre else Role.CANDIDATE
-        asked = self.d.term + 1 if m.pre else self.d.term
-        if self.role is wanted and m.granted and m.asked == asked and m.who in self.d.voters().values():
-            self.votes.add(m.who)
-            self._count(now)
-
-    def _count(self, now):
-        if len(self.votes & set(self.d.voters().values())) < self.majority():
+            granted = eligible and message.term == self.d.term and self.d.voted_for in ("", message.who)
+            if granted and not self.d.voted_for:
+                self._store_term(message.term, message.who)
+                self._reset_election_timer(now)
+        self.out.append((sender, self._message(Vote, granted, message.pre, requested_term)))
+
+    def _handle_vote(self, now, sender, message):
+        expected_role = Role.PRE_CANDIDATE if message.pre else Role.CANDIDATE
+        requested_term = self.d.term + 1 if message.pre else self.d.term
+        if (
+            self.role is expected_role
+            and message.granted
+            and message.asked == requested_term
+            and message.who in self.d.voters().values()
+        ):
+            self.votes.add(message.who)
+            self._count_votes(now)
+
+    def _count_votes(self, now):
+        if len(self.votes & set(self.d.voters().values())) < self.quorum_size():
             return
-        if self.role is Role.ASKING:
-            self._term(self.d.term + 1, self.identity)
-            self.votes, self.began = {self.identity}, now
-            self._become(now, Role.CANDIDATE)
-            self._ask(now, pre=False)
+        if self.role is Role.PRE_CANDIDATE:
+            self._store_term(self.d.term + 1, self.identity)
+            self.votes, self.role_started_at = {self.identity}, now
+            self._change_role(now, Role.CANDIDATE)
+            self._request_votes(now, pre_vote=False)
         elif self.role is Role.CANDIDATE:
-            self._become(now, Role.LEADER)
+            self._change_role(now, Role.LEADER)
 
-    def _lead(self, now, sender, m):
+    def _handle_lead(self, now, sender, message):
         if (
-            m.term == self.d.term
+            message.term == self.d.term
             and sender == self.leader
             and self.role is Role.FOLLOWER
-            and now >= self.votes_from
+            and now >= self.may_vote_from
         ):
-            self._stand(now, planned=True)
-
-    # The log.
-
-    def _log(self, after, entries):
-        self._keep(
-            {"what": "log", "after": after, "entries": list(map(plain, entries)), "seen": dict(self.d.seen)}
+            self._start_election(now, planned=True)
+
+    # Log replication.
+
+    def _append_to_log(self, after, entries):
+        """Replaces everything after index `after` with `entries`."""
+        self._store(
+            {
+                "what": "log",
+                "after": after,
+                "entries": list(map(entry_fields, entries)),
+                "seen": dict(self.d.confirmed),
+            }
         )
-        self.pending.append((self.wrote, after))
+        self.pending_log_writes.append((self.wrote, after))
 
-    def _beat(self, now):
-        self.beat_at = now + BEAT
+    def _send_heartbeats(self, now):
+        """Starts a round: sends to all other voters, and to those that wait to become voters."""
+        self.send_at = now + HEARTBEAT_INTERVAL
         self.round += 1
-        self.sent[self.round] = now
-        self.sent.pop(self.round - 64, None)
-        to = {i: n for n, i in self.d.voters().items() if i != self.identity} | self.newcomers
-        for who, name in to.items():
-            self._send(name, who)
-
-    def _send(self, name, who):
-        n = self.next.setdefault(who, self.d.last + 1)
-        before = self.d.term_at(n - 1)
-        if before is None:
+        self.round_sent_at[self.round] = now
+        self.round_sent_at.pop(self.round - 64, None)
+        recipients = {
+            voter_identity: voter_name
+            for voter_name, voter_identity in self.d.voters().items()
+            if voter_identity != self.identity
+        } | self.joining
+        for identity, name in recipients.items():
+            self._send_entries(name, identity)
+
+    def _send_entries(self, name, identity):
+        """Sends the next entries, or the snapshot if those are compacted."""
+        next_index = self.next_index.setdefault(identity, self.d.last + 1)
+        previous_term = self.d.term_at(next_index - 1)
+        if previous_term is None:
             state = self.d.base
-            self.out.append((name, self._of(Base, state["term"], state["last"], copied(state), self.round)))
+            self.out.append(
+                (name, self._message(Base, state["term"], state["last"], copied(state), self.round))
+            )
             return
-        part = self.d.entries[n - 1 - self.d.base["last"] :][:MOST]
+        entries = self.d.entries[next_index - 1 - self.d.base["last"] :][:MOST]
         self.out.append(
-            (name, self._of(Append, before, n - 1, part, self.follower.last, self.round, dict(self.d.seen)))
+            (
+                name,
+                self._message(
+                    Append,
+                    previous_term,
+                    next_index - 1,
+                    entries,
+                    self.follower.last,
+                    self.round,
+                    dict(self.d.confirmed),
+                ),
+            )
         )
 
-    def _from_leader(self, now, sender, m):
-        if m.term < self.d.term:
-            self.out.append((sender, self._of(Kept, False, self.d.last, m.round)))
+    def _accept_leader(self, now, sender, message):
+        """Whether to process a message of a leader; rejects those of an earlier term.
+
+        A voter that is still checking its stored state notes the leader but confirms nothing.
+        """
+        if message.term < self.d.term:
+            self.out.append((sender, self._message(Kept, False, self.d.last, message.round)))
             return False
-        if self.role in (Role.CANDIDATE, Role.ASKING):
-            self._become(now, Role.FOLLOWER)
-        self.leader, self.heard_leader = sender, now
-        self._patience(now)
+        if self.role in (Role.CANDIDATE, Role.PRE_CANDIDATE):
+            self._change_role(now, Role.FOLLOWER)
+        self.leader, self.leader_heard_at = sender, now
+        self._reset_election_timer(now)
         return self.role is not Role.DOUBTING
 
-    def _append(self, now, sender, m):
-        if not self._from_leader(now, sender, m):
+    def _handle_append(self, now, sender, message):
+        if not self._accept_leader(now, sender, message):
             return
-        here = self.d.term_at(m.before)
-        if here != m.before_term:
-            # behind the base all is agreed, and so the same
-            far = self.d.last if m.before > self.d.last else max(self.d.base["last"], m.before - 1)
-            if m.before >= self.d.base["last"]:
-                return self.out.append((sender, self._of(Kept, False, far, m.round)))
-        self.d.seen.update({k: v for k, v in m.seen.items() if v > self.d.seen.get(k, 0)})
-        entries, after = m.entries, m.before
+        local_term = self.d.term_at(message.before)
+        if local_term != message.before_term:
+            # Entries before the snapshot are committed, so they match the leader's.
+            retry_after = (
+                self.d.last if message.before > self.d.last else max(self.d.base["last"], message.before - 1)
+            )
+            if message.before >= self.d.base["last"]:
+                return self.out.append((sender, self._message(Kept, False, retry_after, message.round)))
+        self.d.confirmed.update(
+            {
+                identity: index
+                for identity, index in message.seen.items()
+                if index > self.d.confirmed.get(identity, 0)
+            }
+        )
+        entries, after = message.entries, message.before
         while entries and (after < self.d.base["last"] or self.d.term_at(after + 1) == entries[0].term):
             entries, after = entries[1:], after + 1
         if entries:
-            self._log(after, entries)
-        upto = m.before + len(m.entries)
-        self._agreed_to(now, min(m.agreed, upto))
-        self._in_force(now)
-        self.out.append((sender, self._of(Kept, True, upto, m.round)))
-
-    def _based(self, now, sender, m):
-        if not self._from_leader(now, sender, m):
+            self._append_to_log(after, entries)
+        last_index = message.before + len(message.entries)
+        self._commit_up_to(now, min(message.agreed, last_index))
+        self._apply_membership(now)
+        self.out.append((sender, self._message(Kept, True, last_index, message.round)))
+
+    def _handle_base(self, now, sender, message):
+        if not self._accept_leader(now, sender, message):
             return
-        if m.last > self.d.base["last"] and self.d.term_at(m.last) != m.last_term:
-            self._keep({"what": "base", "state": m.state, "keep": False})
-            if m.last > self.follower.last:
-                self.follower.begin(m.state)
-        self._in_force(now)
-        self.out.append((sender, self._of(Kept, True, m.last, m.round)))
-
-    def _in_force(self, now):
-        """Let in, or put out, by what its own log says."""
-        there = self.identity in self.d.voters().values()
-        if self.role is Role.OUT and there:
-            self._become(now, Role.FOLLOWER)
-        elif self.role is Role.FOLLOWER and not there and self.d.voters():
-            self._become(now, Role.OUT)
-
-    def _confirmed(self, now, sender, m):
-        if self.role is not Role.LEADER or m.term != self.d.term:
+        if message.last > self.d.base["last"] and self.d.term_at(message.last) != message.last_term:
+            self._store({"what": "base", "state": message.state, "keep": False})
+            if message.last > self.follower.last:
+                self.follower.begin(message.state)
+        self._apply_membership(now)
+        self.out.append((sender, self._message(Kept, True, message.last, message.round)))
+
+    def _apply_membership(self, now):
+        """Becomes a voter, or stops being one, as the newest configuration in its own log says."""
+        is_voter = self.identity in self.d.voters().values()
+        if self.role is Role.OUT and is_voter:
+            self._change_role(now, Role.FOLLOWER)
+        elif self.role is Role.FOLLOWER and not is_voter and self.d.voters():
+            self._change_role(now, Role.OUT)
+
+    def _handle_kept(self, now, sender, message):
+        if self.role is not Role.LEADER or message.term != self.d.term:
             return
-        self.answered[m.who] = max(self.answered.get(m.who, 0), self.sent.get(m.round, 0))
-        if not m.ok:
-            self.next[m.who] = min(self.next.get(m.who, 1), m.last + 1)
-            return self._send(sender, m.who)
-        if m.last > self.match.get(m.who, 0):
-            self.match[m.who] = self.d.seen[m.who] = m.last
-        self.next[m.who] = max(self.next.get(m.who, 1), m.last + 1)
-        self._agree(now)
-        if m.who in self.newcomers:
-            self._admit(now)
-        if self.role is Role.LEADER and self.d.last >= self.next[m.who] and self.busy.get(m.who) != m.last:
-            self.busy[m.who] = m.last
-            self._send(sender, m.who)
+        self.answered_at[message.who] = max(
+            self.answered_at.get(message.who, 0), self.round_sent_at.get(message.round, 0)
+        )
+        if not message.ok:
+            self.next_index[message.who] = min(self.next_index.get(message.who, 1), message.last + 1)
+            return self._send_entries(sender, message.who)
+        if message.last > self.match.get(message.who, 0):
+            self.match[message.who] = self.d.confirmed[message.who] = message.last
+        self.next_index[message.who] = max(self.next_index.get(message.who, 1), message.last + 1)
+        self._advance_commit(now)
+        if message.who in self.joining:
+            self._change_voters(now)
+        if (
+            self.role is Role.LEADER
+            and self.d.last >= self.next_index[message.who]
+            and self.batch_after.get(message.who) != message.last
+        ):
+            self.batch_after[message.who] = message.last
+            self._send_entries(sender, message.who)
         return None
 
-    def _agree(self, now):
-        """Agreed is what a majority of the voters in force has, if it is of this leader's own term."""
+    def _advance_commit(self, now):
+        """Commits what a majority of the voters has made durable, if it is of this leader's own term."""
         voters = self.d.voters().values()
-        kept = [self.flushed if i == self.identity else self.match.get(i, 0) for i in voters]
-        kept.sort(reverse=True)
-        upto = kept[self.majority() - 1] if len(kept) >= self.majority() else 0
-        if upto > self.follower.last and self.d.term_at(upto) == self.d.term:
-            self._agreed_to(now, upto)
-            self._admit(now)
-            self.beat_at = now
+        durable_indexes = [
+            self.last_durable if identity == self.identity else self.match.get(identity, 0)
+            for identity in voters
+        ]
+        durable_indexes.sort(reverse=True)
+        commit_index = (
+            durable_indexes[self.quorum_size() - 1] if len(durable_indexes) >= self.quorum_size() else 0
+        )
+        if commit_index > self.follower.last and self.d.term_at(commit_index) == self.d.term:
+            self._commit_up_to(now, commit_index)
+            self._change_voters(now)
+            self.send_at = now
             if self.identity not in self.d.voters().values():
-                self._become(now, Role.OUT)
+                self._change_role(now, Role.OUT)
         if self.d.term_at(self.follower.last) == self.d.term:
             self.follower.known_at(self.quorum_at())
 
-    def _agreed_to(self, now, upto):
-        while self.follower.last < upto and self.follower.epoch == self.d.epoch:
-            n = self.follower.last - self.d.base["last"]
-            if not 0 <= n < len(self.d.entries):
+    def _commit_up_to(self, now, commit_index):
+        """Passes committed entries to the follower; replaces a log that is too long with a snapshot."""
+        while self.follower.last < commit_index and self.follower.epoch == self.d.epoch:
+            offset = self.follower.last - self.d.base["last"]
+            if not 0 <= offset < len(self.d.entries):
                 break
-            self.follower.take(self.d.entries[n])
+            self.follower.take(self.d.entries[offset])
         if len(self.d.entries) > LONGEST and self.follower.last > self.d.base["last"] + LONGEST // 2:
-            self._keep({"what": "base", "state": copied(self.follower.state), "keep": True})
+            self._store({"what": "base", "state": copied(self.follower.state), "keep": True})
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/worlds.py
@@ -1,9 +1,10 @@
-"""A checker of small worlds: voters as they run in service, every order of what can happen, to a bound.
+"""A bounded model checker for the replicated log: runs the voters of `record` through every order of events.
 
-Each step is one of: a message arrives (or arrives and is still on its way, a doubling), a voter's time has
-come, time passes, something is proposed, a voter crashes before or after what it writes is durable, starts
-again with what it kept or with nothing. What is never delivered is lost. States are hashed; the search is by
-breadth, so that the way to a fault is the shortest there is. What must hold is in `Violated`.
+Used by tests alone. Each step is one of: a message arrives (and may stay in flight, as a duplicate), a
+voter's timer fires, time passes, a value is proposed, a voter crashes before or after its writes are
+durable, or it restarts with its stored state or with none. A message that is never delivered is lost.
+States are told apart by their hashes. The search is breadth-first, so the path to a violation is the
+shortest one. `Violated` names the invariants. `permits` uses the search for a checker of its own.
 """
 
 from collections import deque
@@ -14,129 +15,157 @@
 
 from terndrift.fleet.agreed import Follower, beginning, copied
 from terndrift.fleet.messages import Sealed
-from terndrift.fleet.record import ELECTION, Durable, Role, Voter, plain
+from terndrift.fleet.record import ELECTION, Durable, Role, Voter, entry_fields
 
 EPOCH = (1, "e")
 encode = msgspec.msgpack.Encoder().encode
 decode = lru_cache(100_000)(msgspec.msgpack.Decoder(Sealed).decode)
 
 
-def forked(thing):
-    """A copy that shares nothing which is changed in place: two levels of what voters are made of."""
-    out = object.__new__(type(thing))
-    for name, value in thing.__dict__.items():
+def forked(original):
+    """Copies a voter, its persistent state or a follower; changes to the copy don't reach the original.
+
+    Copies containers one level deep, and the `Durable` and `Follower` of a voter as well.
+    """
+    copy = object.__new__(type(original))
+    for name, value in original.__dict__.items():
         if isinstance(value, dict | list | set):
             value = value.copy()
         elif isinstance(value, Durable | Follower):
             value = forked(value)
-        out.__dict__[name] = value
-    if isinstance(out, Follower):
-        out.state = copied(out.state)
-    return out
+        copy.__dict__[name] = value
+    if isinstance(copy, Follower):
+        copy.state = copied(copy.state)
+    return copy
 
 
 class Violated(Exception):
-    """One leader a term; what was agreed is never lost or changed, and the same for all who follow."""
+    """An invariant does not hold.
+
+    There is at most one leader in a term. Committed entries are never lost or changed, and are the same on
+    all followers.
+    """
 
 
-def searched(start, steps, most):
-    """By breadth, through what `steps(world)` yields, (name, call giving [(suffix, world)]): ((names, what is
-    violated) of the shortest way to a fault or None, states seen)."""
+def searched(start, steps, max_states):
+    """Searches breadth-first from `start`, through at most `max_states` states.
+
+    `steps(world)` yields (name, call); a call returns [(suffix of the name, next world)] or raises
+    `Violated`. Returns ((names of the steps, message) of the shortest path to a violation or None, number
+    of states visited).
+    """
     seen, queue, states = {start.key()}, deque([(start, ())]), 0
-    while queue and states < most:
-        world, way = queue.popleft()
+    while queue and states < max_states:
+        world, path = queue.popleft()
         states += 1
-        for step, make in steps(world):
+        for step, apply in steps(world):
             try:
-                after = make()
-            except Violated as wrong:
-                return ([*way, step], str(wrong)), states
-            for suffix, one in after:
-                key = one.key()
+                successors = apply()
+            except Violated as violation:
+                return ([*path, step], str(violation)), states
+            for suffix, successor in successors:
+                key = successor.key()
                 if key not in seen:
                     seen.add(key)
-                    queue.append((one, (*way, step + suffix)))
+                    queue.append((successor, (*path, step + suffix)))
     return None, states
 
 
-class Still(Voter):
-    """Without chance: whoever waits for an election waits the least time."""
+class DeterministicVoter(Voter):
+    """A voter without randomness: its election timeout is always the shortest one.
+
+    `fault` plants one of FAULTS. Without `pre_vote` every election starts as after a leadership transfer.
+    """
 
-    fault, pre = None, False
+    fault, pre_vote = None, False
 
-    def _chance(self):
+    def _random_fraction(self):
         return 0.0
 
-    def _stand(self, now, planned=False):
-        super()._stand(now, planned or not self.pre)  # whoever stands may unseat: more can happen so
+    def _start_election(self, now, planned=False):
+        # An election that may depose a working leader makes more states reachable.
+        super()._start_election(now, planned or not self.pre_vote)
 
-    def _agree(self, now):
+    def _advance_commit(self, now):
         if self.fault == "older term counted" and self.role is Role.LEADER:
-            kept = sorted(
+            durable_indexes = sorted(
                 [
-                    self.flushed if i == self.identity else self.match.get(i, 0)
-                    for i in self.d.voters().values()
+                    self.last_durable if identity == self.identity else self.match.get(identity, 0)
+                    for identity in self.d.voters().values()
                 ],
                 reverse=True,
             )
-            self._agreed_to(now, kept[self.majority() - 1])
-        super()._agree(now)
+            self._commit_up_to(now, durable_indexes[self.quorum_size() - 1])
+        super()._advance_commit(now)
 
-    def _append(self, now, sender, m):
-        super()._append(now, sender, m)
-        upto = m.before + len(m.entries)
-        if self.fault == "cut too far" and self.leader == sender and upto < self.d.last:
-            self._log(upto, [])
+    def _handle_append(self, now, sender, message):
+        super()._handle_append(now, sender, message)
+        last_index = message.before + len(message.entries)
+        if self.fault == "cut too far" and self.leader == sender and last_index < self.d.last:
+            self._append_to_log(last_index, [])
 
 
 @dataclass(frozen=True)
 class Budget:
-    """How often each may happen, in all."""
+    """How often each kind of event may happen on one path."""
 
     crashes: int = 1
-    doubles: int = 0
+    duplicates: int = 0
     wipes: int = 0
     proposals: int = 1
-    passes: int = 2  # of ELECTION each
-    standers: frozenset = frozenset("abc")  # who may stand for election
+    passes: int = 2  # steps of time, of ELECTION each
+    standers: frozenset = frozenset("abc")  # names of voters that may start elections
 
 
 @dataclass
 class World:
-    nodes: dict  # name -> Voter, or None while it is down
-    disks: dict  # name -> Durable, as the disk has it
-    flying: frozenset = frozenset()  # Sealed, as bytes
+    """One state of the search; never changed in place, so that states share what is the same in them."""
+
+    nodes: dict  # name -> Voter, None while it is down
+    disks: dict  # name -> Durable, the state that is on its disk
+    flying: frozenset = frozenset()  # messages in flight: encoded Sealed
     now: int = 1000 * ELECTION
-    left: Budget = field(default_factory=Budget)
-    agreed: tuple = ()  # (entry as plain bytes, term of the leader under which it came to be agreed)
+    remaining: Budget = field(default_factory=Budget)
+    committed: tuple = ()  # (encoded entry, term of the voter that first had it committed)
     leaders: frozenset = frozenset()  # (term, name)
-    mints: int = 100
+    next_id: int = 100
 
     def key(self):
-        parts = [self.flying, self.left, self.agreed, self.leaders]
-        for name, v in sorted(self.nodes.items()):
-            d = self.disks[name] if v is None else v.d
-            entries = tuple(encode(e) for e in d.entries)
-            parts.append((name, d.identity, d.term, d.voted, encode(d.base), entries))
-            if v is not None:
-                times = v.election_at, v.votes_from
-                ahead = [min(3, max(0, -(-(t - self.now) // ELECTION))) for t in times]
-                ago = [min(3, (self.now - t) // ELECTION) for t in (v.heard_leader, v.began)]
+        """Hash of all that decides what may happen next; times count in whole election timeouts."""
+        parts = [self.flying, self.remaining, self.committed, self.leaders]
+        for name, voter in sorted(self.nodes.items()):
+            durable = self.disks[name] if voter is None else voter.d
+            entries = tuple(encode(entry) for entry in durable.entries)
+            parts.append(
+                (name, durable.identity, durable.term, durable.voted_for, encode(durable.base), entries)
+            )
+            if voter is not None:
+                times = voter.election_at, voter.may_vote_from
+                ahead = [min(3, max(0, -(-(time - self.now) // ELECTION))) for time in times]
+                ago = [
+                    min(3, (self.now - time) // ELECTION)
+                    for time in (voter.leader_heard_at, voter.role_started_at)
+                ]
                 parts.append(
                     (
-                        v.role,
-                        v.leader,
-                        frozenset(v.votes),
-                        v.floor,
-                        v.follower.last,
+                        voter.role,
+                        voter.leader,
+                        frozenset(voter.votes),
+                        voter.min_position,
+                        voter.follower.last,
                         tuple(ahead),
                         tuple(ago),
-                        tuple(sorted(v.match.items())),
-                        tuple(sorted(v.next.items())),
-                        tuple(sorted(v.newcomers.items())),
-                        frozenset(v.doubts),
-                        v.nonce,
-                        tuple(sorted((i, (self.now - t) // ELECTION) for i, t in v.answered.items())),
+                        tuple(sorted(voter.match.items())),
+                        tuple(sorted(voter.next_index.items())),
+                        tuple(sorted(voter.joining.items())),
+                        frozenset(voter.hello_answers),
+                        voter.nonce,
+                        tuple(
+                            sorted(
+                                (identity, (self.now - time) // ELECTION)
+                                for identity, time in voter.answered_at.items()
+                            )
+                        ),
                     )
                 )
         return hash(tuple(parts))
@@ -146,174 +175,229 @@
 
 
 class Checker:
-    """`fault`: one of FAULTS, planted on purpose. The hello of a voter that starts hides some of them; it is
-    left out with these."""
+    """Searches the states that are reachable from the world `start`, at most `most` of them.
+
+    `fault` is one of FAULTS to plant. The exchange of Hello after a restart masks some of the faults; with a
+    fault planted, voters restart without it. After `run`, `states` is the number of states visited.
+    """
 
     def __init__(self, start, fault=None, most=200_000):
         self.start, self.fault, self.most = start, fault, most
         self.states = 0
 
     def run(self):
-        """(steps, what is violated) of the shortest way to a fault, or None; `states`: how many were seen."""
-        self.kind = type("Planted", (Still,), {"fault": self.fault})
-        for v in self.start.nodes.values():
-            v.__class__ = self.kind
+        """Returns (names of the steps, message) of the shortest path to a violation, or None."""
+        self.voter_class = type("CheckedVoter", (DeterministicVoter,), {"fault": self.fault})
+        for voter in self.start.nodes.values():
+            voter.__class__ = self.voter_class
         found, self.states = searched(self.start, self.steps, self.most)
         return found
 
-    def steps(self, w):
-        for data in sorted(w.flying):
-            found = decode(data)
-            if w.nodes.get(found.to) is not None:
-                what = f"{found.sender} to {found.to}: {type(found.message).__name__}"
-                yield what, lambda d=data, f=found: self.deliver(w, d, f)
-                if w.left.doubles:
-                    yield what + ", and again", lambda d=data, f=found: self.deliver(w, d, f, True)
-        for name, v in w.nodes.items():
-            if v is None:
-                yield f"{name} starts", lambda n=name: self.begin(w, n)
-                if w.left.wipes:
-                    yield f"{name} starts with nothing", lambda n=name: self.begin(w, n, True)
+    def steps(self, world):
+        """Yields (name, call) of each event that is possible in `world`; see `searched`."""
+        for data in sorted(world.flying):
+            sealed = decode(data)
+            if world.nodes.get(sealed.to) is not None:
+                label = f"{sealed.sender} to {sealed.to}: {type(sealed.message).__name__}"
+                yield label, lambda d=data, s=sealed: self.deliver(world, d, s)
+                if world.remaining.duplicates:
+                    yield (
+                        label + ", stays in flight",
+                        lambda d=data, s=sealed: self.deliver(world, d, s, True),
+                    )
+        for name, voter in world.nodes.items():
+            if voter is None:
+                yield f"{name} starts", lambda n=name: self.start_node(world, n)
+                if world.remaining.wipes:
+                    yield f"{name} starts with nothing", lambda n=name: self.start_node(world, n, True)
                 continue
-            stands = v.role in (Role.FOLLOWER, Role.ASKING, Role.CANDIDATE)
-            if v.next_at() <= w.now and (not stands or name in w.left.standers):
-                yield f"{name}'s time has come", lambda n=name: self.act(w, n, lambda one: one.tick(w.now))
-            if w.left.proposals and v.role is Role.LEADER:
-                yield f"proposed to {name}", lambda n=name: self.propose(w, n)
-            if w.left.crashes:
-                yield f"{name} crashes", lambda n=name: self.crash(w, n)
-        if w.left.passes:
+            is_electable = voter.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
+            if voter.next_at() <= world.now and (not is_electable or name in world.remaining.standers):
+                yield (
+                    f"timer of {name} fires",
+                    lambda n=name: self.apply(world, n, lambda one: one.tick(world.now)),
+                )
+            if world.remaining.proposals and voter.role is Role.LEADER:
+                yield f"value proposed to {name}", lambda n=name: self.propose(world, n)
+            if world.remaining.crashes:
+                yield f"{name} crashes", lambda n=name: self.crash(world, n)
+        if world.remaining.passes:
             yield (
-                "time passes",
+                "an election timeout passes",
                 lambda: [
-                    ("", replace(w, now=w.now + ELECTION, left=replace(w.left, passes=w.left.passes - 1)))
+                    (
+                        "",
+                        replace(
+                            world,
+                            now=world.now + ELECTION,
+                            remaining=replace(world.remaining, passes=world.remaining.passes - 1),
+                        ),
+                    )
                 ],
             )
 
-    def deliver(self, w, data, found, again=False):
-        flying, left = w.flying if again else w.flying - {data}, w.left
-        if again:
-            left = replace(left, doubles=left.doubles - 1)
-        return self.act(
-            replace(w, flying=flying, left=left),
-            found.to,
-            lambda v: v.received(w.now, found.sender, found.message),
+    def deliver(self, world, data, sealed, duplicate=False):
+        """Delivers a message; as a duplicate it stays in flight."""
+        flying, remaining = world.flying if duplicate else world.flying - {data}, world.remaining
+        if duplicate:
+            remaining = replace(remaining, duplicates=remaining.duplicates - 1)
+        return self.apply(
+            replace(world, flying=flying, remaining=remaining),
+            sealed.to,
+            lambda voter: voter.received(world.now, sealed.sender, sealed.message),
         )
 
-    def propose(self, w, name):
-        left = replace(w.left, proposals=w.left.proposals - 1)
-        id = f"p{left.proposals}"
-        return self.act(replace(w, left=left), name, lambda v: v.propose(w.now, id, {"k": id}))
+    def propose(self, world, name):
+        """Proposes a new value to the voter `name`."""
+        remaining = replace(world.remaining, proposals=world.remaining.proposals - 1)
+        proposal_id = f"p{remaining.proposals}"
+        return self.apply(
+            replace(world, remaining=remaining),
+            name,
+            lambda voter: voter.propose(world.now, proposal_id, {"k": proposal_id}),
+        )
 
-    def crash(self, w, name):
-        left = replace(w.left, crashes=w.left.crashes - 1)
-        return [("", replace(w, nodes={**w.nodes, name: None}, left=left))]
+    def crash(self, world, name):
+        """Stops the voter `name`; its disk stays as it is."""
+        remaining = replace(world.remaining, crashes=world.remaining.crashes - 1)
+        return [("", replace(world, nodes={**world.nodes, name: None}, remaining=remaining))]
 
-    def begin(self, w, name, wiped=False):
-        disk, left, mints = forked(w.disks[name]), w.left, w.mints
+    def start_node(self, world, name, wiped=False):
+        """Restarts the voter `name` with what is on its disk, or with an empty disk."""
+        durable, remaining, next_id = forked(world.disks[name]), world.remaining, world.next_id
         if wiped:
-            left = replace(left, wipes=left.wipes - 1)
+            remaining = replace(remaining, wipes=remaining.wipes - 1)
             empty = Durable()
             if self.fault == "wiped votes":
-                empty.identity, empty.epoch = disk.identity, disk.epoch
-                empty.base = beginning(EPOCH, disk.base["voters"])
-            disk = empty
-        counter = iter(range(mints, mints + 10))
-        v = self.kind(name, "abc", disk, Follower(w.now), w.now, lambda: str(next(counter)))
-        v.mint = None  # minted at the start alone; nothing that can be copied may hold a generator
+                empty.identity, empty.epoch = durable.identity, durable.epoch
+                empty.base = beginning(EPOCH, durable.base["voters"])
+            durable = empty
+        ids = iter(range(next_id, next_id + 10))
+        voter = self.voter_class(name, "abc", durable, Follower(world.now), world.now, lambda: str(next(ids)))
+        voter.new_id = None  # only the start draws from it; a state that is copied can't hold an iterator
         if self.fault:
-            v.role = Role.FOLLOWER
-        if wiped and not self.fault:  # what rides on every message tells it of the epoch
-            v.follower.state["epoch"] = list(EPOCH)
-            v.newer_epoch(w.now)
-        v.writes.clear()
-        w = replace(
-            w, left=left, mints=mints + 10, nodes={**w.nodes, name: v}, disks={**w.disks, name: forked(disk)}
+            voter.role = Role.FOLLOWER
+        if wiped and not self.fault:  # it learns the epoch from the first message it receives
+            voter.follower.state["epoch"] = list(EPOCH)
+            voter.newer_epoch(world.now)
+        voter.writes.clear()
+        world = replace(
+            world,
+            remaining=remaining,
+            next_id=next_id + 10,
+            nodes={**world.nodes, name: voter},
+            disks={**world.disks, name: forked(durable)},
         )
-        return [("", self.settle(w, name))]
-
-    def act(self, w, name, call):
-        v = forked(w.nodes[name])
-        v.mint = v.mint or (lambda: str(w.mints))
-        call(v)
-        v.mint = None
-        writes, v.writes = v.writes, []
-        out, v.out = v.out, []
-        v.follower.out.clear()
-        sent = w.flying | {encode(Sealed("f", name, to, m)) for to, m in out}
-        after, mints = [], w.mints + 1
+        return [("", self.check(world, name))]
+
+    def apply(self, world, name, call):
+        """Returns the worlds after `call` on a copy of the voter `name`.
+
+        Besides the one in which its writes become durable and its messages are sent there is, while crashes
+        remain, one for a crash before its writes are durable and one for a crash after it.
+        """
+        voter = forked(world.nodes[name])
+        voter.new_id = voter.new_id or (lambda: str(world.next_id))
+        call(voter)
+        voter.new_id = None
+        writes, voter.writes = voter.writes, []
+        out, voter.out = voter.out, []
+        voter.follower.out.clear()
+        flying = world.flying | {encode(Sealed("f", name, to, message)) for to, message in out}
+        successors, next_id = [], world.next_id + 1
         if writes:
-            disk = forked(w.disks[name])
-            for one in writes:
-                disk.replay(one)
-            if w.left.crashes:
-                left = replace(w.left, crashes=w.left.crashes - 1)
-                down = {**w.nodes, name: None}
-                early = sent if self.fault == "vote not durable" else w.flying
-                after.append(
+            disk = forked(world.disks[name])
+            for record in writes:
+                disk.replay(record)
+            if world.remaining.crashes:
+                remaining = replace(world.remaining, crashes=world.remaining.crashes - 1)
+                nodes = {**world.nodes, name: None}
+                sent_early = flying if self.fault == "vote not durable" else world.flying
+                successors.append(
                     (
-                        " (crash before it is written)",
-                        replace(w, nodes=down, left=left, flying=early, mints=mints),
+                        " (crash before its writes are durable)",
+                        replace(world, nodes=nodes, remaining=remaining, flying=sent_early, next_id=next_id),
                     )
                 )
-                after.append(
+                successors.append(
                     (
-                        " (crash once it is written)",
-                        replace(w, nodes=down, left=left, disks={**w.disks, name: disk}, mints=mints),
+                        " (crash after its writes are durable)",
+                        replace(
+                            world,
+                            nodes=nodes,
+                            remaining=remaining,
+                            disks={**world.disks, name: disk},
+                            next_id=next_id,
+                        ),
                     )
                 )
-            v.kept(w.now, v.wrote)
-            writes, v.writes = v.writes, []
-            for one in writes:
-                disk.replay(one)
-            more, v.out = v.out, []
-            sent |= {encode(Sealed("f", name, to, m)) for to, m in more}
-            w = replace(w, disks={**w.disks, name: disk})
-        w = replace(w, nodes={**w.nodes, name: v}, flying=sent, mints=mints)
-        after.append(("", self.settle(w, name)))
-        return after
-
-    def settle(self, w, name):
-        """What came to be agreed and who leads, held against all that was before."""
-        v, agreed, leaders = w.nodes[name], list(w.agreed), w.leaders
-        for index, entry in v.follower.heard:
-            data = encode(plain(entry))
-            if index <= len(agreed):
-                if agreed[index - 1][0] != data:
-                    raise Violated(f"entry {index} was agreed twice, differently (at {name})")
-            elif index == len(agreed) + 1:
-                agreed.append((data, v.d.term))
+            voter.kept(world.now, voter.wrote)
+            writes, voter.writes = voter.writes, []
+            for record in writes:
+                disk.replay(record)
+            more, voter.out = voter.out, []
+            flying |= {encode(Sealed("f", name, to, message)) for to, message in more}
+            world = replace(world, disks={**world.disks, name: disk})
+        world = replace(world, nodes={**world.nodes, name: voter}, flying=flying, next_id=next_id)
+        successors.append(("", self.check(world, name)))
+        return successors
+
+    def check(self, world, name):
+        """Checks what the voter `name` has committed, and that it may lead, against all earlier steps.
+
+        Returns the world with these added; raises `Violated`.
+        """
+        voter, committed, leaders = world.nodes[name], list(world.committed), world.leaders
+        for index, entry in voter.follower.heard:
+            data = encode(entry_fields(entry))
+            if index <= len(committed):
+                if committed[index - 1][0] != data:
+                    raise Violated(f"entry {index} was committed twice with different contents (at {name})")
+            elif index == len(committed) + 1:
+                committed.append((data, voter.d.term))
             else:
-                raise Violated(f"entry {index} is agreed where {len(agreed)} were (at {name})")
-        v.follower.heard.clear()
-        if v.role is Role.LEADER and (v.d.term, name) not in leaders:
-            if any(term == v.d.term for term, _ in leaders):
-                raise Violated(f"two leaders in term {v.d.term}")
-            leaders = leaders | {(v.d.term, name)}
-            for index, (data, term) in enumerate(agreed, 1):
-                n = index - v.d.base["last"] - 1
-                # one elected late in an earlier term may lack it, and will never agree on anything
-                there = n < 0 or n < len(v.d.entries) and encode(plain(v.d.entries[n])) == data
-                if v.d.term > term and not there:
-                    raise Violated(f"{name} leads without entry {index}, which was agreed")
-        return replace(w, agreed=tuple(agreed), leaders=leaders)
+                raise Violated(f"entry {index} was committed after entry {len(committed)} (at {name})")
+        voter.follower.heard.clear()
+        if voter.role is Role.LEADER and (voter.d.term, name) not in leaders:
+            if any(term == voter.d.term for term, _ in leaders):
+                raise Violated(f"two leaders in term {voter.d.term}")
+            leaders = leaders | {(voter.d.term, name)}
+            for index, (data, term) in enumerate(committed, 1):
+                offset = index - voter.d.base["last"] - 1
+                # A leader elected late in an earlier term may lack the entry; it can't commit anything.
+                present = (
+                    offset < 0
+                    or offset < len(voter.d.entries)
+                    and encode(entry_fields(voter.d.entries[offset])) == data
+                )
+                if voter.d.term > term and not present:
+                    raise Violated(f"{name} leads without entry {index}, which was committed")
+        return replace(world, committed=tuple(committed), leaders=leaders)
 
 
 def small(logs=None, terms=None, budget=None, agreed=0):
-    """Three voters at rest: `logs`: name -> entries; `terms`: name -> (term, voted)."""
-    identities = {n: f"{n}/1" for n in "abc"}
+    """Returns a world of three followers "a", "b" and "c", with no message in flight.
+
+    `logs`: name -> entries; `terms`: name -> (term, identity voted for); `agreed`: number of entries, the
+    same ones in all logs, that are committed.
+    """
+    identities = {name: f"{name}/1" for name in "abc"}
     nodes, disks, now = {}, {}, 1000 * ELECTION
-    for n in "abc":
-        d = Durable()
-        d.identity, d.epoch, d.base = identities[n], EPOCH, beginning(EPOCH, identities)
-        d.entries = list((logs or {}).get(n, []))
-        d.term, d.voted = (terms or {}).get(n, (0, ""))
-        v = Still(n, "abc", d, Follower(now), now, lambda: "0")
-        v.role, v.mint, v.election_at = Role.FOLLOWER, None, now
-        for entry in d.entries[:agreed]:
-            v.follower.take(entry)
-        v.follower.heard.clear()
-        nodes[n], disks[n] = v, forked(d)
-    first = next(iter(nodes.values())).d.entries[:agreed]
-    told = tuple((encode(plain(e)), e.term) for e in first)
-    return World(nodes, disks, left=budget or Budget(), agreed=told)
+    for name in "abc":
+        durable = Durable()
+        durable.identity, durable.epoch, durable.base = (
+            identities[name],
+            EPOCH,
+            beginning(EPOCH, identities),
+        )
+        durable.entries = list((logs or {}).get(name, []))
+        durable.term, durable.voted_for = (terms or {}).get(name, (0, ""))
+        voter = DeterministicVoter(name, "abc", durable, Follower(now), now, lambda: "0")
+        voter.role, voter.new_id, voter.election_at = Role.FOLLOWER, None, now
+        for entry in durable.entries[:agreed]:
+            voter.follower.take(entry)
+        voter.follower.heard.clear()
+        nodes[name], disks[name] = voter, forked(durable)
+    committed_entries = next(iter(nodes.values())).d.entries[:agreed]
+    committed = tuple((encode(entry_fields(entry)), entry.term) for entry in committed_entries)
+    return World(nodes, disks, remaining=budget or Budget(), committed=committed)
