--- a/terndrift/fleet/arena.py
+++ b/terndrift/fleet/arena.py
@@ -1,7 +1,8 @@
-"""Members and voters of a fleet in virtual time: no sockets, the same to the last message for the same seed.
+"""A fleet in virtual time, without sockets: runs `member.Controller`s over a simulated network and disks.
 
-Datagrams can be lost, doubled and late, groups cut apart, members killed, stopped and continued; disks
-kept, wiped and put back. For tests, and for the figures by size in `docs/fleet.md`.
+For tests, and for the figures by fleet size in `docs/fleet.md`; never part of a running service. The same
+seed gives the same run, to the last message. Datagrams can be lost, duplicated and delayed, the network
+partitioned, and members killed, paused and resumed; disks can be wiped, copied and restored from the copy.
 """
 
 import heapq
@@ -13,81 +14,110 @@
 from terndrift.fleet.messages import DATAGRAM, opened
 from terndrift.fleet.record import Durable
 
+# Times are in ns.
 MS = 1_000_000
 SECOND = 1000 * MS
 
 
-def _mint(draw):
-    return f"{draw.randrange(16**8):08x}"
+def _random_id(rng):
+    return f"{rng.randrange(16**8):08x}"
 
 
 class Disk:
-    """What one controller has kept, and earlier copies of it."""
+    """Durable records of one controller, and copies of them made earlier."""
 
     def __init__(self):
         self.records, self.copies = [], []
 
 
 class Arena:
+    """The simulated fleet; it owns the clock, the controllers (`up`, by name) and their disks.
+
+    `loss`, `double` and `late` are the probabilities that a datagram is lost, duplicated, and delayed by up
+    to 300 ms more; `sync` is the duration of a disk write. Durations and times are in ns, unless a method
+    says seconds. `agreed` collects the committed entries of all controllers, and `wrong` describes those
+    that differ between two of them.
+    """
+
     def __init__(self, names, voters=(), seed=1, loss=0.0, double=0.0, late=0.0, sync=3 * MS):
         self.names, self.voters, self.seed = list(names), list(voters), seed
         self.loss, self.double, self.late, self.sync = loss, double, late, sync
-        self.chance, self.now = random.Random(seed), 1000 * SECOND
-        self.events, self.order = [], itertools.count()
-        self.up, self.disks, self.stopped = {}, {n: Disk() for n in self.names}, {}
-        self.cut = lambda a, b: False  # whether what a sends does not reach b
-        self.sent = {n: [0, 0] for n in self.names}  # datagrams, bytes
-        self.agreed, self.wrong = {}, []  # (epoch, index) -> entry; what must not be
-        self.alarms = {}  # name -> when it is woken next
-        self.changes = []  # (time, who says so, of whom, standing before, after)
-
-    # What a test does.
+        self.rng, self.now = random.Random(seed), 1000 * SECOND
+        self.events, self.event_numbers = [], itertools.count()  # heap of (time, number, call)
+        # stopped: name -> calls that wait until it resumes
+        self.up, self.disks, self.stopped = {}, {name: Disk() for name in self.names}, {}
+        self.cut = lambda a, b: False  # whether messages from a to b are dropped
+        self.sent = {name: [0, 0] for name in self.names}  # messages, bytes
+        self.agreed, self.wrong = {}, []  # (epoch, index) -> entry; descriptions of mismatches
+        self.alarms = {}  # name -> time of its next tick
+        self.changes = []  # (time, observer, member, standing before, after)
+
+    # Control.
 
     def start(self, *names):
-        for n in names or self.names:
+        """Starts these controllers, or all, with what is on their disks."""
+        for name in names or self.names:
             durable = Durable()
-            for record in self.disks[n].records:
+            for record in self.disks[name].records:
                 durable.replay(record)
-            kept = durable if n in self.voters else None
-            mint = partial(_mint, random.Random(f"{self.seed}/{n}/{self.now}"))
-            self.up[n] = Controller(
-                "arena", n, self.names, self.voters, kept, self.now // MS, self.now, mint, self.seed
+            voter_state = durable if name in self.voters else None
+            new_id = partial(_random_id, random.Random(f"{self.seed}/{name}/{self.now}"))
+            self.up[name] = Controller(
+                "arena",
+                name,
+                self.names,
+                self.voters,
+                voter_state,
+                self.now // MS,
+                self.now,
+                new_id,
+                self.seed,
             )
-            self.alarms.pop(n, None)
-            self._after(n)
+            self.alarms.pop(name, None)
+            self._after(name)
 
     def kill(self, *names):
-        for n in names:
-            self.up.pop(n, None)
-            self.stopped.pop(n, None)
+        """Ends these controllers; writes that are not yet durable are lost."""
+        for name in names:
+            self.up.pop(name, None)
+            self.stopped.pop(name, None)
 
     def stop(self, *names):
-        for n in names:
-            self.stopped[n] = []
+        """Pauses these controllers; what arrives for them meanwhile waits."""
+        for name in names:
+            self.stopped[name] = []
 
     def go_on(self, *names):
-        """What came meanwhile is read first: sockets have kept it."""
-        for n in names:
-            for call in self.stopped.pop(n, ()):
+        """Resumes these controllers.
+
+        They handle what arrived meanwhile before any timer, as sockets buffer it for a paused process.
+        """
+        for name in names:
+            for call in self.stopped.pop(name, ()):
                 call()
-            self.alarms.pop(n, None)
-            self._after(n)
+            self.alarms.pop(name, None)
+            self._after(name)
 
     def wipe(self, name):
+        """Empties the disk of a controller; its copies stay."""
         self.disks[name].records = []
 
     def copy(self, name):
+        """Saves a copy of the disk of a controller."""
         self.disks[name].copies.append(list(self.disks[name].records))
 
     def rewind(self, name):
+        """Restores the disk of a controller from its last copy."""
         self.disks[name].records = list(self.disks[name].copies[-1])
 
     def call(self, name, method, *args):
-        got = getattr(self.up[name], method)(self.now, *args)
+        """Calls a method of a running controller by name, with the time and `args`; returns its result."""
+        result = getattr(self.up[name], method)(self.now, *args)
         self._after(name)
-        return got
+        return result
 
     def run(self, seconds):
+        """Lets that many seconds of virtual time pass."""
         until = self.now + int(seconds * SECOND)
         while self.events and self.events[0][0] <= until:
             self.now, _, call = heapq.heappop(self.events)
@@ -95,7 +125,10 @@
         self.now = until
 
     def until(self, true, within):
-        """Seconds until `true()` first holds, looked at every 50 ms; None: not within so many."""
+        """Runs until `true()` holds, checked every 50 ms.
+
+        Returns the seconds that this took, or None if it didn't hold within that many seconds.
+        """
         began = self.now
         while self.now - began <= within * SECOND:
             if true():
@@ -103,96 +136,108 @@
             self.run(0.05)
         return None
 
-    # What there is to see.
+    # Queries.
 
     def leaders(self):
-        lead = [n for n, c in self.up.items() if c.voter and c.voter.role.value == "leader"]
-        return [n for n in lead if n not in self.stopped]
+        """Names of the running controllers that hold themselves to be the leader."""
+        leading = [
+            name
+            for name, controller in self.up.items()
+            if controller.voter and controller.voter.role.value == "leader"
+        ]
+        return [name for name in leading if name not in self.stopped]
 
     def seen(self, of, standing="alive"):
-        """Who sees that member so."""
-        others = {n: c.members for n, c in self.up.items() if n != of}
-        return [n for n, members in others.items() if members.view(self.now)[of]["standing"] == standing]
+        """Names of the controllers in whose view the member `of` has that standing."""
+        others = {name: controller.members for name, controller in self.up.items() if name != of}
+        return [
+            name for name, members in others.items() if members.view(self.now)[of]["standing"] == standing
+        ]
 
     def settled(self):
-        """Whether all that run see each other, and no one else, alive."""
-        there = set(self.up)
-        return all(set(c.members.alive()) == there - {n} for n, c in self.up.items())
+        """Whether each running controller sees all the others, and nobody else, as alive."""
+        running = set(self.up)
+        return all(
+            set(controller.members.alive()) == running - {name} for name, controller in self.up.items()
+        )
 
-    # The wires.
+    # Simulated network, timers and disks.
 
     def at(self, when, call):
-        heapq.heappush(self.events, (when, next(self.order), call))
-
-    def _after(self, n):
-        c = self.up[n]
-        data, c.out = c.out, []
-        for to, packet in data:
-            self._send(n, to, packet)
-        if c.writes:
-            self._write(n, c)
-        self._look(n, c)
-        at = max(self.now, c.next_at())
-        if n not in self.alarms or at < self.alarms[n] or self.alarms[n] < self.now:
-            self.alarms[n] = at
-            self.at(at, lambda: self._ring(n, c, at))
-
-    def _ring(self, n, c, at):
-        if self.up.get(n) is not c or self.alarms.get(n) != at:
+        """Schedules `call()` for the time `when`."""
+        heapq.heappush(self.events, (when, next(self.event_numbers), call))
+
+    def _after(self, name):
+        """Runs after each event of a controller: sends, writes, and schedules its next tick."""
+        controller = self.up[name]
+        outgoing, controller.out = controller.out, []
+        for to, packet in outgoing:
+            self._send(name, to, packet)
+        if controller.writes:
+            self._write(name, controller)
+        self._record_changes(name, controller)
+        at = max(self.now, controller.next_at())
+        if name not in self.alarms or at < self.alarms[name] or self.alarms[name] < self.now:
+            self.alarms[name] = at
+            self.at(at, lambda: self._tick(name, controller, at))
+
+    def _tick(self, name, controller, at):
+        if self.up.get(name) is not controller or self.alarms.get(name) != at:
             return
-        if n in self.stopped:
+        if name in self.stopped:
             return
-        self.alarms.pop(n)
-        c.tick(self.now)
-        self._after(n)
+        self.alarms.pop(name)
+        controller.tick(self.now)
+        self._after(name)
 
-    def _write(self, n, c):
-        batch, c.writes = c.writes, []
-        wrote = c.wrote
+    def _write(self, name, controller):
+        batch, controller.writes = controller.writes, []
+        wrote = controller.wrote
 
         def done():
-            if self.up.get(n) is not c:
+            if self.up.get(name) is not controller:
                 return
-            if n in self.stopped:
-                self.stopped[n].append(done)
+            if name in self.stopped:
+                self.stopped[name].append(done)
                 return
-            self.disks[n].records += batch
-            c.kept(self.now, wrote)
-            self._after(n)
+            self.disks[name].records += batch
+            controller.kept(self.now, wrote)
+            self._after(name)
 
         self.at(self.now + self.sync, done)
 
-    def _send(self, n, to, packet):
-        self.sent[n][0] += 1
-        self.sent[n][1] += len(packet)
-        if to not in self.up or self.cut(n, to):
+    def _send(self, name, to, packet):
+        self.sent[name][0] += 1
+        self.sent[name][1] += len(packet)
+        if to not in self.up or self.cut(name, to):
             return
-        large = len(packet) > DATAGRAM  # over HTTP: not lost but in a cut, and neither doubled
-        if not large and self.chance.random() < self.loss:
+        over_http = len(packet) > DATAGRAM  # lost in a partition only, and never duplicated
+        if not over_http and self.rng.random() < self.loss:
             return
-        copies = 2 if not large and self.chance.random() < self.double else 1
+        copies = 2 if not over_http and self.rng.random() < self.double else 1
         for _ in range(copies):
-            way = MS // 2 + int(self.chance.expovariate(1 / MS))
-            way += int(self.chance.uniform(0, 300) * MS) if self.chance.random() < self.late else 0
-            self.at(self.now + way, lambda: self._arrive(to, packet))
+            delay = MS // 2 + int(self.rng.expovariate(1 / MS))
+            delay += int(self.rng.uniform(0, 300) * MS) if self.rng.random() < self.late else 0
+            self.at(self.now + delay, lambda: self._arrive(to, packet))
 
     def _arrive(self, to, packet):
         if to in self.stopped:
             self.stopped[to].append(lambda: self._arrive(to, packet))
             return
-        c = self.up.get(to)
-        if c is not None:
-            found = opened(packet, "arena", to, c.known)
-            assert not isinstance(found, str), found
-            c.received(self.now, found)
+        controller = self.up.get(to)
+        if controller is not None:
+            sealed = opened(packet, "arena", to, controller.known)
+            assert not isinstance(sealed, str), sealed
+            controller.received(self.now, sealed)
             self._after(to)
 
-    def _look(self, n, c):
-        for when, of, before, after in c.members.changes:
-            self.changes.append((when, n, of, before, after))
-        c.members.changes.clear()
-        for index, entry in c.follower.heard:
-            was = self.agreed.setdefault((c.follower.epoch, index), entry)
-            if was != entry:
-                self.wrong.append(f"entry {index}: {was} and, at {n}, {entry}")
-        c.follower.heard.clear()
+    def _record_changes(self, name, controller):
+        """Collects membership changes and committed entries; notes an entry that differs from another's."""
+        for when, member, before, after in controller.members.changes:
+            self.changes.append((when, name, member, before, after))
+        controller.members.changes.clear()
+        for index, entry in controller.follower.heard:
+            first = self.agreed.setdefault((controller.follower.epoch, index), entry)
+            if first != entry:
+                self.wrong.append(f"entry {index}: {first} and, at {name}, {entry}")
+        controller.follower.heard.clear()
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/worlds.py
@@ -214,7 +214,7 @@
             is_electable = voter.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
             if voter.next_at() <= world.now and (not is_electable or name in world.remaining.standers):
                 yield (
-                    f"timer of {name} fires",
+                    f"{name}'s timer fires",
                     lambda n=name: self.apply(world, n, lambda one: one.tick(world.now)),
                 )
             if world.remaining.proposals and voter.role is Role.LEADER:
@@ -399,5 +399,5 @@
         voter.follower.heard.clear()
         nodes[name], disks[name] = voter, forked(durable)
     committed_entries = next(iter(nodes.values())).d.entries[:agreed]
-    committed = tuple((encode(entry_fields(entry)), entry.term) for entry in committed_entries)
+    committed = tuple((encode(entry_fields(e)), e.term) for e in committed_entries)
     return World(nodes, disks, remaining=budget or Budget(), committed=committed)
