--- a/terndrift/fleet/agreed.py
+++ b/terndrift/fleet/agreed.py
@@ -85,9 +85,9 @@
         """Time (ns) since the state was last known to be complete; None if it never was."""
         return None if self.as_of is None else max(0, now - self.as_of)
 
-    def known_at(self, at):
-        """Notes that the state was complete at time `at`."""
-        self.as_of = at if self.as_of is None else max(self.as_of, at)
+    def known_at(self, time):
+        """Notes that the state was complete at `time`."""
+        self.as_of = time if self.as_of is None else max(self.as_of, time)
 
     def take(self, entry):
         """Applies the next committed entry."""
@@ -105,23 +105,23 @@
         if epoch_changed:
             self.as_of = None
 
-    def ask(self, now, of):
-        """Requests the entries that are missing here from the controller named `of`."""
+    def ask(self, now, target):
+        """Requests the entries that are missing here from the controller named `target`."""
         self.pull_sent_at = now
         self.asks.append(now)
-        self.out.append((of, Pull(self.epoch, self.last, now)))
+        self.out.append((target, Pull(self.epoch, self.last, now)))
 
-    def told(self, now, sender, epoch, agreed, age, asked=None):
+    def told(self, now, sender, epoch, commit_index, age, request_sent_at=None):
         """Handles the epoch number, commit index and age (ms) that every message carries.
 
-        `asked` is the time at which this controller sent the request that the message answers, None if it
-        answers none; only an answer can make the state here more recent.
+        `request_sent_at` is the time (ns) at which this controller sent the request that the message
+        answers, None if it answers none; only an answer can make the state here more recent.
         """
-        if (epoch, agreed) > (self.epoch[0], self.last):
+        if (epoch, commit_index) > (self.epoch[0], self.last):
             if now - self.pull_sent_at > 100 * MS:
                 self.ask(now, sender)
-        elif (epoch, agreed) == (self.epoch[0], self.last) and age >= 0 and asked is not None:
-            self.known_at(asked - age * MS)
+        elif (epoch, commit_index) == (self.epoch[0], self.last) and age >= 0 and request_sent_at is not None:
+            self.known_at(request_sent_at - age * MS)
 
     def asked(self, now, sender, pull):
         """Answers a `Pull` with entries, or with a snapshot if the entries are no longer here.
@@ -143,17 +143,17 @@
         answer = Agreed(self.epoch, after, entries, self.last, state, -1 if age is None else age, pull.at)
         self.out.append((sender, answer))
 
-    def answered(self, now, sender, got):
+    def answered(self, now, sender, answer):
         """Handles an `Agreed` message; requests the rest if it doesn't bring the state up to date."""
-        if got.epoch < self.epoch:
+        if answer.epoch < self.epoch:
             return
-        if got.state is not None and (got.epoch, got.state["last"]) > (self.epoch, self.last):
-            self.begin(got.state)
-        if got.epoch == self.epoch and got.after <= self.last:
-            for entry in got.entries[self.last - got.after :]:
+        if answer.state is not None and (answer.epoch, answer.state["last"]) > (self.epoch, self.last):
+            self.begin(answer.state)
+        if answer.epoch == self.epoch and answer.after <= self.last:
+            for entry in answer.entries[self.last - answer.after :]:
                 self.take(entry)
-        if got.epoch == self.epoch and self.last >= got.agreed:
-            if got.age >= 0 and got.at in self.asks:
-                self.known_at(got.at - got.age)
-        elif got.entries or got.state:
+        if answer.epoch == self.epoch and self.last >= answer.agreed:
+            if answer.age >= 0 and answer.at in self.asks:
+                self.known_at(answer.at - answer.age)
+        elif answer.entries or answer.state:
             self.ask(now, sender)
--- a/terndrift/fleet/arena.py
+++ b/terndrift/fleet/arena.py
@@ -49,7 +49,7 @@
         self.cut = lambda a, b: False  # whether messages from a to b are dropped
         self.sent = {name: [0, 0] for name in self.names}  # messages, bytes
         self.agreed, self.wrong = {}, []  # (epoch, index) -> entry; descriptions of mismatches
-        self.alarms = {}  # name -> time of its next tick
+        self.tick_at = {}  # name -> time of its next tick
         self.changes = []  # (time, observer, member, standing before, after)
 
     # Control.
@@ -73,7 +73,7 @@
                 new_id,
                 self.seed,
             )
-            self.alarms.pop(name, None)
+            self.tick_at.pop(name, None)
             self._after(name)
 
     def kill(self, *names):
@@ -95,7 +95,7 @@
         for name in names:
             for call in self.stopped.pop(name, ()):
                 call()
-            self.alarms.pop(name, None)
+            self.tick_at.pop(name, None)
             self._after(name)
 
     def wipe(self, name):
@@ -118,28 +118,28 @@
 
     def run(self, seconds):
         """Lets that many seconds of virtual time pass."""
-        until = self.now + int(seconds * SECOND)
-        while self.events and self.events[0][0] <= until:
+        deadline = self.now + int(seconds * SECOND)
+        while self.events and self.events[0][0] <= deadline:
             self.now, _, call = heapq.heappop(self.events)
             call()
-        self.now = until
+        self.now = deadline
 
-    def until(self, true, within):
-        """Runs until `true()` holds, checked every 50 ms.
+    def until(self, condition, within):
+        """Runs until `condition()` holds, checked every 50 ms.
 
         Returns the seconds that this took, or None if it didn't hold within that many seconds.
         """
-        began = self.now
-        while self.now - began <= within * SECOND:
-            if true():
-                return (self.now - began) / SECOND
+        started_at = self.now
+        while self.now - started_at <= within * SECOND:
+            if condition():
+                return (self.now - started_at) / SECOND
             self.run(0.05)
         return None
 
     # Queries.
 
     def leaders(self):
-        """Names of the running controllers that hold themselves to be the leader."""
+        """Names of the controllers that are leader in their own view, without those that are paused."""
         leading = [
             name
             for name, controller in self.up.items()
@@ -147,11 +147,11 @@
         ]
         return [name for name in leading if name not in self.stopped]
 
-    def seen(self, of, standing="alive"):
-        """Names of the controllers in whose view the member `of` has that standing."""
-        others = {name: controller.members for name, controller in self.up.items() if name != of}
+    def seen(self, member, standing="alive"):
+        """Names of the controllers in whose view `member` has that standing."""
+        others = {name: controller.members for name, controller in self.up.items() if name != member}
         return [
-            name for name, members in others.items() if members.view(self.now)[of]["standing"] == standing
+            name for name, members in others.items() if members.view(self.now)[member]["standing"] == standing
         ]
 
     def settled(self):
@@ -176,35 +176,35 @@
         if controller.writes:
             self._write(name, controller)
         self._record_changes(name, controller)
-        at = max(self.now, controller.next_at())
-        if name not in self.alarms or at < self.alarms[name] or self.alarms[name] < self.now:
-            self.alarms[name] = at
-            self.at(at, lambda: self._tick(name, controller, at))
+        tick_time = max(self.now, controller.next_at())
+        if name not in self.tick_at or tick_time < self.tick_at[name] or self.tick_at[name] < self.now:
+            self.tick_at[name] = tick_time
+            self.at(tick_time, lambda: self._tick(name, controller, tick_time))
 
-    def _tick(self, name, controller, at):
-        if self.up.get(name) is not controller or self.alarms.get(name) != at:
+    def _tick(self, name, controller, tick_time):
+        if self.up.get(name) is not controller or self.tick_at.get(name) != tick_time:
             return
         if name in self.stopped:
             return
-        self.alarms.pop(name)
+        self.tick_at.pop(name)
         controller.tick(self.now)
         self._after(name)
 
     def _write(self, name, controller):
         batch, controller.writes = controller.writes, []
-        wrote = controller.wrote
+        record_count = controller.wrote
 
-        def done():
+        def finish():
             if self.up.get(name) is not controller:
                 return
             if name in self.stopped:
-                self.stopped[name].append(done)
+                self.stopped[name].append(finish)
                 return
             self.disks[name].records += batch
-            controller.kept(self.now, wrote)
+            controller.kept(self.now, record_count)
             self._after(name)
 
-        self.at(self.now + self.sync, done)
+        self.at(self.now + self.sync, finish)
 
     def _send(self, name, to, packet):
         self.sent[name][0] += 1
--- a/terndrift/fleet/record.py
+++ b/terndrift/fleet/record.py
@@ -189,8 +189,8 @@
         # Answers to Hello by identity; the log position that this voter may have reached before it restarted.
         self.hello_answers, self.min_position = {}, (0, 0)
         self.next_index, self.match = {}, {}  # identity -> log index
-        # Number of records in `writes` so far; (that number, index before the entries) of log records that
-        # are not durable yet.
+        # Number of records handed out in `writes` so far; of each log record that is not durable yet, (this
+        # number, index after which its entries start).
         self.wrote, self.pending_log_writes = 0, []
         # Heartbeat round; round -> time sent; identity -> send time of the last round it answered; identity
         # -> name of those that wait to become voters; identity -> index after which the last batch was
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/worlds.py
@@ -293,8 +293,8 @@
     def apply(self, world, name, call):
         """Returns the worlds after `call` on a copy of the voter `name`.
 
-        Besides the one in which its writes become durable and its messages are sent there is, while crashes
-        remain, one for a crash before its writes are durable and one for a crash after it.
+        In one of them its writes become durable and its messages are sent. If it writes and the budget allows
+        a crash, there are two more: a crash before its writes are durable, and one after that.
         """
         voter = forked(world.nodes[name])
         voter.new_id = voter.new_id or (lambda: str(world.next_id))
