--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -1,9 +1,11 @@
-"""A checker of small worlds for permits: a leader, two controllers that place, one machine that is to go.
-
-The leader's steps, what controllers know, how old they hold it to be and what they tell are those of the
-service. Each step is one of: time passes (each by its own clock, 2% apart), a controller asks or tells, a
-message arrives (late or never), the leader looks, a controller places on the machine or what plays there
-ends, one of the three starts anew. What must hold: nobody places on the machine while it may be touched.
+"""Model checker for permits of planned work: a leader, two controllers that place, one machine to take out.
+
+The leader's steps, the controllers' copies of the record, the age of these copies and the placement reports
+come from the code that runs in service; only clocks, network and failures are modelled. Each step of a world
+is one of: time passes (each process has its own clock, up to 2% apart), a controller pulls the record or
+sends a report, a message arrives (late or never), the leader evaluates the work, a controller places on the
+machine, a playback there ends, or one of the three processes restarts. Invariant: no controller places on the
+machine while a permit allows work on it. Used by tests; it must not run in a controller.
 """
 
 from dataclasses import dataclass, field, replace
@@ -31,178 +33,278 @@
     "urgency": 0,
     "why": "",
 }
-# Of a true second: the leader's clock runs 2% faster than that of a, and b's is between the two.
-RATES = {"leader": 1.02, "a": 1.0, "b": 1.01}
-# What passes at once: nearly half of the limit, and about what a drifting clock makes of it.
-PASSES = (49 * work.LIMIT // 100, 6 * SECOND // 5)
+# Clock seconds per true second: the leader's clock runs 2% faster than that of a; b's is between the two.
+CLOCK_RATES = {"leader": 1.02, "a": 1.0, "b": 1.01}
+# ns that pass in one step: nearly half of work.LIMIT, and about the error that drift adds to it.
+TIME_STEPS_NS = (49 * work.LIMIT // 100, 6 * SECOND // 5)
 FAULTS = (
     "permit before the last confirmation",
-    "limit counted from the wrong end",
+    "limit counted from when the work was planned",
     "age counted from arrival",
 )
 
 
-decode = msgspec.msgpack.Decoder(Holds | Agreed).decode
+decode_message = msgspec.msgpack.Decoder(Holds | Agreed).decode
+
 
+class FaultyWork(work.Work):
+    """The leader's scheduler, with `fault` injected if it is one of the first two FAULTS."""
 
-class Planted(work.Work):
-    fault, planned = None, 0
+    fault, planned_at = None, 0
 
-    def _emptied(self, now, name, row, plan, seen, waited, anew):
+    def _state_after_drain(self, now, name, row, plan, observed, waited, restarted):
         if self.fault == FAULTS[0]:
-            seen = replace(seen, members=frozenset(list(seen.holds)[:1]) or seen.members)
-        if self.fault == FAULTS[1]:  # from when it was planned, not from when the drain was agreed
-            waited = now - self.planned
-        return super()._emptied(now, name, row, plan, seen, waited, anew)
+            observed = replace(observed, members=frozenset(list(observed.holds)[:1]) or observed.members)
+        if self.fault == FAULTS[1]:  # not from when the drain was agreed
+            waited = now - self.planned_at
+        return super()._state_after_drain(now, name, row, plan, observed, waited, restarted)
 
 
-class Heard(Follower):
-    """`arrival`: the planted fault of an age counted from when the answer came."""
+class FaultyFollower(Follower):
+    """A follower of the record; `age_from_arrival` injects the fault of an age counted from the answer's
+    arrival."""
 
-    arrival = False
+    age_from_arrival = False
 
     def answered(self, now, sender, got):
+        """Apply an answer to a pull; see Follower."""
         super().answered(now, sender, got)
-        if self.arrival and self.last >= got.agreed:
+        if self.age_from_arrival and self.last >= got.agreed:
             self.known_at(now - got.age)
 
 
 @dataclass
 class World:
-    follows: dict  # leader, a, b -> Heard
-    leads: Planted
-    at: int = 1000 * SECOND  # true time
-    holds: dict = field(default_factory=dict)
-    plays: frozenset = frozenset()  # controllers that play something there
-    flying: frozenset = frozenset()  # (to, from, bytes)
-    passes: tuple = (3, 1)
-    asks: int = 2
-    tells: int = 2
-    crashes: int = 1
+    """One state of the search; steps return changed copies.
+
+    The fields from `time_steps_left` on bound how often each kind of step may still happen.
+    """
+
+    followers: dict  # "leader", "a" and "b" -> FaultyFollower
+    leader_work: FaultyWork
+    true_time: int = 1000 * SECOND  # ns
+    placement_reports: dict = field(
+        default_factory=dict
+    )  # controller -> (Holds, time received), at the leader
+    playing: frozenset = frozenset()  # controllers with a playback on the machine
+    in_flight: frozenset = frozenset()  # (receiver, sender, bytes)
+    time_steps_left: tuple = (3, 1)  # of each of TIME_STEPS_NS
+    pulls_left: int = 2
+    reports_left: int = 2
+    crashes_left: int = 1
 
     def now(self, name):
-        return int(self.at * RATES[name])
+        """Return the time in ns by the clock of one process."""
+        return int(self.true_time * CLOCK_RATES[name])
 
-    def table(self):
-        return work.rows(self.follows["leader"].state)[MACHINE]
+    def machine_row(self):
+        """Return the machine's row in the leader's copy of the record."""
+        return work.rows(self.followers["leader"].state)[MACHINE]
 
     def key(self):
-        parts = [self.at, self.plays, self.flying, self.passes, self.asks, self.tells, self.crashes]
-        parts += [tuple(sorted(self.leads.since.items()))]
-        parts += [tuple(sorted((n, msgspec.msgpack.encode(h), at) for n, (h, at) in self.holds.items()))]
-        parts += [(n, f.last, f.as_of, tuple(f.asks)) for n, f in sorted(self.follows.items())]
+        """Return the hash by which the search recognises states that it has visited."""
+        parts = [
+            self.true_time,
+            self.playing,
+            self.in_flight,
+            self.time_steps_left,
+            self.pulls_left,
+            self.reports_left,
+            self.crashes_left,
+        ]
+        parts += [tuple(sorted(self.leader_work.step_seen_at.items()))]
+        parts += [
+            tuple(sorted((n, msgspec.msgpack.encode(h), at) for n, (h, at) in self.placement_reports.items()))
+        ]
+        parts += [(n, f.last, f.as_of, tuple(f.asks)) for n, f in sorted(self.followers.items())]
         return hash(tuple(parts))
 
 
 class Checker:
-    """`fault`: one of FAULTS, planted on purpose; `budget`: how often what may happen, else as World says."""
+    """Breadth-first search through all worlds.
+
+    `fault` is one of FAULTS to inject, or None; `max_states` ends the search; `bounds` overrides fields of
+    World, such as `crashes_left`.
+    """
 
-    def __init__(self, fault=None, most=100_000, **budget):
-        self.fault, self.most, self.states, self.budget = fault, most, 0, budget
-        self.leads = type("Leads", (Planted,), {"fault": fault})
-        self.heard = type("HeardSo", (Heard,), {"arrival": fault == FAULTS[2]})
+    def __init__(self, fault=None, max_states=100_000, **bounds):
+        self.fault, self.max_states, self.states, self.bounds = fault, max_states, 0, bounds
+        self.work_class = type("CheckedWork", (FaultyWork,), {"fault": fault})
+        self.follower_class = type(
+            "CheckedFollower", (FaultyFollower,), {"age_from_arrival": fault == FAULTS[2]}
+        )
 
     def start(self):
+        """Return the first world: the plan is agreed and every process knows it."""
         state = beginning(EPOCH)
         id, value = work.added(state, PLAN, "p", "ops")
         applied(state, 1, Entry(1, "value", id, value))
-        w = World({}, self.leads(), **self.budget)
-        for name in RATES:
-            w.follows[name] = f = self.heard(w.now(name))
-            f.begin(state)
-            f.known_at(w.now(name))
-        w.leads.planned = w.leads.since[MACHINE, 0, 0] = w.now("leader")
-        return w
+        world = World({}, self.work_class(), **self.bounds)
+        for name in CLOCK_RATES:
+            world.followers[name] = follower = self.follower_class(world.now(name))
+            follower.begin(state)
+            follower.known_at(world.now(name))
+        world.leader_work.planned_at = world.leader_work.step_seen_at[MACHINE, 0, 0] = world.now("leader")
+        return world
 
     def run(self):
-        """(steps, what is violated) of the shortest way to a fault, or None; `states`: how many were seen."""
-        found, self.states = searched(self.start(), self.steps, self.most)
+        """Return (steps, violation) of the shortest path to a violation, or None.
+
+        Afterwards `states` is the number of states that were visited.
+        """
+        found, self.states = searched(self.start(), self.steps, self.max_states)
         return found
 
-    def steps(self, w):
-        for n, left in enumerate(w.passes):
+    def steps(self, world):
+        """Yield (name, call that returns [(suffix, next world)]) of each step possible in `world`."""
+        for n, left in enumerate(world.time_steps_left):
             if left:
-                passes = tuple(p - (i == n) for i, p in enumerate(w.passes))
+                time_steps_left = tuple(p - (i == n) for i, p in enumerate(world.time_steps_left))
                 yield (
-                    f"{PASSES[n] / SECOND} s pass",
-                    lambda n=n, p=passes: [("", replace(w, at=w.at + PASSES[n], passes=p))],
+                    f"{TIME_STEPS_NS[n] / SECOND} s pass",
+                    lambda n=n, p=time_steps_left: [
+                        ("", replace(world, true_time=world.true_time + TIME_STEPS_NS[n], time_steps_left=p))
+                    ],
                 )
-        yield "the leader looks", lambda: self.look(w)
-        for message in sorted(w.flying):
-            yield f"{message[1]} to {message[0]}: arrives", lambda m=message: self.arrive(w, m)
-        if w.crashes:
-            new, less = self.leads(), w.crashes - 1
-            new.planned = w.leads.planned
-            yield "another leads", lambda: [("", replace(w, leads=new, holds={}, crashes=less))]
+        yield "the leader evaluates the work", lambda: self.evaluate_work(world)
+        for message in sorted(world.in_flight):
+            yield f"{message[1]} to {message[0]}: arrives", lambda m=message: self.deliver(world, m)
+        if world.crashes_left:
+            new_work, crashes_left = self.work_class(), world.crashes_left - 1
+            new_work.planned_at = world.leader_work.planned_at
+            yield (
+                "another controller leads",
+                lambda: [
+                    (
+                        "",
+                        replace(world, leader_work=new_work, placement_reports={}, crashes_left=crashes_left),
+                    )
+                ],
+            )
         for name in ("a", "b"):
-            yield from self.of(w, name)
-
-    def of(self, w, name):
-        f, now = w.follows[name], w.now(name)
-        if w.asks:
-            yield f"{name} asks", lambda: self.ask(w, name)
-        off, may = work.told_off(f.state), work.may_place(f.age(now))
-        if off and w.tells:
-            counts = {m: int(name in w.plays) for m in off}
-            data = msgspec.msgpack.encode(Holds(work.rev(f.state), counts))
+            yield from self.controller_steps(world, name)
+
+    def controller_steps(self, world, name):
+        """Yield the steps of one controller, as `steps` does."""
+        follower, now = world.followers[name], world.now(name)
+        if world.pulls_left:
+            yield f"{name} pulls", lambda: self.pull(world, name)
+        drained, may_place = work.told_off(follower.state), work.may_place(follower.age(now))
+        if drained and world.reports_left:
+            counts = {m: int(name in world.playing) for m in drained}
+            data = msgspec.msgpack.encode(Holds(work.rev(follower.state), counts))
+            yield (
+                f"{name} reports",
+                lambda: [
+                    (
+                        "",
+                        replace(
+                            world,
+                            reports_left=world.reports_left - 1,
+                            in_flight=world.in_flight | {("leader", name, data)},
+                        ),
+                    )
+                ],
+            )
+        if may_place and MACHINE not in drained and (name not in world.playing or self.has_permit(world)):
+            yield f"{name} places", lambda: self.place(world, name)
+        if name in world.playing:
             yield (
-                f"{name} tells",
-                lambda: [("", replace(w, tells=w.tells - 1, flying=w.flying | {("leader", name, data)}))],
+                f"a playback of {name} ends",
+                lambda: [("", replace(world, playing=world.playing - {name}))],
             )
-        if may and MACHINE not in off and (name not in w.plays or self.touchable(w)):
-            yield f"{name} places", lambda: self.place(w, name)
-        if name in w.plays:
-            yield f"what {name} plays ends", lambda: [("", replace(w, plays=w.plays - {name}))]
-        if w.crashes:
-            new = {**w.follows, name: self.heard(now)}
+        if world.crashes_left:
+            followers = {**world.followers, name: self.follower_class(now)}
             yield (
-                f"{name} starts anew",
-                lambda: [("", replace(w, follows=new, plays=w.plays - {name}, crashes=w.crashes - 1))],
+                f"{name} restarts",
+                lambda: [
+                    (
+                        "",
+                        replace(
+                            world,
+                            followers=followers,
+                            playing=world.playing - {name},
+                            crashes_left=world.crashes_left - 1,
+                        ),
+                    )
+                ],
             )
 
-    def touchable(self, w):
-        return work.State(w.table()["state"]) in (work.State.OUT, work.State.OVERDUE)
-
-    def place(self, w, name):
-        if self.touchable(w):
-            raise Violated(f"{name} places on what may be touched")
-        return [("", replace(w, plays=w.plays | {name}))]
-
-    def ask(self, w, name):
-        """The question arrives at once: one that is late makes what is known older, which harms nobody."""
-        f, leader = self.copied(w, name), self.copied(w, "leader")
-        f.ask(w.now(name), "leader")
-        leader.known_at(w.now("leader"))
-        for _, question in f.out:
-            leader.asked(w.now("leader"), name, question)
-        sent = {(name, "leader", msgspec.msgpack.encode(said)) for _, said in leader.out}
-        f.out, leader.out = [], []
-        follows = {**w.follows, name: f, "leader": leader}
-        return [("", replace(w, follows=follows, asks=w.asks - 1, flying=w.flying | sent))]
-
-    def copied(self, w, name):
-        f = forked(w.follows[name])
-        f.asks = f.asks.copy()
-        return f
-
-    def arrive(self, w, message):
-        to, sender, data = message
-        m, now = decode(data), w.now(to)
-        w = replace(w, flying=w.flying - {message})
-        if isinstance(m, Holds):
-            return [("", replace(w, holds={**w.holds, sender: (m, now)}))]
-        f = self.copied(w, to)
-        f.answered(now, sender, m)
-        f.out, f.heard = [], []
-        return [("", replace(w, follows={**w.follows, to: f}))]
-
-    def look(self, w):
-        """All steps that can be taken now. What the leader proposes is agreed at once: the record is checked
-        by itself."""
-        leads, f, now = forked(w.leads), forked(w.follows["leader"]), w.now("leader")
-        seen = work.Seen({MACHINE: Machine(MACHINE, 0, "", 1.0, True, 0)}, frozenset("ab"), w.holds)
-        while steps := leads.steps(now, f.state, seen):
+    def has_permit(self, world):
+        """Whether workers may take the machine down now."""
+        return work.State(world.machine_row()["state"]) in (work.State.OUT, work.State.OVERDUE)
+
+    def place(self, world, name):
+        """A controller places on the machine; raises Violated if there is a permit."""
+        if self.has_permit(world):
+            raise Violated(f"{name} places on a machine with a permit")
+        return [("", replace(world, playing=world.playing | {name}))]
+
+    def pull(self, world, name):
+        """A controller asks the leader for what is agreed.
+
+        The request arrives at once: a late one only makes the controller's copy seem older, which is safe.
+        """
+        follower, leader = self.copy_follower(world, name), self.copy_follower(world, "leader")
+        follower.ask(world.now(name), "leader")
+        leader.known_at(world.now("leader"))
+        for _, request in follower.out:
+            leader.asked(world.now("leader"), name, request)
+        sent = {(name, "leader", msgspec.msgpack.encode(answer)) for _, answer in leader.out}
+        follower.out, leader.out = [], []
+        followers = {**world.followers, name: follower, "leader": leader}
+        return [
+            (
+                "",
+                replace(
+                    world,
+                    followers=followers,
+                    pulls_left=world.pulls_left - 1,
+                    in_flight=world.in_flight | sent,
+                ),
+            )
+        ]
+
+    def copy_follower(self, world, name):
+        """Return a copy of one follower that shares no mutable state with the world."""
+        follower = forked(world.followers[name])
+        follower.asks = follower.asks.copy()
+        return follower
+
+    def deliver(self, world, message):
+        """A message arrives: a report at the leader, or an answer at a controller."""
+        receiver, sender, data = message
+        decoded, now = decode_message(data), world.now(receiver)
+        world = replace(world, in_flight=world.in_flight - {message})
+        if isinstance(decoded, Holds):
+            return [
+                ("", replace(world, placement_reports={**world.placement_reports, sender: (decoded, now)}))
+            ]
+        follower = self.copy_follower(world, receiver)
+        follower.answered(now, sender, decoded)
+        follower.out, follower.heard = [], []
+        return [("", replace(world, followers={**world.followers, receiver: follower}))]
+
+    def evaluate_work(self, world):
+        """The leader takes all steps that are possible now.
+
+        Its proposals are agreed at once, as the record has its own checker, `terndrift.fleet.worlds`.
+        """
+        leader_work, follower, now = (
+            forked(world.leader_work),
+            forked(world.followers["leader"]),
+            world.now("leader"),
+        )
+        observed = work.Seen(
+            {MACHINE: Machine(MACHINE, 0, "", 1.0, True, 0)}, frozenset("ab"), world.placement_reports
+        )
+        while steps := leader_work.steps(now, follower.state, observed):
             for id, value in steps:
-                f.take(Entry(1, "value", id, value))
-        f.heard = []
-        return [("", replace(w, leads=leads, follows={**w.follows, "leader": f}))]
+                follower.take(Entry(1, "value", id, value))
+        follower.heard = []
+        return [
+            (
+                "",
+                replace(world, leader_work=leader_work, followers={**world.followers, "leader": follower}),
+            )
+        ]
--- a/terndrift/fleet/room.py
+++ b/terndrift/fleet/room.py
@@ -1,118 +1,139 @@
-"""What is missing of a fleet's machines, and whether one more may be: the budgets of planned work. Free of
-I/O.
+"""Availability budgets of planned work: which machines are unavailable, and whether one more may be.
 
-They count all that is missing, whoever took it: work under way until it is warm, what died by itself, what
-drains at another source's word, what is back and cold.
+A budget counts every unavailable machine, whatever the cause: planned work until the machine has warmed up,
+failures, drains by another source, and machines that are back and still cold. Used by
+`terndrift.fleet.work`, whose leader checks it before a drain begins. This module does no I/O and changes
+nothing.
 """
 
 from collections import Counter
 from dataclasses import dataclass, replace
 from functools import cached_property
 
-CONTROLLER = "controller:"
+CONTROLLER = "controller:"  # prefix of the machine name of a controller
 
 
 def controller_named(machine):
-    """The member that a machine's name stands for; None: it is a streamer."""
+    """Return the controller's name in a machine name, or None if the machine is a streamer."""
     return machine.removeprefix(CONTROLLER) if machine.startswith(CONTROLLER) else None
 
 
 @dataclass(frozen=True)
 class Machine:
-    """A streamer as this controller's list has it, planned work left aside, or a controller as a member."""
+    """A streamer as in this controller's list without planned work, or a controller as in the membership."""
 
     name: str
     rack: int
     zone: str
     weight: float
-    ready: bool  # by every source but the work itself
-    started: int  # as its list, or it itself, tells the start: to be compared for sameness only
-    titles: frozenset = frozenset()  # that name it among their holders
+    ready: bool  # by every source except planned work
+    started: int  # start time or run as its list or the machine itself reports it; compared for equality
+    titles: frozenset = frozenset()  # titles of which it is a holder
     labels: frozenset = frozenset()
-    voter: bool = False  # of a controller: it keeps the record
-    cold: bool = False  # by the list's start time and the stated warm-up
+    voter: bool = False  # controllers only: votes in the record
+    cold: bool = False  # by the start time in the list and the configured warm-up
 
     @property
     def controller(self):
+        """Whether this is a controller and not a streamer."""
         return self.name.startswith(CONTROLLER)
 
-    def well(self):
+    def as_healthy(self):
+        """Return a copy that is ready and warm."""
         return replace(self, ready=True, cold=False)
 
 
-class Room:
-    """`using`: names that work under way has; `machines`: name -> Machine."""
+class WorkBudget:
+    """Unavailable machines and ready capacity at one moment.
 
-    def __init__(self, machines, using):
-        self.machines, self.using = machines, using
+    `machines` is {name: Machine}, `in_work` the names of the machines that planned work has taken. Weights
+    are shares of link capacity.
+    """
+
+    def __init__(self, machines, in_work):
+        self.machines, self.in_work = machines, in_work
         streamers = [m for m in machines.values() if not m.controller]
         controllers = [m for m in machines.values() if m.controller]
-        self.missing = {m.name for m in streamers if not m.ready or m.cold or m.name in using}
-        self.missing |= {n for n in using if n not in machines and controller_named(n) is None}
-        self.away = {m.name for m in controllers if not m.ready or m.name in using}
-        self.voters = sum(m.voter for m in controllers)
-        self.all, self.ready = sum(m.weight for m in streamers), 0.0
-        self.racks, self.zones, self.links = Counter(), Counter(), Counter()
+        self.unavailable = {m.name for m in streamers if not m.ready or m.cold or m.name in in_work}
+        self.unavailable |= {n for n in in_work if n not in machines and controller_named(n) is None}
+        self.unavailable_controllers = {m.name for m in controllers if not m.ready or m.name in in_work}
+        self.voter_count = sum(m.voter for m in controllers)
+        self.total_weight, self.ready_weight = sum(m.weight for m in streamers), 0.0
+        self.unavailable_by_rack, self.unavailable_by_zone, self.ready_weight_by_rack = (
+            Counter(),
+            Counter(),
+            Counter(),
+        )
         for m in streamers:
-            if m.name in self.missing:
-                self.racks[m.rack] += 1
-                self.zones[m.zone] += 1
+            if m.name in self.unavailable:
+                self.unavailable_by_rack[m.rack] += 1
+                self.unavailable_by_zone[m.zone] += 1
             else:
-                self.ready += m.weight
-                self.links[m.rack] += m.weight
+                self.ready_weight += m.weight
+                self.ready_weight_by_rack[m.rack] += m.weight
 
     @cached_property
-    def holders(self):
-        """title -> ready holders."""
-        return Counter(t for m in self.machines.values() if m.name not in self.missing for t in m.titles)
+    def ready_holders(self):
+        """title -> number of ready holders."""
+        return Counter(t for m in self.machines.values() if m.name not in self.unavailable for t in m.titles)
 
-    def rack_ready(self, rack):
-        return self.links[rack]
+    def ready_weight_of_rack(self, rack):
+        """Return the total weight of the rack's available streamers."""
+        return self.ready_weight_by_rack[rack]
 
-    def holds_up(self, name, plan):
-        """Why a machine may not go now, a sentence; "": it may."""
+    def hold_reason(self, name, plan):
+        """Return why the machine may not be taken out now, a sentence, or "" if it may."""
         machine = self.machines.get(name)
         if machine is None:
-            return "no list names it" if controller_named(name) is None else "no record names it"
+            return "no list contains it" if controller_named(name) is None else "no fleet record contains it"
         if machine.controller:
-            return self._controller(machine, plan)
+            return self._controller_hold_reason(machine, plan)
         if not machine.ready:
-            return "it is not ready by the list, and not by this work"
+            return "the list reports it as not ready, and this work is not the cause"
         if machine.cold:
-            return "it has started by itself and is still cold"
-        if len(self.missing) >= plan["most"]:
-            return f"{len(self.missing)} are missing where {plan['most']} may be: {_some(self.missing)}"
-        if self.racks[machine.rack] >= plan["most_rack"]:
-            there = [n for n in self.missing if n in self.machines and self.machines[n].rack == machine.rack]
-            return f"{_some(there)} of its rack {'is' if len(there) == 1 else 'are'} missing"
-        if plan["most_zone"] and self.zones[machine.zone] >= plan["most_zone"]:
-            return f"{self.zones[machine.zone]} of its zone are missing"
-        if self.ready - machine.weight < plan["ready_share"] * self.all:
-            return f"too little of the links would stay ready ({plan['ready_share']:.0%} must)"
-        if short := self.short_of_holders(machine, plan):
-            title, left = short
-            return f"{title} would keep {left} ready holders where {plan['holders']} must be"
+            return "it restarted outside of planned work and is still warming up"
+        if len(self.unavailable) >= plan["most"]:
+            return (
+                f"{len(self.unavailable)} unavailable, limit {plan['most']}: {_first_names(self.unavailable)}"
+            )
+        if self.unavailable_by_rack[machine.rack] >= plan["most_rack"]:
+            in_rack = [
+                n for n in self.unavailable if n in self.machines and self.machines[n].rack == machine.rack
+            ]
+            return f"{_first_names(in_rack)} in its rack {'is' if len(in_rack) == 1 else 'are'} unavailable"
+        if plan["most_zone"] and self.unavailable_by_zone[machine.zone] >= plan["most_zone"]:
+            return f"{self.unavailable_by_zone[machine.zone]} unavailable in its zone"
+        if self.ready_weight - machine.weight < plan["ready_share"] * self.total_weight:
+            return f"too little link capacity would stay ready (minimum {plan['ready_share']:.0%})"
+        if title_and_count := self.title_short_of_holders(machine, plan):
+            title, holders_left = title_and_count
+            return f"{title} would have {holders_left} ready holders where {plan['holders']} are required"
         return ""
 
-    def short_of_holders(self, machine, plan):
-        """(title, ready holders left) of one that would have too few without this machine; None: there is
-        none."""
-        itself = machine.name not in self.missing
-        left = ((t, self.holders[t] - itself) for t in sorted(machine.titles))
-        return next((x for x in left if x[1] < plan.get("holders", 0)), None)
+    def title_short_of_holders(self, machine, plan):
+        """Return (title, ready holders left) of a title with too few holders without the machine, or None."""
+        is_available = machine.name not in self.unavailable
+        holders_left = ((t, self.ready_holders[t] - is_available) for t in sorted(machine.titles))
+        return next((x for x in holders_left if x[1] < plan.get("holders", 0)), None)
 
-    def _controller(self, machine, plan):
+    def _controller_hold_reason(self, machine, plan):
         if not machine.ready:
-            return "it is not there, and not by this work"
-        if len(self.away) >= (most := plan.get("most_controllers", 1)):
-            return f"{len(self.away)} controllers are missing where {most} may be: {_some(self.away)}"
-        # never two voters at once, and so never a majority: one that dies meanwhile must not stop the record
-        if machine.voter and (gone := [n for n in self.away if self.machines[n].voter]):
-            return f"it keeps the record, and {_some(gone)} of those that do is missing"
-        if machine.voter and self.voters < 3:
-            return "the record could not go on without it"
+            return "the controller is not available, and this work is not the cause"
+        if len(self.unavailable_controllers) >= (most := plan.get("most_controllers", 1)):
+            return (
+                f"{len(self.unavailable_controllers)} controllers unavailable, limit {most}: "
+                f"{_first_names(self.unavailable_controllers)}"
+            )
+        # Never two voters at once, and so never a majority: the record must survive the failure of another
+        # voter meanwhile.
+        if machine.voter and (
+            voters_down := [n for n in self.unavailable_controllers if self.machines[n].voter]
+        ):
+            return f"it is a voter, and the voter {_first_names(voters_down)} is unavailable"
+        if machine.voter and self.voter_count < 3:
+            return "the record would lose its quorum without this voter"
         return ""
 
 
-def _some(names):
+def _first_names(names):
     return ", ".join(sorted(names)[:3])
--- a/terndrift/fleet/work.py
+++ b/terndrift/fleet/work.py
@@ -1,49 +1,54 @@
-"""Machines taken out for work: who goes next, and each step of each, as a function of what is agreed and
-seen.
+"""State machine and scheduler of planned work (maintenance) on streamers and controllers.
 
-Every controller can work this out; the record's leader proposes it. A step is agreed under the revision of
-the work it was worked out for, so that one worked out by an older state changes nothing: none is taken
-twice, none skipped, and the budgets that held when it was worked out hold when it counts. Free of I/O.
+Every controller can compute the next step from the agreed record and its own observations; only the leader
+of the record proposes it (`terndrift.fleet.member`). Operators propose theirs with `terndrift work`. Each
+proposal is conditional on the revision of the work that it was computed from, so a proposal from stale state
+changes nothing: no step is taken twice or skipped, and the budgets that were checked still hold when the
+step is applied. This module does no I/O and never applies a step itself.
+
+Times are ns of a monotonic clock, except wall-clock times, which are ms since 1970.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum
 from statistics import median_low
 
-from terndrift.fleet.room import Room, controller_named
+from terndrift.fleet.room import WorkBudget, controller_named
 
 SECOND = 1_000_000_000
 REV = "work/rev"
-# A controller that has not known for so long what is agreed places on nothing that may be worked on: it
-# can't know what has been told to drain. Longer than an election, a few beats and the spread of news in a
-# large fleet.
+# ns. A controller whose copy of the record is older than this places on no machine that planned work may
+# take out, as it can't know which ones drain. Longer than an election, a few heartbeats and the propagation
+# of an entry in a large fleet.
 LIMIT = 20 * SECOND
-# Clocks of two processes may run so much apart, and a process may notice its limit a scan late.
+# Maximum relative drift between the clocks of two processes, and ns by which a process may notice late that
+# it has reached LIMIT (one scan).
 DRIFT, NOTICED = 0.02, SECOND
-# Times that a machine may be passed over by one that costs viewers less.
-PASSED = 8
-# Beyond what a machine needs before it is said to be overdue.
-LATE = 1.25
-# What members say of the load and of the time of day counts for so long: several words of theirs.
-LATELY = 5 * SECOND
-# Fewer asked for than this, in all, say nothing of a share that was turned away.
-FEW = 20
-DAY = 24 * 3600
+MAX_TIMES_PASSED_OVER = 8  # by machines that cost viewers less
+OVERDUE_FACTOR = 1.25  # times the planned duration
+# ns for which reports on load and wall-clock time count; covers several reports of a controller.
+REPORT_LIFETIME_NS = 5 * SECOND
+# With fewer requests than this over all controllers, the share of rejected ones says nothing.
+MIN_REQUESTS_FOR_SHARE = 20
+SECONDS_PER_DAY = 24 * 3600
 
 
 class State(Enum):
+    """State of one machine in planned work; the values are stored in the record and shown to operators."""
+
     WAITING = "waiting"
     TOLD = "told to drain"
     EMPTY = "empty"
-    OUT = "out"  # it may be touched
+    OUT = "out"  # the permit: workers may take the machine down
     OVERDUE = "overdue"
     BACK = "coming back"
     WARMING = "warming up"
     DONE = "done"
     GIVEN_BACK = "given back"
-    FOUND = "found out"  # by an earlier beginning of the record; only an operator ends that
+    FOUND = "found out"  # out in an earlier epoch of the record; only an operator ends this state
 
 
+# Permitted transitions.
 ROUTES = {
     State.WAITING: (State.TOLD, State.GIVEN_BACK),
     State.TOLD: (State.EMPTY, State.GIVEN_BACK, State.WAITING),
@@ -56,110 +61,134 @@
     State.GIVEN_BACK: (),
     State.FOUND: (State.BACK, State.GIVEN_BACK),
 }
-OFF = (State.TOLD, State.EMPTY, State.OUT, State.OVERDUE, State.FOUND)  # nobody places on these
-USING = (*OFF, State.BACK, State.WARMING)  # these use the budget up
+# No controller places on machines in these states.
+NO_PLACEMENT_STATES = (State.TOLD, State.EMPTY, State.OUT, State.OVERDUE, State.FOUND)
+BUDGET_STATES = (*NO_PLACEMENT_STATES, State.BACK, State.WARMING)  # these count against the budgets
 ENDED = (State.DONE, State.GIVEN_BACK)
-# Of a machine found out, whose plan is not known any more: it is taken back as any other.
+# Stands in for the plan of a machine in State.FOUND, which is lost; the machine is taken back as usual.
 UNKNOWN_PLAN = {"needs": 0, "drain": 0, "warm": 30 * SECOND, "paused": False}
 
 
 @dataclass
 class Seen:
-    """What the leader sees beside the record."""
+    """What the leader observes besides the agreed record."""
 
     machines: dict  # name -> room.Machine
-    members: frozenset  # all controllers that may place: whom the records name
-    holds: dict = field(default_factory=dict)  # member -> (messages.Holds, when heard)
-    wall: int = 0  # ms since 1970, by this controller's own clock
+    members: frozenset  # all controllers that may place, as configured
+    holds: dict = field(default_factory=dict)  # controller -> (messages.Holds, time received)
+    wall_ms: int = 0  # ms since 1970 by this controller's clock
+
+    def recent_reports(self, now):
+        """The placement reports that are younger than REPORT_LIFETIME_NS."""
+        return [report for report, at in self.holds.values() if now - at < REPORT_LIFETIME_NS]
 
-    def lately(self, now):
-        return [said for said, at in self.holds.values() if now - at < LATELY]
+    def median_wall_ms(self, now):
+        """ms since 1970, the median of the reported clocks, so that one clock an hour ahead has no effect."""
+        return median_low(self._reported_clocks(now) or [self.wall_ms])
 
-    def day(self, now):
-        """ms since 1970 as most have it: one clock that is an hour ahead moves nothing."""
-        return median_low(self._clocks(now) or [self.wall])
+    def _reported_clocks(self, now):
+        return [report.wall for report in self.recent_reports(now) if report.wall]
 
-    def _clocks(self, now):
-        return [said.wall for said in self.lately(now) if said.wall]
+    def has_majority_of_clocks(self, now):
+        """Whether a majority has reported its clock; the leader's clock alone decides nothing."""
+        return 2 * len(self._reported_clocks(now)) > len(self.members)
 
-    def sure_of_day(self, now):
-        """Whether the clocks of most have been told: with its own alone a leader has no say."""
-        return 2 * len(self._clocks(now)) > len(self.members)
+    def rejected_share(self, now):
+        """Share of recent viewer requests that were rejected, over all controllers."""
+        reports = self.recent_reports(now)
+        asked = sum(s.asked for s in reports)
+        return sum(s.turned for s in reports) / asked if asked >= MIN_REQUESTS_FOR_SHARE else 0.0
 
-    def turned_away(self, now):
-        """The share of what viewers asked for that was turned away of late, over all controllers."""
-        said = self.lately(now)
-        asked = sum(s.asked for s in said)
-        return sum(s.turned for s in said) / asked if asked >= FEW else 0.0
 
+def step(revision, name, row, new_state, author="leader", wall_ms=0, extra_fields=()):
+    """Return the proposal (id, value) that moves one machine to `new_state`.
 
-def step(rev, name, row, state, by="leader", wall=0, more=()):
-    """A proposal: (id, value). Its id says which step of which machine it is, and by which revision: one that
-    came too late has used its id up."""
+    The id consists of the machine, its plan, the number of the step and the revision that it was computed
+    from, so the id of a proposal that came too late is used up.
+    """
     n = row["n"] + 1
-    assert state in ROUTES[State(row["state"])], f"{name}: {row['state']} to {state.value}"
-    log = [*row["log"], [state.value, by, wall]]
-    after = {**row, "state": state.value, "n": n, "by": by, "log": log, **dict(more)}
-    return f"work/{name}/{row['plan']}/{n}/{rev}", {"?": {REV: rev}, REV: rev + 1, f"work/m/{name}": after}
+    assert new_state in ROUTES[State(row["state"])], f"{name}: {row['state']} to {new_state.value}"
+    log = [*row["log"], [new_state.value, author, wall_ms]]
+    new_row = {**row, "state": new_state.value, "n": n, "by": author, "log": log, **dict(extra_fields)}
+    return f"work/{name}/{row['plan']}/{n}/{revision}", {
+        "?": {REV: revision},
+        REV: revision + 1,
+        f"work/m/{name}": new_row,
+    }
 
 
 def plans(state):
+    """Return {name: plan} of all plans in the record's state."""
     return {k.removeprefix("work/plan/"): v for k, v in state["map"].items() if k.startswith("work/plan/")}
 
 
 def rows(state):
-    """name -> {"plan", "state", "n", "by", "log"} of every machine that any plan names; `log`: every step,
-    [state, by whom, ms since 1970 by their clock]."""
+    """Return {name: row} of every machine in any plan.
+
+    A row has the keys "plan", "state", "n" (steps so far), "by" and "log": all steps as
+    [state, author, ms since 1970 by the author's clock].
+    """
     return {k.removeprefix("work/m/"): v for k, v in state["map"].items() if k.startswith("work/m/")}
 
 
 def rev(state):
+    """Return the revision of the work, which every applied proposal increments."""
     return state["map"].get(REV, 0)
 
 
 def told_off(state):
-    """Machines on which nobody places, by what is agreed."""
-    return {name for name, row in rows(state).items() if State(row["state"]) in OFF}
+    """Return the names of the machines on which, by the record, no controller places."""
+    return {name for name, row in rows(state).items() if State(row["state"]) in NO_PLACEMENT_STATES}
 
 
 def under_way(state):
-    """Rows of machines that use the budget up."""
-    return {name: row for name, row in rows(state).items() if State(row["state"]) in USING}
+    """Return {name: row} of the machines that count against the budgets."""
+    return {name: row for name, row in rows(state).items() if State(row["state"]) in BUDGET_STATES}
 
 
 def may_place(age):
-    """Whether a controller that knows what was agreed as of `age` ns ago may place on what may be worked on.
-    One that has started and not heard yet (None) may not: what it kept may be from before a drain."""
+    """Whether a controller whose copy of the record is `age` ns old may place on machines of the list.
+
+    `age` is None after a start until the first answer; the controller may not place then, as its stored
+    copy may be from before a drain.
+    """
     return age is not None and age < LIMIT
 
 
 def busy(state, names):
-    """Those of the names that another plan has and that have not ended there."""
+    """Return those of `names` that are in another plan and have not ended there, sorted."""
     return sorted(n for n, row in rows(state).items() if n in names and State(row["state"]) not in ENDED)
 
 
-def added(state, plan, name, by, wall=0):
-    """(id, value) that puts a plan in, or more machines into one: they wait."""
-    log = [[State.WAITING.value, by, wall]]
-    row = {"plan": name, "state": State.WAITING.value, "n": 0, "by": by, "log": log}
+def added(state, plan, plan_name, author, wall_ms=0):
+    """Return the proposal (id, value) that adds a plan, or more machines to one; they start as waiting."""
+    log = [[State.WAITING.value, author, wall_ms]]
+    row = {"plan": plan_name, "state": State.WAITING.value, "n": 0, "by": author, "log": log}
     machines = {f"work/m/{m}": row for m in plan["machines"]}
-    r, before = rev(state), plans(state).get(name, {})
-    names = sorted({*before.get("machines", ()), *plan["machines"]})
-    whole = {"paused": False, **plan, "machines": names, "by": by, "at": wall}
-    value = {"?": {REV: state["map"].get(REV)}, REV: r + 1, f"work/plan/{name}": whole, **machines}
-    return f"work/plan/{name}/{r}", value
-
-
-def found(state, left, wall=0):
-    """(id, value) that names machines that were out by an earlier beginning of the record, or None: `left` is
-    what members remember of it, name -> row."""
-    table, r = rows(state), rev(state)
-    new = {name: row for name, row in sorted(left.items()) if name not in table}
-    if not new:
+    revision, old_plan = rev(state), plans(state).get(plan_name, {})
+    names = sorted({*old_plan.get("machines", ()), *plan["machines"]})
+    new_plan = {"paused": False, **plan, "machines": names, "by": author, "at": wall_ms}
+    value = {
+        "?": {REV: state["map"].get(REV)},
+        REV: revision + 1,
+        f"work/plan/{plan_name}": new_plan,
+        **machines,
+    }
+    return f"work/plan/{plan_name}/{revision}", value
+
+
+def found_out(state, rows_left, wall_ms=0):
+    """Return the proposal (id, value) that enters machines which were out in an earlier epoch of the record.
+
+    `rows_left` is {name: row} as the controllers remember it. Returns None if the record has all of them.
+    """
+    rows_by_name, revision = rows(state), rev(state)
+    new_rows = {name: row for name, row in sorted(rows_left.items()) if name not in rows_by_name}
+    if not new_rows:
         return None
-    value = {"?": {REV: state["map"].get(REV)}, REV: r + 1}
-    for name, row in new.items():
-        log = [*row["log"], [State.FOUND.value, "leader", wall]]
+    value = {"?": {REV: state["map"].get(REV)}, REV: revision + 1}
+    for name, row in new_rows.items():
+        log = [*row["log"], [State.FOUND.value, "leader", wall_ms]]
         value[f"work/m/{name}"] = {
             **row,
             "state": State.FOUND.value,
@@ -167,101 +196,122 @@
             "by": "leader",
             "log": log,
         }
-    return f"work/found/{r}/{'/'.join(new)}"[:128], value
+    return f"work/found/{revision}/{'/'.join(new_rows)}"[:128], value
 
 
 class Work:
-    """The leader's part. What it waits for it counts from when it saw the step itself: a new leader waits
-    anew."""
+    """The leader's scheduler of planned work.
+
+    Waiting times count from when this controller saw the step in the record, so a new leader starts them
+    again.
+    """
 
     def __init__(self):
-        self.since = {}  # (machine, step, revision of its drain) -> ns
-        self.passed, self.why = {}, {}  # machine -> how often another went first; -> a sentence
-
-    def steps(self, now, state, seen):
-        """The one next step that can be taken now, [(id, value)] or []; `why`: what the others wait for."""
-        table, known, r = rows(state), plans(state), rev(state)
-        here = [_step_of(name, row) for name, row in table.items()]
-        self.since = {key: self.since.get(key, now) for key in here}
-        self.why = {name: self.why.get(name, "") for name in table}
+        self.step_seen_at = {}  # (machine, step, revision of its drain) -> ns
+        # machine -> how often another one went first; machine -> what it waits for, a sentence
+        self.times_passed_over, self.why = {}, {}
+
+    def steps(self, now, state, observed):
+        """Return the one next step that can be taken now, as [(id, value)], or [].
+
+        Updates `why` with what the other machines wait for.
+        """
+        rows_by_name, known_plans, revision = rows(state), plans(state), rev(state)
+        step_keys = [_step_key(name, row) for name, row in rows_by_name.items()]
+        self.step_seen_at = {key: self.step_seen_at.get(key, now) for key in step_keys}
+        self.why = {name: self.why.get(name, "") for name in rows_by_name}
         left = {}
-        for said in seen.lately(now):
-            left.update(said.left)
-        if one := found(state, left, seen.day(now)):
-            return [one]
-        room = Room(seen.machines, under(table))
-        for name, row in sorted(table.items()):
-            plan = known.get(row["plan"], UNKNOWN_PLAN)
+        for report in observed.recent_reports(now):
+            left.update(report.left)
+        if proposal := found_out(state, left, observed.median_wall_ms(now)):
+            return [proposal]
+        budget = WorkBudget(observed.machines, names_in_budget(rows_by_name))
+        for name, row in sorted(rows_by_name.items()):
+            plan = known_plans.get(row["plan"], UNKNOWN_PLAN)
             if State(row["state"]) in (*ENDED, State.WAITING):
                 continue
-            if to := self._goes_on(now, name, row, plan, seen, room):
-                # a start that has been seen to bring it back brings it back once
-                machine = seen.machines.get(name)
-                more = {"was": machine.started} if to is State.BACK and machine else ()
-                return [step(r, name, row, to, wall=seen.day(now), more=more)]
-        return self._next(now, table, known, seen, r, room)
-
-    def _goes_on(self, now, name, row, plan, seen, room):
-        """Where a machine that is under way goes now; None: it waits."""
-        here, machine = State(row["state"]), seen.machines.get(name)
-        waited = now - self.since[_step_of(name, row)]
-        anew = machine is not None and machine.ready and started_anew(row, machine)
-        if here is State.FOUND:
-            self.why[name] = "it was out before the record began anew; an operator says done or give-back"
-        if here is State.TOLD:
-            if plan.get("begun") == "back" and self._overloaded(now, plan, seen):
+            if new_state := self._next_state(now, name, row, plan, observed, budget):
+                # The start time that shows the machine's return is stored, so that it counts only once.
+                machine = observed.machines.get(name)
+                extra_fields = {"was": machine.started} if new_state is State.BACK and machine else ()
+                return [
+                    step(
+                        revision,
+                        name,
+                        row,
+                        new_state,
+                        wall_ms=observed.median_wall_ms(now),
+                        extra_fields=extra_fields,
+                    )
+                ]
+        return self._start_next_drain(now, rows_by_name, known_plans, observed, revision, budget)
+
+    def _next_state(self, now, name, row, plan, observed, budget):
+        """The next state of a machine under way; None if it has to wait."""
+        current, machine = State(row["state"]), observed.machines.get(name)
+        waited = now - self.step_seen_at[_step_key(name, row)]
+        restarted = machine is not None and machine.ready and has_restarted(row, machine)
+        if current is State.FOUND:
+            self.why[name] = (
+                "it was out in an earlier epoch of the record; an operator must run done or give-back"
+            )
+        if current is State.TOLD:
+            if plan.get("begun") == "back" and self._is_overloaded(now, plan, observed):
                 return State.WAITING
-            if machine is not None and room.short_of_holders(machine, plan):
-                return State.WAITING  # faults have used the room up: it gives way while it can
-            return self._emptied(now, name, row, plan, seen, waited, anew)
-        if here is State.EMPTY:
+            if machine is not None and budget.title_short_of_holders(machine, plan):
+                return State.WAITING  # failures elsewhere used up the budget: cancel the drain while possible
+            return self._state_after_drain(now, name, row, plan, observed, waited, restarted)
+        if current is State.EMPTY:
             return State.OUT
-        if here in (State.OUT, State.OVERDUE):
-            if anew:  # it came back by itself, or its worker forgot to say so
+        if current in (State.OUT, State.OVERDUE):
+            if restarted:  # it returned without a `done` from its worker
                 return State.BACK
-            if here is State.OUT and waited > LATE * plan["needs"]:
+            if current is State.OUT and waited > OVERDUE_FACTOR * plan["needs"]:
                 return State.OVERDUE
             self.why[name] = (
-                "it is out; its worker says when it is done"
-                if here is State.OUT
-                else "it is out for longer than was planned; its worker says when it is done, "
-                "or it starts again"
+                "it is out; its worker must mark it as done"
+                if current is State.OUT
+                else "it is out for longer than planned; its worker must mark it as done, "
+                "or the machine must restart"
             )
-        if here is State.BACK:
+        if current is State.BACK:
             if machine is not None and machine.ready:
                 return State.WARMING
-            if waited > LATE * plan["needs"] + plan["warm"]:
+            if waited > OVERDUE_FACTOR * plan["needs"] + plan["warm"]:
                 return State.OVERDUE
-            self.why[name] = "it has not come back: no list says that it is ready"
-        if here is State.WARMING:
-            ill = [
-                member
-                for member, (said, at) in sorted(seen.holds.items())
-                if now - at < LATELY and name in said.ill
+            self.why[name] = "it has not come back: no list reports it as ready"
+        if current is State.WARMING:
+            failing = [
+                controller
+                for controller, (report, at) in sorted(observed.holds.items())
+                if now - at < REPORT_LIFETIME_NS and name in report.ill
             ]
-            if waited >= plan["warm"] and not ill:
+            if waited >= plan["warm"] and not failing:
                 return State.DONE
-            if ill and waited > plan["warm"] + LATE * plan["needs"]:
+            if failing and waited > plan["warm"] + OVERDUE_FACTOR * plan["needs"]:
                 return State.OVERDUE
             self.why[name] = (
-                f"it says that it is ready, and {', '.join(ill[:3])} can't set up there"
-                if ill
-                else "it is ready and still cold"
+                f"it reports ready, but set-ups from {', '.join(failing[:3])} fail"
+                if failing
+                else "it is ready and still warming up"
             )
         return None
 
-    def _emptied(self, now, name, row, plan, seen, waited, anew):
-        """Empty once every controller that may place on it goes by its drain and holds nothing there; each
-        ends what still plays after the drain time by itself. Or it can't place any more, being cut off longer
-        than its limit by anybody's clock; what plays there then has had the drain time, and breaks."""
+    def _state_after_drain(self, now, name, row, plan, observed, waited, restarted):
+        """EMPTY once every controller that may place has confirmed the drain and holds nothing there.
+
+        Each controller ends what still plays after the drain time by itself. A controller that is cut off
+        for longer than LIMIT, by any clock, can't place any more; what plays there has then had the drain
+        time, and breaks.
+        """
         placing, holding = [], 0
-        itself = controller_named(name)
-        for member in sorted(seen.members) if itself is None else [itself]:
-            said, _ = seen.holds.get(member, (None, 0))
-            if said is not None and name in said.counts and said.rev >= row["rev"]:
-                holding += said.counts[name]
+        own_controller = controller_named(name)
+        for controller in sorted(observed.members) if own_controller is None else [own_controller]:
+            report, _ = observed.holds.get(controller, (None, 0))
+            if report is not None and name in report.counts and report.rev >= row["rev"]:
+                holding += report.counts[name]
             else:
-                placing.append(member)
+                placing.append(controller)
         if not placing and not holding:
             return State.EMPTY
         if waited > (LIMIT + plan["drain"]) * (1 + DRIFT) + NOTICED:
@@ -269,136 +319,168 @@
         self.why[name] = (
             f"{', '.join(placing[:3])} may still place on it"
             if placing
-            else f"{holding} playbacks there have not ended"
+            else f"{holding} playbacks on it have not ended"
         )
-        if anew:
-            self.why[name] += "; it was started anew without a permit, and goes on as planned"
+        if restarted:
+            self.why[name] += "; it restarted without a permit, and the drain continues as planned"
         return None
 
-    # Who goes next.
+    # Choice of the next machine.
 
-    def _next(self, now, table, known, seen, r, room):
-        fit = []
-        for name, row in table.items():
-            plan = known.get(row["plan"])
+    def _start_next_drain(self, now, rows_by_name, known_plans, observed, revision, budget):
+        candidates = []
+        for name, row in rows_by_name.items():
+            plan = known_plans.get(row["plan"])
             if State(row["state"]) is not State.WAITING or plan is None:
                 continue
-            self.why[name] = self.not_yet(now, plan, seen) or room.holds_up(name, plan)
+            self.why[name] = self.plan_hold_reason(now, plan, observed) or budget.hold_reason(name, plan)
             if not self.why[name]:
-                fit.append((name, row, plan))
-        if not fit:
+                candidates.append((name, row, plan))
+        if not candidates:
             return []
-        live = self._live(seen)
-        name, row, plan = first = min(fit, key=lambda x: self._order(x, live, seen, room))
-        for other, _, _ in fit:
+        playbacks = self._playbacks_by_machine(observed)
+        name, row, plan = first = min(
+            candidates, key=lambda x: self._sort_key(x, playbacks, observed, budget)
+        )
+        for other, _, _ in candidates:
             if other != name:
-                self.passed[other] = self.passed.get(other, 0) + 1
+                self.times_passed_over[other] = self.times_passed_over.get(other, 0) + 1
                 self.why[other] = f"{name} goes first"
-        self.passed.pop(first[0], None)
-        machine = seen.machines[name]
-        # the revision by which members have to go that confirm it, and the start that it had then
-        told = {"rev": r + 1, "was": machine.started}
-        return [step(r, name, row, State.TOLD, wall=seen.day(now), more=told)]
-
-    def _order(self, one, live, seen, room):
-        """Urgency; nobody for ever: who was passed over too often, the longest waiting of them; then what
-        viewers lose: playbacks there, the part of its rack's links, titles with few holders."""
-        name, _, plan = one
-        machine = seen.machines[name]
-        lost = machine.weight / max(1e-9, room.rack_ready(machine.rack))
-        passed = max(0, self.passed.get(name, 0) - PASSED)
-        return (-plan["urgency"], -passed, live.get(name, 0), round(lost, 3), len(machine.titles), name)
+        self.times_passed_over.pop(first[0], None)
+        machine = observed.machines[name]
+        # The revision that controllers must have applied to confirm the drain, and the machine's start time
+        # before the work.
+        drain_fields = {"rev": revision + 1, "was": machine.started}
+        return [
+            step(
+                revision,
+                name,
+                row,
+                State.TOLD,
+                wall_ms=observed.median_wall_ms(now),
+                extra_fields=drain_fields,
+            )
+        ]
+
+    def _sort_key(self, candidate, playbacks, observed, budget):
+        """Order by urgency, then by how often a machine was passed over beyond the limit, so that none
+        starves, then by the cost to viewers: playbacks there, its share of its rack's links, and its number
+        of titles, as one with fewer titles takes a holder from fewer."""
+        name, _, plan = candidate
+        machine = observed.machines[name]
+        rack_share = machine.weight / max(1e-9, budget.ready_weight_of_rack(machine.rack))
+        times_passed_over = max(0, self.times_passed_over.get(name, 0) - MAX_TIMES_PASSED_OVER)
+        return (
+            -plan["urgency"],
+            -times_passed_over,
+            playbacks.get(name, 0),
+            round(rack_share, 3),
+            len(machine.titles),
+            name,
+        )
 
     @staticmethod
-    def _live(seen):
-        live = {}
-        for said, _ in seen.holds.values():
-            for name, count in said.counts.items():
-                live[name] = live.get(name, 0) + count
-        return live
-
-    def _overloaded(self, now, plan, seen):
-        return seen.turned_away(now) > plan.get("overload", 1.0)
-
-    def not_yet(self, now, plan, seen):
-        """Why nothing of a plan may go now, a sentence; "": it may."""
-        day = seen.day(now) // 1000
+    def _playbacks_by_machine(observed):
+        playbacks = {}
+        for report, _ in observed.holds.values():
+            for name, count in report.counts.items():
+                playbacks[name] = playbacks.get(name, 0) + count
+        return playbacks
+
+    def _is_overloaded(self, now, plan, observed):
+        return observed.rejected_share(now) > plan.get("overload", 1.0)
+
+    def plan_hold_reason(self, now, plan, observed):
+        """Return why no machine of the plan may start now, a sentence, or "" if they may."""
+        wall_s = observed.median_wall_ms(now) // 1000
         if plan["paused"]:
             return "its plan is paused"
         timed = plan.get("from") or plan.get("until") or plan.get("quiet")
-        if timed and not seen.sure_of_day(now):
-            return "the clocks of most controllers have not been told yet, and it has its time"
-        if day < plan.get("from", 0):
-            return f"its plan begins in {plan['from'] - day:.0f} s"
-        if plan.get("until") and day >= plan["until"]:
-            return f"its plan's time ended {day - plan['until']:.0f} s ago"
+        if timed and not observed.has_majority_of_clocks(now):
+            return "its plan has set times, and no majority of the controllers has reported its clock yet"
+        if wall_s < plan.get("from", 0):
+            return f"its plan begins in {plan['from'] - wall_s:.0f} s"
+        if plan.get("until") and wall_s >= plan["until"]:
+            return f"its plan's time ended {wall_s - plan['until']:.0f} s ago"
         for quiet in plan.get("quiet", ()):
-            begins, ends = quiet_of(quiet)
-            if (day % DAY - begins) % DAY < (ends - begins) % DAY:
+            begins, ends = parse_quiet_time(quiet)
+            if (wall_s % SECONDS_PER_DAY - begins) % SECONDS_PER_DAY < (ends - begins) % SECONDS_PER_DAY:
                 return f"it is quiet time, {quiet} UTC"
-        if self._overloaded(now, plan, seen):
-            turned = seen.turned_away(now)
-            return f"{turned:.0%} of what viewers asked for is turned away ({plan['overload']:.0%} may be)"
+        if self._is_overloaded(now, plan, observed):
+            rejected = observed.rejected_share(now)
+            return f"{rejected:.0%} of viewer requests are rejected (limit {plan['overload']:.0%})"
         return ""
 
-    def likely(self, now, state, seen):
-        """name -> s until each that waits is likely to go: in the present order, every machine taking the
-        whole of its drain, work and warm-up, nothing else failing. None: a budget or a pause holds it."""
-        table, known = rows(state), plans(state)
-        live, at, out, ends = self._live(seen), 0, {}, []
-        using = under(table)
-        for name in using:
-            plan = known.get(table[name]["plan"], UNKNOWN_PLAN)
-            spent = now - self.since.get(_step_of(name, table[name]), now)
-            ends.append((max(0, self._left(State(table[name]["state"]), plan) - spent), name))
+    def likely(self, now, state, observed):
+        """Return {name: s until it is likely to start} of the waiting machines.
+
+        Assumes the present order, that every machine takes its whole drain time, work and warm-up, and that
+        nothing else fails. None: a budget or a pause holds the machine.
+        """
+        rows_by_name, known_plans = rows(state), plans(state)
+        playbacks, at, starts, ends = self._playbacks_by_machine(observed), 0, {}, []
+        in_work = names_in_budget(rows_by_name)
+        for name in in_work:
+            plan = known_plans.get(rows_by_name[name]["plan"], UNKNOWN_PLAN)
+            spent = now - self.step_seen_at.get(_step_key(name, rows_by_name[name]), now)
+            ends.append((max(0, self._remaining_ns(State(rows_by_name[name]["state"]), plan) - spent), name))
         waiting = [
-            (n, row, known[row["plan"]])
-            for n, row in table.items()
-            if State(row["state"]) is State.WAITING and row["plan"] in known
+            (n, row, known_plans[row["plan"]])
+            for n, row in rows_by_name.items()
+            if State(row["state"]) is State.WAITING and row["plan"] in known_plans
         ]
-        room = Room(seen.machines, using)
-        waiting.sort(key=lambda x: self._order(x, live, seen, room) if x[0] in seen.machines else (0,))
+        budget = WorkBudget(observed.machines, in_work)
+        waiting.sort(
+            key=lambda x: (
+                self._sort_key(x, playbacks, observed, budget) if x[0] in observed.machines else (0,)
+            )
+        )
         while waiting:
-            for one in list(waiting):
-                name, _, plan = one
-                if not plan["paused"] and not Room(seen.machines, using).holds_up(name, plan):
-                    waiting.remove(one)
-                    out[name] = round(at / SECOND, 1)
-                    using = {*using, name}
-                    ends.append((at + self._left(State.TOLD, plan), name))
+            for candidate in list(waiting):
+                name, _, plan = candidate
+                if not plan["paused"] and not WorkBudget(observed.machines, in_work).hold_reason(name, plan):
+                    waiting.remove(candidate)
+                    starts[name] = round(at / SECOND, 1)
+                    in_work = {*in_work, name}
+                    ends.append((at + self._remaining_ns(State.TOLD, plan), name))
             if not ends:
                 break
-            at, back = min(ends)
-            ends.remove((at, back))
-            using = using - {back}
-        return {**{name: None for name, _, _ in waiting}, **out}
+            at, returned = min(ends)
+            ends.remove((at, returned))
+            in_work = in_work - {returned}
+        return {**{name: None for name, _, _ in waiting}, **starts}
 
     @staticmethod
-    def _left(state, plan):
-        """ns that a machine in that state still uses the budget."""
+    def _remaining_ns(state, plan):
+        """ns for which a machine that enters `state` still counts against the budgets."""
         needs = plan["needs"]
-        rest = {State.TOLD: plan["drain"] + needs, State.EMPTY: needs, State.OUT: needs}
-        return plan["warm"] + rest.get(state, 0)
+        until_back = {State.TOLD: plan["drain"] + needs, State.EMPTY: needs, State.OUT: needs}
+        return plan["warm"] + until_back.get(state, 0)
 
 
-def _step_of(name, row):
-    """A step, and no other of that machine: it may go for work again, under another plan, and a controller
-    may lead again that led the first time."""
+def _step_key(name, row):
+    """Identifies one step of a machine among all of its drains: it may be worked on again under another plan,
+    and a controller that led during the first drain may lead again."""
     return name, row["n"], row.get("rev", 0)
 
 
-def started_anew(row, machine):
-    """Whether its list says a start that it did not have when it was told to drain. One of long ago is 0, and
-    so may be an older one by a clock that is ahead: from there on only a start after it was told counts."""
+def has_restarted(row, machine):
+    """Whether the machine's list reports another start time than when the machine was told to drain.
+
+    A start time of 0 means long ago; a controller whose clock is ahead may also report 0 for a more recent
+    start. If it was 0, only a start after the machine was told to drain counts.
+    """
     if not machine.started or machine.started == row.get("was", machine.started):
         return False
-    told = max((at for state, _, at in row["log"] if state == State.TOLD.value), default=0)
-    return bool(row["was"]) or machine.started > told * 1_000_000
+    told_ms = max((at for state, _, at in row["log"] if state == State.TOLD.value), default=0)
+    return bool(row["was"]) or machine.started > told_ms * 1_000_000
 
 
 def restarts(state, name, run):
-    """Whether a controller that may be touched is to stop by itself: the very run of it that was told to
-    drain, as the next one finds the same row until it has been seen."""
+    """Whether the controller's process `run` is to stop by itself for a planned restart.
+
+    Only the run that was told to drain may stop: the next one finds the same row until it has been seen.
+    """
     row = rows(state).get(name)
     return (
         row is not None
@@ -408,27 +490,36 @@
     )
 
 
-def under(table):
-    return {name for name, row in table.items() if State(row["state"]) in USING}
+def names_in_budget(rows_by_name):
+    """Return the names of the machines that count against the budgets."""
+    return {name for name, row in rows_by_name.items() if State(row["state"]) in BUDGET_STATES}
 
 
 def spans(state, until):
-    """machine -> [(state, from, until)] in ms, by its log; what has ended has ended."""
+    """Return {machine: [(state, from, until)]} in ms since 1970, by its log.
+
+    The last state lasts to `until`, or has no duration if the work on the machine has ended.
+    """
     out = {}
     for name, row in rows(state).items():
         log = row["log"]
         ends = [at for _, _, at in log[1:]] + [log[-1][2] if State(row["state"]) in ENDED else until]
-        out[name] = [(said, at, max(at, end)) for (said, _, at), end in zip(log, ends, strict=True)]
+        out[name] = [
+            (state_value, at, max(at, end)) for (state_value, _, at), end in zip(log, ends, strict=True)
+        ]
     return out
 
 
-def quiet_of(text):
-    """(from, until) of "22:00-06:30", in s of the day."""
+def parse_quiet_time(text):
+    """Return (from, until) of a text such as "22:00-06:30", in s of the day."""
     ends = [part.split(":") for part in text.split("-")]
     return tuple(int(h) * 3600 + int(m) * 60 for h, m in ends)
 
 
 def never(plan, machines):
-    """Why a plan could never go on, a sentence each: with all else well, a machine still may not go."""
-    room = Room({name: m.well() for name, m in machines.items()}, set())
-    return [f"{name}: {why}" for name in plan["machines"] if (why := room.holds_up(name, plan))]
+    """Return the reasons for which a plan can never complete, one line each: "machine: reason".
+
+    These are the machines that may not start even with all others healthy.
+    """
+    budget = WorkBudget({name: m.as_healthy() for name, m in machines.items()}, set())
+    return [f"{name}: {why}" for name in plan["machines"] if (why := budget.hold_reason(name, plan))]
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -1,5 +1,9 @@
-"""Work on machines in virtual time: a fleet in an arena that places playbacks while machines go in turn, and
-workers that touch what they may. For tests, and for the figures in `docs/fleet.md`."""
+"""Simulation of planned work in virtual time: controllers place playbacks on streamers while the machines
+are taken out one after another, and workers take down the machines with a permit.
+
+Used by tests, and by `benchmarks/work.py` for the figures in `docs/fleet.md`. It must not run in a
+controller.
+"""
 
 import random
 
@@ -9,11 +13,12 @@
 from terndrift.fleet.work import State
 
 SECOND = 1_000_000_000
-NAMES = [f"c{n}" for n in range(6)]
-VOTERS = NAMES[:3]
+CONTROLLER_NAMES = [f"c{n}" for n in range(6)]
+VOTER_NAMES = CONTROLLER_NAMES[:3]
 
 
 def plan(machines, **more):
+    """Return a plan for `machines`; keywords override its fields."""
     return {
         "machines": list(machines),
         "needs": 4 * SECOND,
@@ -31,107 +36,129 @@
 
 
 class Site:
-    """Streamers in racks, controllers that place where they may, workers with permits."""
-
-    def __init__(self, seed=1, names=NAMES, voters=VOTERS, streamers=8, racks=4, rate=0.3, **more):
-        self.names, self.rate = names, rate  # rate: chance of a controller to place in a tenth of a second
+    """Streamers in racks, an Arena of controllers that place where they may, and workers that use permits.
+
+    `rate` is the probability that a controller places a playback in a tenth of a second; other keywords go to
+    Arena. `wrong` collects violations: a machine taken down or out while a controller has playbacks there.
+    """
+
+    def __init__(
+        self,
+        seed=1,
+        names=CONTROLLER_NAMES,
+        voters=VOTER_NAMES,
+        streamers=8,
+        racks=4,
+        rate=0.3,
+        **more,
+    ):
+        self.names, self.rate = names, rate
         self.arena = Arena(names, voters, seed, **more)
-        self.chance = random.Random(f"site/{seed}")
-        # name -> [rack, whether it is there, start]
+        self.random = random.Random(f"site/{seed}")
+        # name -> [rack, whether it is up, time of its last start in ns]
         self.standing = {f"s{n}": [n % racks, True, 0] for n in range(streamers)}
-        self.plays = {n: [] for n in names}  # controller -> [(machine, until)]
-        self.touched, self.wrong, self.out = {}, [], {}  # (machine, step) -> when; what must not be; -> until
-        self.most_out, self.placed = 0, 0
-        self.looked = {}  # controller -> how far its record was read
+        self.playbacks = {n: [] for n in names}  # controller -> [(machine, end in ns)]
+        # (machine, step) -> when it was taken down; violations; machine -> when it is started again
+        self.taken_down_at, self.wrong, self.out_until = {}, [], {}
+        self.most_out, self.placement_count = 0, 0
+        self.last_read = {}  # controller -> last entry of its copy of the record that was read
         self.arena.start()
         for name in names:
-            self.host(name)
+            self.attach(name)
         assert self.arena.until(self.arena.settled, 30) is not None
         self.arena.call("c0", "restart", None)
         followers = [c.follower for c in self.arena.up.values()]
 
-        def all_in():
+        def all_voters_in():
             return all(len(f.state["voters"]) == len(voters) for f in followers)
 
-        assert self.arena.until(all_in, 30) is not None
+        assert self.arena.until(all_voters_in, 30) is not None
 
-    def host(self, name):
+    def attach(self, name):
+        """Connect a controller to the streamers and playbacks; needed after each of its starts."""
         c = self.arena.up[name]
         c.machines = self.machines
-        c.holding = lambda names: {m: sum(p[0] == m for p in self.plays[name]) for m in names}
+        c.holding = lambda names: {m: sum(p[0] == m for p in self.playbacks[name]) for m in names}
 
     def machines(self):
+        """Return {name: Machine} of the streamers, as a controller's list has them."""
         return {
-            n: Machine(n, rack, "", 1.0, there, started, frozenset())
-            for n, (rack, there, started) in self.standing.items()
+            n: Machine(n, rack, "", 1.0, is_up, started, frozenset())
+            for n, (rack, is_up, started) in self.standing.items()
         }
 
-    def state(self, through=None):
+    def states(self, through=None):
+        """Return {machine: State} by one controller's copy of the record, by default the last one's."""
         rows = work.rows(self.arena.up[through or self.names[-1]].follower.state)
         return {m: State(row["state"]) for m, row in rows.items()}
 
     def add(self, name, value, through="c4"):
-        id, what = work.added(self.arena.up[through].follower.state, value, name, "ops")
-        self.arena.call(through, "propose", id, what)
+        """Propose a plan through a controller and wait until it is applied there."""
+        id, entry_value = work.added(self.arena.up[through].follower.state, value, name, "ops")
+        self.arena.call(through, "propose", id, entry_value)
         assert self.arena.until(lambda: id in self.arena.up[through].follower.state["ids"], 20) is not None
 
     def go(self, seconds, until=lambda: False):
-        """Lets time pass: controllers place, playbacks end, workers touch what they may and start it anew."""
+        """Run the simulation, at most `seconds`, in steps of 0.1 s.
+
+        Returns True as soon as `until()` holds, else False.
+        """
         for _ in range(int(seconds * 10)):
             self.arena.run(0.1)
-            self._place()
-            self._touch()
+            self._place_playbacks()
+            self._use_permits()
             if until():
                 return True
         return False
 
-    def _place(self):
+    def _place_playbacks(self):
         now = self.arena.now
         for name, c in self.arena.up.items():
             if name in self.arena.stopped:
                 continue
-            self.plays[name] = [p for p in self.plays[name] if p[1] > now]
-            off, may = c.off(now)
-            there = [m for m, (_, up, _) in self.standing.items() if up and m not in off]
-            if may and there and self.chance.random() < self.rate:
-                self.placed += 1
-                until = now + int(self.chance.uniform(1, 4) * SECOND)
-                self.plays[name].append((self.chance.choice(there), until))
-
-    def _touch(self):
+            self.playbacks[name] = [p for p in self.playbacks[name] if p[1] > now]
+            drained, may_place = c.off(now)
+            available = [m for m, (_, is_up, _) in self.standing.items() if is_up and m not in drained]
+            if may_place and available and self.random.random() < self.rate:
+                self.placement_count += 1
+                until = now + int(self.random.uniform(1, 4) * SECOND)
+                self.playbacks[name].append((self.random.choice(available), until))
+
+    def _use_permits(self):
         now = self.arena.now
-        for machine, until in list(self.out.items()):
+        for machine, until in list(self.out_until.items()):
             if now >= until:
-                del self.out[machine]
+                del self.out_until[machine]
                 self.standing[machine][1:] = True, now
         permits = set()
         for name, c in self.arena.up.items():
-            if self.looked.get(name) != c.follower.last:
-                self.looked[name] = c.follower.last
+            if self.last_read.get(name) != c.follower.last:
+                self.last_read[name] = c.follower.last
                 permits |= {
                     (m, row["n"])
                     for m, row in work.rows(c.follower.state).items()
                     if row["state"] == State.OUT.value and m in self.standing
                 }
-        permits -= self.touched.keys()
+        permits -= self.taken_down_at.keys()
         for machine, n in sorted(permits):
-            self.touched[machine, n] = now
-            held = [
+            self.taken_down_at[machine, n] = now
+            holding = [
                 n
-                for n, plays in self.plays.items()
-                if any(p[0] == machine for p in plays) and n in self.arena.up
+                for n, playbacks in self.playbacks.items()
+                if any(p[0] == machine for p in playbacks) and n in self.arena.up
             ]
-            if held:
-                self.wrong.append(f"{machine} touched while {held} play there")
+            if holding:
+                self.wrong.append(f"{machine} was taken down while {holding} have playbacks there")
             self.standing[machine][1] = False
-            self.out[machine] = now + 2 * SECOND
-        self.most_out = max(self.most_out, sum(not up for _, up, _ in self.standing.values()))
-        for name, plays in self.plays.items():
-            placed = [m for m, _ in plays if m in self.out]
+            self.out_until[machine] = now + 2 * SECOND
+        self.most_out = max(self.most_out, sum(not is_up for _, is_up, _ in self.standing.values()))
+        for name, playbacks in self.playbacks.items():
+            placed = [m for m, _ in playbacks if m in self.out_until]
             if placed and name in self.arena.up:
-                self.wrong.append(f"{name} has {placed} which is out")
-                self.plays[name] = [p for p in plays if p[0] not in self.out]
+                self.wrong.append(f"{name} has playbacks on {placed}, which is out")
+                self.playbacks[name] = [p for p in playbacks if p[0] not in self.out_until]
 
     def done(self):
-        states = self.state()
+        """Whether the work on all machines of all plans has ended."""
+        states = self.states()
         return bool(states) and all(s in work.ENDED for s in states.values())
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -1,47 +1,49 @@
-"""Planned work as a function of what is agreed and seen: times, load, surprises, controllers' own
+"""Rules of planned work, given a record and observations: times of day, load, failures, and controllers as
 machines."""
 
 import pytest
-from test_work import seen
+from test_work import make_observations
 
 from terndrift.fleet import permits, work
 from terndrift.fleet.messages import Holds
-from terndrift.fleet.room import Machine, Room
+from terndrift.fleet.room import Machine, WorkBudget
 from terndrift.fleet.work import State, Work
-from terndrift.fleet.yard import NAMES, SECOND, VOTERS, Site, plan
+from terndrift.fleet.yard import CONTROLLER_NAMES, SECOND, VOTER_NAMES, Site, plan
 
 DAY_MS = 24 * 3600 * 1000
 
 
-def state(rows, plans=None, rev=5):
-    """A record's map of rows {machine: (state, more)}, all of plan p unless `plans` says more."""
+def make_state(rows, plans=None, rev=5):
+    """Return a record's state with rows {machine: (state, fields)}, all of plan p, which by default has them
+    all."""
     map = {work.REV: rev}
-    for name, (where, more) in rows.items():
+    for name, (machine_state, fields) in rows.items():
         map[f"work/m/{name}"] = {
             "plan": "p",
-            "state": where.value,
+            "state": machine_state.value,
             "n": 1,
             "by": "ops",
             "log": [],
             "rev": 1,
             "was": 0,
-            **more,
+            **fields,
         }
     plans = plans or {"p": plan(rows)}
     return {"map": map | {f"work/plan/{n}": {"paused": False, **p} for n, p in plans.items()}}
 
 
-def next_state(one, now, table, at):
-    """{machine: state} that the one next step makes."""
+def next_states(scheduler, now, state, observed):
+    """Return {machine: state} as set by the next step, or {}."""
     out = {}
-    for _, value in one.steps(now, table, at):
+    for _, value in scheduler.steps(now, state, observed):
         out |= {k.removeprefix("work/m/"): v["state"] for k, v in value.items() if k.startswith("work/m/")}
     return out
 
 
-def words(at, now=0, **members):
-    at.holds = {name: (said, now) for name, said in members.items()}
-    return at
+def with_reports(observed, now=0, **reports):
+    """Set the controllers' placement reports, received at `now`, in `observed`, and return it."""
+    observed.holds = {name: (report, now) for name, report in reports.items()}
+    return observed
 
 
 @pytest.mark.parametrize(
@@ -55,208 +57,270 @@
         ("20:00", "its plan's time ended 0 s ago"),
     ],
 )
-def test_a_plan_has_its_time_and_its_quiet_times_by_the_clock_of_most(clock, why):
+def test_times_of_a_plan_go_by_the_median_clock(clock, why):
     hours, minutes = map(int, clock.split(":"))
-    day, wall = 20_000 * 86_400, 20_000 * DAY_MS + (hours * 60 + minutes) * 60_000
-    ends = day + 20 * 3600 if clock != "23:30" else 0
-    value = plan(["s0"], **{"from": day + 8 * 3600, "until": ends}, quiet=["11:30-13:00", "23:00-01:00"])
-    at = words(seen(), c0=Holds(5, {}, wall), c1=Holds(5, {}, wall + 20), c2=Holds(5, {}, wall + 3_600_000))
-    at.wall = wall + 3_600_000  # the leader's own is the one an hour ahead
-    one = Work()
-    went = next_state(one, 0, state({"s0": (State.WAITING, {})}, {"p": value}), at)
-    assert (went, one.why["s0"]) == (({}, why) if why else ({"s0": State.TOLD.value}, ""))
-    alone = words(seen(), c2=at.holds["c2"][0])
+    day_s, wall_ms = 20_000 * 86_400, 20_000 * DAY_MS + (hours * 60 + minutes) * 60_000
+    ends = day_s + 20 * 3600 if clock != "23:30" else 0
+    value = plan(["s0"], **{"from": day_s + 8 * 3600, "until": ends}, quiet=["11:30-13:00", "23:00-01:00"])
+    observed = with_reports(
+        make_observations(),
+        c0=Holds(5, {}, wall_ms),
+        c1=Holds(5, {}, wall_ms + 20),
+        c2=Holds(5, {}, wall_ms + 3_600_000),
+    )
+    observed.wall_ms = wall_ms + 3_600_000  # the leader's own clock is the one an hour ahead
+    scheduler = Work()
+    changes = next_states(scheduler, 0, make_state({"s0": (State.WAITING, {})}, {"p": value}), observed)
+    assert (changes, scheduler.why["s0"]) == (({}, why) if why else ({"s0": State.TOLD.value}, ""))
+    alone = with_reports(make_observations(), c2=observed.holds["c2"][0])
     alone.members = frozenset({"c0", "c1", "c2"})
-    assert "have not been told yet" in one.not_yet(0, {**value, "paused": False}, alone)
+    assert "no majority of the controllers has reported its clock yet" in scheduler.plan_hold_reason(
+        0, {**value, "paused": False}, alone
+    )
 
 
-def test_overload_holds_what_has_not_begun_and_begun_drains_go_on_or_back_as_stated():
+def test_overload_holds_waiting_machines_and_begun_drains_continue_or_are_cancelled_as_planned():
     load = {"c0": Holds(5, {"s0": 1}, 0, 40, 0), "c1": Holds(5, {"s0": 0}, 0, 10, 20)}
     rows = {"s0": (State.TOLD, {}), "s1": (State.WAITING, {})}
-    for begun, goes in (("go on", {}), ("back", {"s0": State.WAITING.value})):
-        one, at = Work(), words(seen(), **load)
-        at.members = frozenset(load)
+    for begun, changes in (("go on", {}), ("back", {"s0": State.WAITING.value})):
+        scheduler, observed = Work(), with_reports(make_observations(), **load)
+        observed.members = frozenset(load)
         value = plan(rows, overload=0.1, begun=begun, most=2)
-        assert next_state(one, 0, state(rows, {"p": value}), at) == goes
-        if not goes:
-            assert one.why["s1"] == "40% of what viewers asked for is turned away (10% may be)"
-            assert next_state(
-                one,
+        assert next_states(scheduler, 0, make_state(rows, {"p": value}), observed) == changes
+        if not changes:
+            assert scheduler.why["s1"] == "40% of viewer requests are rejected (limit 10%)"
+            assert next_states(
+                scheduler,
                 10 * SECOND,
-                state(rows, {"p": value}),
-                words(at, 10 * SECOND, c0=Holds(5, {"s0": 1}, 0, 40, 1)),
+                make_state(rows, {"p": value}),
+                with_reports(observed, 10 * SECOND, c0=Holds(5, {"s0": 1}, 0, 40, 1)),
             ) == {"s1": State.TOLD.value}
-    few = words(seen(), c0=Holds(5, {}, 0, 4, 4))
-    assert few.turned_away(0) == 0, "four say nothing of a share"
+    few = with_reports(make_observations(), c0=Holds(5, {}, 0, 4, 4))
+    assert few.rejected_share(0) == 0, "four requests are too few for a share"
 
 
-def test_what_says_that_it_is_ready_and_is_not_stays_warming_up_then_is_overdue():
+def test_machine_that_reports_ready_but_fails_set_ups_stays_warming_up_and_becomes_overdue():
     rows = {"s0": (State.WARMING, {})}
-    one, table = Work(), state(rows)
-    ill = Holds(5, {}, ill=["s0"])
-    assert next_state(one, 0, table, words(seen(), c1=ill)) == {}
-    assert next_state(one, 3 * SECOND, table, words(seen(), 3 * SECOND, c1=ill)) == {}
-    assert one.why["s0"] == "it says that it is ready, and c1 can't set up there"
-    assert next_state(one, 4 * SECOND, table, words(seen(), 4 * SECOND, c1=Holds(5, {}))) == {"s0": "done"}
-    assert next_state(one, 9 * SECOND, table, words(seen(), 9 * SECOND, c1=ill)) == {"s0": "overdue"}
-    back = seen(s0={"started": 77})
-    [(_, value)] = Work().steps(0, state({"s0": (State.OVERDUE, {"was": 5})}), back)
+    scheduler, state = Work(), make_state(rows)
+    failing = Holds(5, {}, ill=["s0"])
+    assert next_states(scheduler, 0, state, with_reports(make_observations(), c1=failing)) == {}
+    assert (
+        next_states(scheduler, 3 * SECOND, state, with_reports(make_observations(), 3 * SECOND, c1=failing))
+        == {}
+    )
+    assert scheduler.why["s0"] == "it reports ready, but set-ups from c1 fail"
+    assert next_states(
+        scheduler, 4 * SECOND, state, with_reports(make_observations(), 4 * SECOND, c1=Holds(5, {}))
+    ) == {"s0": "done"}
+    assert next_states(
+        scheduler, 9 * SECOND, state, with_reports(make_observations(), 9 * SECOND, c1=failing)
+    ) == {"s0": "overdue"}
+    restarted = make_observations(s0={"started": 77})
+    [(_, value)] = Work().steps(0, make_state({"s0": (State.OVERDUE, {"was": 5})}), restarted)
     row = value["work/m/s0"]
-    assert (row["state"], row["was"]) == ("coming back", 77), "that start brings it back once"
-    assert next_state(Work(), 0, state({"s0": (State.OVERDUE, {"was": 77})}), back) == {}
-
-
-def test_a_machine_back_under_another_start_is_taken_back_whoever_leads_and_one_touched_early_goes_on():
-    back = seen(s0={"started": 77})
-    assert next_state(Work(), 0, state({"s0": (State.OUT, {"was": 5})}), back) == {"s0": "coming back"}
-    assert next_state(Work(), 0, state({"s0": (State.OUT, {"was": 77})}), back) == {}
-    assert next_state(Work(), 0, state({"s0": (State.BACK, {"was": 5})}), seen(s0={"ready": False})) == {}
-    told = [["waiting", "ops", 0], ["told to drain", "leader", 500]]
-    old, new = seen(s0={"started": 400_000_000}), seen(s0={"started": 600_000_000})
-    ahead = state({"s0": (State.OUT, {"was": 0, "log": told})})
-    assert next_state(Work(), 0, ahead, old) == {}, "an old start that a clock ahead took for long ago"
-    assert next_state(Work(), 0, ahead, new) == {"s0": "coming back"}
-    early, one = words(back, c0=Holds(5, {"s0": 2})), Work()
+    assert (row["state"], row["was"]) == ("coming back", 77), "that start counts as a return only once"
+    assert next_states(Work(), 0, make_state({"s0": (State.OVERDUE, {"was": 77})}), restarted) == {}
+
+
+def test_machine_with_a_new_start_time_is_taken_back_by_any_leader_and_an_early_restart_is_ignored():
+    restarted = make_observations(s0={"started": 77})
+    assert next_states(Work(), 0, make_state({"s0": (State.OUT, {"was": 5})}), restarted) == {
+        "s0": "coming back"
+    }
+    assert next_states(Work(), 0, make_state({"s0": (State.OUT, {"was": 77})}), restarted) == {}
+    assert (
+        next_states(
+            Work(), 0, make_state({"s0": (State.BACK, {"was": 5})}), make_observations(s0={"ready": False})
+        )
+        == {}
+    )
+    log = [["waiting", "ops", 0], ["told to drain", "leader", 500]]
+    before_drain = make_observations(s0={"started": 400_000_000})
+    after_drain = make_observations(s0={"started": 600_000_000})
+    unknown_start = make_state({"s0": (State.OUT, {"was": 0, "log": log})})
+    assert next_states(Work(), 0, unknown_start, before_drain) == {}, (
+        "an old start that a clock ahead had reported as long ago"
+    )
+    assert next_states(Work(), 0, unknown_start, after_drain) == {"s0": "coming back"}
+    early, scheduler = with_reports(restarted, c0=Holds(5, {"s0": 2})), Work()
     early.members = frozenset({"c0"})
-    assert next_state(one, 0, state({"s0": (State.TOLD, {"was": 5})}), early) == {}
-    assert "started anew without a permit" in one.why["s0"]
+    assert next_states(scheduler, 0, make_state({"s0": (State.TOLD, {"was": 5})}), early) == {}
+    assert "restarted without a permit" in scheduler.why["s0"]
 
 
-def test_a_controller_that_leads_again_counts_a_later_drain_of_the_same_machine_anew():
-    """It saw the first one agreed long ago, and nothing of how that ended."""
-    one, at = Work(), words(seen())
-    at.members = frozenset({"c0"})
-    assert next_state(one, 0, state({"s0": (State.TOLD, {"rev": 2})}), at) == {}
+def test_controller_that_leads_again_times_a_later_drain_of_the_same_machine_from_its_start():
+    """It saw the first drain agreed long ago, and not how that drain ended."""
+    scheduler, observed = Work(), with_reports(make_observations())
+    observed.members = frozenset({"c0"})
+    assert next_states(scheduler, 0, make_state({"s0": (State.TOLD, {"rev": 2})}), observed) == {}
     later = 1000 * SECOND
-    assert next_state(one, later, state({"s0": (State.TOLD, {"rev": 30})}, rev=30), at) == {}
-    assert "c0 may still place on it" in one.why["s0"]
+    assert (
+        next_states(scheduler, later, make_state({"s0": (State.TOLD, {"rev": 30})}, rev=30), observed) == {}
+    )
+    assert "c0 may still place on it" in scheduler.why["s0"]
     limit = int((work.LIMIT + 6 * SECOND) * 1.02) + SECOND
-    assert next_state(one, later + limit, state({"s0": (State.TOLD, {"rev": 30})}, rev=30), at) == {}
-    assert next_state(one, later + limit + 1, state({"s0": (State.TOLD, {"rev": 30})}, rev=30), at) == {
-        "s0": "empty"
-    }
+    assert (
+        next_states(scheduler, later + limit, make_state({"s0": (State.TOLD, {"rev": 30})}, rev=30), observed)
+        == {}
+    )
+    assert next_states(
+        scheduler, later + limit + 1, make_state({"s0": (State.TOLD, {"rev": 30})}, rev=30), observed
+    ) == {"s0": "empty"}
 
 
-def test_a_drain_gives_way_when_a_titles_other_holder_dies():
+def test_drain_is_cancelled_when_the_other_holder_of_a_title_fails():
     holders = {"titles": frozenset({"lesson"})}
-    rows, one = {"s0": (State.TOLD, {})}, Work()
-    both = words(seen(s0=holders, s1=holders), c0=Holds(5, {"s0": 1}))
+    rows, scheduler = {"s0": (State.TOLD, {})}, Work()
+    both = with_reports(make_observations(s0=holders, s1=holders), c0=Holds(5, {"s0": 1}))
     both.members = frozenset({"c0"})
-    assert next_state(one, 0, state(rows), both) == {}
-    left = words(seen(s0=holders, s1={**holders, "ready": False}), c0=Holds(5, {"s0": 1}))
-    assert next_state(one, 0, state(rows), left) == {"s0": "waiting"}
-    assert next_state(one, 0, state({"s0": (State.OUT, {})}), left) == {}, "nothing out is called back"
+    assert next_states(scheduler, 0, make_state(rows), both) == {}
+    left = with_reports(make_observations(s0=holders, s1={**holders, "ready": False}), c0=Holds(5, {"s0": 1}))
+    assert next_states(scheduler, 0, make_state(rows), left) == {"s0": "waiting"}
+    assert next_states(scheduler, 0, make_state({"s0": (State.OUT, {})}), left) == {}, (
+        "a machine that is out is not recalled"
+    )
 
 
-def test_what_was_out_before_the_record_began_anew_is_found_named_and_left_alone_until_an_operator_says():
+def test_machine_out_in_an_earlier_epoch_is_entered_and_left_alone_until_an_operator_acts():
     row = {"plan": "old", "state": "out", "n": 3, "by": "leader", "rev": 2, "was": 0, "log": []}
     empty = {"map": {}}
-    [(_, value)] = Work().steps(0, empty, words(seen(), c1=Holds(0, {}, left={"s2": row})))
+    [(_, value)] = Work().steps(
+        0, empty, with_reports(make_observations(), c1=Holds(0, {}, left={"s2": row}))
+    )
     assert value["work/m/s2"]["state"] == "found out" and value["work/m/s2"]["plan"] == "old"
-    table = {"map": {k: v for k, v in value.items() if k != "?"}}
-    assert work.told_off(table) == {"s2"} and work.busy(table, ["s2", "s3"]) == ["s2"]
-    one = Work()
-    assert one.steps(0, table, seen()) == [] and "an operator says" in one.why["s2"]
-    new, _ = work.added(table, plan(["s0"], most=1), "new", "ops"), None
-    table = {"map": {**table["map"], **{k: v for k, v in new[1].items() if k != "?"}}}
-    assert one.steps(0, table, seen()) == [] and "1 are missing where 1 may be: s2" in one.why["s0"]
-    _, value = work.step(work.rev(table), "s2", work.rows(table)["s2"], State.BACK, "ops")
-    table = {"map": {**table["map"], **{k: v for k, v in value.items() if k != "?"}}}
-    assert next_state(one, 1, table, seen()) == {"s2": "warming up"}
-
-
-def test_controllers_go_one_by_one_and_no_voter_goes_while_another_is_missing():
-    def room(using=(), **more):
-        all_of = {
+    state = {"map": {k: v for k, v in value.items() if k != "?"}}
+    assert work.told_off(state) == {"s2"} and work.busy(state, ["s2", "s3"]) == ["s2"]
+    scheduler = Work()
+    assert (
+        scheduler.steps(0, state, make_observations()) == [] and "an operator must run" in scheduler.why["s2"]
+    )
+    new, _ = work.added(state, plan(["s0"], most=1), "new", "ops"), None
+    state = {"map": {**state["map"], **{k: v for k, v in new[1].items() if k != "?"}}}
+    assert (
+        scheduler.steps(0, state, make_observations()) == []
+        and "1 unavailable, limit 1: s2" in scheduler.why["s0"]
+    )
+    _, value = work.step(work.rev(state), "s2", work.rows(state)["s2"], State.BACK, "ops")
+    state = {"map": {**state["map"], **{k: v for k, v in value.items() if k != "?"}}}
+    assert next_states(scheduler, 1, state, make_observations()) == {"s2": "warming up"}
+
+
+def test_controllers_go_one_by_one_and_no_voter_goes_while_another_is_unavailable():
+    def make_budget(in_work=(), **ready):
+        controllers = {
             f"controller:c{n}": Machine(
-                f"controller:c{n}", -1, "", 0.0, more.get(f"c{n}", True), 1, voter=n < 3
+                f"controller:c{n}", -1, "", 0.0, ready.get(f"c{n}", True), 1, voter=n < 3
             )
             for n in range(5)
         }
-        return Room({**seen().machines, **all_of}, set(using))
+        return WorkBudget({**make_observations().machines, **controllers}, set(in_work))
 
     value = plan([], most_controllers=2)
-    assert room().holds_up("controller:c0", value) == room().holds_up("controller:c4", value) == ""
-    assert "c4 controllers" not in room(c4=False).holds_up("controller:c0", value)
-    assert "keeps the record, and controller:c1" in room(c1=False).holds_up("controller:c0", value)
-    assert "keeps the record" in room({"controller:c1"}).holds_up("controller:c2", value)
-    assert room({"controller:c1"}).holds_up("controller:c3", value) == ""
-    assert "2 controllers are missing" in room({"controller:c1"}, c3=False).holds_up("controller:c4", value)
-    assert room({"controller:c1"}).holds_up("s0", plan(["s0"])) == "", "streamers are counted by themselves"
-    assert "not there" in room(c4=False).holds_up("controller:c4", value)
+    assert (
+        make_budget().hold_reason("controller:c0", value)
+        == make_budget().hold_reason("controller:c4", value)
+        == ""
+    )
+    assert "c4 controllers" not in make_budget(c4=False).hold_reason("controller:c0", value)
+    assert "it is a voter, and the voter controller:c1" in make_budget(c1=False).hold_reason(
+        "controller:c0", value
+    )
+    assert "it is a voter" in make_budget({"controller:c1"}).hold_reason("controller:c2", value)
+    assert make_budget({"controller:c1"}).hold_reason("controller:c3", value) == ""
+    assert "2 controllers unavailable" in make_budget({"controller:c1"}, c3=False).hold_reason(
+        "controller:c4", value
+    )
+    assert make_budget({"controller:c1"}).hold_reason("s0", plan(["s0"])) == "", (
+        "streamers are counted separately"
+    )
+    assert "not available" in make_budget(c4=False).hold_reason("controller:c4", value)
 
 
-def test_a_controller_drains_gives_up_leading_is_let_go_of_and_taken_back_by_its_new_start():
+def test_controller_drains_gives_up_leadership_gets_a_permit_and_is_taken_back_after_its_restart():
     site = Site(seed=7)
     arena = site.arena
-    site.add("own", plan([f"controller:{n}" for n in NAMES], most_controllers=1, drain=3 * SECOND))
-    let_go, led_while_off = [], []
+    site.add(
+        "own",
+        plan([f"controller:{n}" for n in CONTROLLER_NAMES], most_controllers=1, drain=3 * SECOND),
+    )
+    restarted, led_while_draining = [], []
 
-    def worker():
-        for name in NAMES:
+    def restart_permitted_controllers():
+        for name in CONTROLLER_NAMES:
             c = arena.up.get(name)
             if c and f"controller:{name}" in c.off(arena.now)[0]:
-                site.plays[name] = []
-                if arena.now - told.setdefault(name, arena.now) > 3 * SECOND and c.leader() == name:
-                    led_while_off.append(name)
+                site.playbacks[name] = []
+                if arena.now - told_at.setdefault(name, arena.now) > 3 * SECOND and c.leader() == name:
+                    led_while_draining.append(name)
         rows = work.rows(arena.up[next(iter(arena.up))].follower.state)
         for machine, row in rows.items():
             name = machine.removeprefix("controller:")
-            if row["state"] == "out" and name in arena.up and name not in let_go:
-                let_go.append(name)
+            if row["state"] == "out" and name in arena.up and name not in restarted:
+                restarted.append(name)
                 arena.kill(name)
-                arena.at(arena.now + 2 * SECOND, lambda n=name: (arena.start(n), site.host(n)))
+                arena.at(arena.now + 2 * SECOND, lambda n=name: (arena.start(n), site.attach(n)))
         return len(rows) == 6 and all(r["state"] == "done" for r in rows.values())
 
-    told, most_voters_away = {}, []
-    assert site.go(400, lambda: most_voters_away.append(sum(v not in arena.up for v in VOTERS)) or worker())
-    assert sorted(let_go) == NAMES and max(most_voters_away) == 1 and not led_while_off
+    told_at, voters_down = {}, []
+    assert site.go(
+        400,
+        lambda: (
+            voters_down.append(sum(v not in arena.up for v in VOTER_NAMES)) or restart_permitted_controllers()
+        ),
+    )
+    assert sorted(restarted) == CONTROLLER_NAMES and max(voters_down) == 1 and not led_while_draining
 
 
-def test_when_each_is_likely_to_go_follows_the_order_and_the_budgets():
+def test_estimated_starts_follow_the_order_and_the_budgets():
     rows = {f"s{n}": (State.WAITING, {}) for n in range(4)}
-    table = state(rows, {"p": plan(rows, most=2, ready_share=0.0)})  # each takes 6 + 4 + 2 s
-    assert Work().likely(0, table, seen()) == {"s0": 0.0, "s1": 0.0, "s2": 12.0, "s3": 12.0}
+    state = make_state(rows, {"p": plan(rows, most=2, ready_share=0.0)})  # each takes 6 + 4 + 2 s
+    assert Work().likely(0, state, make_observations()) == {"s0": 0.0, "s1": 0.0, "s2": 12.0, "s3": 12.0}
     rows["s0"] = State.OUT, {}
-    one, table = Work(), state(rows, {"p": plan(rows, most=1, ready_share=0.0)})
-    one.steps(0, table, seen())
-    assert one.likely(4 * SECOND, table, seen()) == {"s1": 2.0, "s3": 14.0, "s2": 26.0}, (
-        "s2 is all that is left of its rack"
+    scheduler, state = Work(), make_state(rows, {"p": plan(rows, most=1, ready_share=0.0)})
+    scheduler.steps(0, state, make_observations())
+    assert scheduler.likely(4 * SECOND, state, make_observations()) == {"s1": 2.0, "s3": 14.0, "s2": 26.0}, (
+        "s2 is the only machine left in its rack"
     )
-    paused = state(rows, {"p": plan(rows, most=1, paused=True)})
-    assert set(one.likely(0, paused, seen()).values()) == {None}
+    paused = make_state(rows, {"p": plan(rows, most=1, paused=True)})
+    assert set(scheduler.likely(0, paused, make_observations()).values()) == {None}
 
 
-def test_spans_are_what_the_log_says_and_what_has_ended_has_ended():
+def test_spans_follow_the_log_and_an_ended_state_has_no_duration():
     log = [["waiting", "ops", 1000], ["told to drain", "leader", 3000], ["given back", "ops", 4000]]
-    table = state({"s0": (State.GIVEN_BACK, {"log": log}), "s1": (State.TOLD, {"log": log[:2]})})
-    assert work.spans(table, 9000) == {
+    state = make_state({"s0": (State.GIVEN_BACK, {"log": log}), "s1": (State.TOLD, {"log": log[:2]})})
+    assert work.spans(state, 9000) == {
         "s0": [("waiting", 1000, 3000), ("told to drain", 3000, 4000), ("given back", 4000, 4000)],
         "s1": [("waiting", 1000, 3000), ("told to drain", 3000, 9000)],
     }
 
 
-def test_of_two_plans_for_one_machine_the_second_is_refused_also_if_both_are_handed_over_at_once():
-    one = {"map": {}}
-    first, second = work.added(one, plan(["s0"]), "a", "ops"), work.added(one, plan(["s0", "s1"]), "b", "ops")
+def test_second_plan_for_a_machine_is_refused_even_if_both_are_proposed_from_the_same_revision():
+    empty = {"map": {}}
+    first, second = (
+        work.added(empty, plan(["s0"]), "a", "ops"),
+        work.added(empty, plan(["s0", "s1"]), "b", "ops"),
+    )
     from terndrift.fleet.agreed import applied, beginning
     from terndrift.fleet.messages import Entry
 
-    table = beginning((1, "e"))
+    state = beginning((1, "e"))
     for n, (id, value) in enumerate((first, second), 1):
-        applied(table, n, Entry(1, "value", f"{id}{n}", value))
-    assert list(table["ids"].values()) == [1, -2], "its proposer can tell that it did not count"
-    assert set(work.plans(table)) == {"a"} and work.busy(table, ["s0", "s1"]) == ["s0"]
+        applied(state, n, Entry(1, "value", f"{id}{n}", value))
+    assert list(state["ids"].values()) == [1, -2], "its proposer can tell that it had no effect"
+    assert set(work.plans(state)) == {"a"} and work.busy(state, ["s0", "s1"]) == ["s0"]
 
 
 @pytest.mark.parametrize("fault", permits.FAULTS)
-def test_a_small_world_of_permits_finds_what_is_planted(fault):
-    one = permits.Checker(fault, asks=1, tells=1, crashes=0)
-    way, what = one.run()
-    assert "places on what may be touched" in what and way[-1].endswith("places"), (way, one.states)
-    assert len(way) <= 8
+def test_permit_checker_finds_injected_faults(fault):
+    checker = permits.Checker(fault, pulls_left=1, reports_left=1, crashes_left=0)
+    path, violation = checker.run()
+    assert "places on a machine with a permit" in violation and path[-1].endswith("places"), (
+        path,
+        checker.states,
+    )
+    assert len(path) <= 8
 
 
-def test_a_small_world_of_permits_holds_as_far_as_it_is_searched():
-    one = permits.Checker(most=15_000)
-    assert one.run() is None and one.states == 15_000
+def test_permit_checker_finds_no_violation_within_its_bound():
+    checker = permits.Checker(max_states=15_000)
+    assert checker.run() is None and checker.states == 15_000
