--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -135,8 +135,10 @@
         == {}
     )
     log = [["waiting", "ops", 0], ["told to drain", "leader", 500]]
-    before_drain = make_observations(s0={"started": 400_000_000})
-    after_drain = make_observations(s0={"started": 600_000_000})
+    before_drain, after_drain = (
+        make_observations(s0={"started": 400_000_000}),
+        make_observations(s0={"started": 600_000_000}),
+    )
     unknown_start = make_state({"s0": (State.OUT, {"was": 0, "log": log})})
     assert next_states(Work(), 0, unknown_start, before_drain) == {}, (
         "an old start that a clock ahead had reported as long ago"
