--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -523,7 +523,7 @@
             else:
                 viewer.writer.close()
             await until(lambda: not world.core.held)
-            await until(lambda: not any(peer.connecting for peer in world.carrier.peers.values()))
+            await until(lambda: not any(p.connecting for p in world.carrier.peers.values()))
             await received_so_far(await world.viewer(), world)
         assert not await sent_ids(world) and not world.carrier.attempts
         peer = next(iter(world.carrier.peers.values()))
