--- a/terndrift/platform/feed.py
+++ b/terndrift/platform/feed.py
@@ -128,7 +128,8 @@
 
     async def follow(self):
         """Polls until cancelled. Failures are logged once per outage and retried with backoff."""
-        while True:
+        # A call that fails while it is cancelled raises its own error, and the cancellation is lost.
+        while not asyncio.current_task().cancelling():
             began, held = time.monotonic(), self.held
             try:
                 await self._poll(POLL_WAIT_MS, CONNECT_TIMEOUT_S, POLL_WAIT_MS / 1000 + REPLY_GRACE_S)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -8,7 +8,9 @@
 from platform_world import in_world
 from world import Log, until
 
+from terndrift.http.client import Broken
 from terndrift.interface import Standing
+from terndrift.platform import feed as feed_module
 from terndrift.platform import settings
 from terndrift.platform.feed import Feed, FeedReplyError
 
@@ -280,6 +282,31 @@
     run(scenario())
 
 
+def test_cancellation_that_meets_a_failing_call_still_ends_the_polling(monkeypatch):
+    """A controller that shuts down while a call fails must not go on polling."""
+
+    calls = []
+
+    async def fail_when_first_cancelled(*_, **__):
+        calls.append(None)
+        try:
+            await asyncio.Event().wait()
+        except asyncio.CancelledError:
+            if len(calls) > 1:
+                raise
+            raise Broken("connection lost") from None
+
+    async def scenario():
+        monkeypatch.setattr(feed_module, "fetch", fail_when_first_cancelled)
+        task = asyncio.ensure_future(recording_feed([]).follow())
+        await until(lambda: calls)
+        task.cancel()
+        ended, _ = await asyncio.wait([task], timeout=2)
+        assert ended and len(calls) == 1
+
+    run(scenario())
+
+
 def test_unanswered_initial_call_times_out_and_leaves_no_connection_open():
     async def scenario():
         async with ScriptedServer() as server:
