--- a/terndrift/fleet/ranks.py
+++ b/terndrift/fleet/ranks.py
@@ -1,67 +1,93 @@
-"""Whose turn it is at a cold streamer: which controllers share its pace, as the record has it. Free of I/O.
-
-Each controller that shares the pace among n takes a part of 1/n. Whatever the views of members, the parts of
-all must never come to more than the whole. So who shares is an entry (names, and those of the one before),
-and from there on:
-
-- who has not known for LIMIT what is agreed, or nothing yet, takes none;
-- for W from its own first sight of an entry, a controller that was named before too goes by the longer of
-  the two lists; W is LIMIT by anybody's clock. Later it goes by the names;
-- a newcomer takes none in that time;
-- a name goes only once it was away for W; one entry follows another after 2 W, the last that the names
-  before are those of now, so that who starts anew then need not wait.
-
-Sum, with n named before and m now. Growing, whoever has seen the entry takes 1/m; whoever has not takes 1/n
-and is one of n; newcomers begin when none of these is left, as they have seen it by then or take none.
-Shrinking, 1/n is taken by who was named before, and 1/m by the m that stay once those that go take none: they
-were away, and know it or know nothing. tests/test_ranks.py tries every pair of views.
+"""Division of the slow start pace of cold streamers among the controllers, as the agreed record has it.
+
+The fleet's Controller calls this module: the leader to propose the next entry, every controller to learn its
+own share. It does no I/O and never lets the shares of all controllers come to more than the whole pace, even
+while their views of the record or of the membership differ.
+
+Each of the n controllers that share the pace takes 1/n. Who shares is an entry of the record; it has the
+names of the controllers and those of the entry before. The rules:
+
+- A controller whose state of the record is older than LIMIT, or that has none yet, takes no share.
+- For TRANSITION_NS after it first saw an entry, a controller that the previous entry named uses the longer of
+  the two lists; TRANSITION_NS covers LIMIT on any controller's clock. After that it uses the current names.
+- A controller that the previous entry didn't name takes no share during that time.
+- A name is removed only after the controller was missing for TRANSITION_NS. An entry follows another after
+  2 TRANSITION_NS; the last one of a series has equal lists, so that a restarted controller need not wait.
+
+Why the sum holds, with n names before and m now: when the list grows, whoever has seen the entry takes 1/m;
+whoever has not takes 1/n and is one of n. New controllers start when none of the latter is left, as each has
+then seen the entry or takes no share. When the list shrinks, the controllers named before take 1/n, and the m
+that stay take 1/m once the removed ones take no share: those were missing, and either know the entry or have
+no current state. tests/test_warm.py checks combinations of views.
 """
 
 from terndrift.fleet.work import DRIFT, LIMIT, NOTICED, may_place
 
-KEY = "ranks"
-W = int(LIMIT * (1 + DRIFT)) + NOTICED
+RECORD_KEY = "ranks"
+TRANSITION_NS = int(LIMIT * (1 + DRIFT)) + NOTICED
 
 
 class Ranks:
+    """One controller's view of the entry that says who shares the slow start pace. Times are in ns."""
+
     def __init__(self):
-        self.of, self.since = None, 0  # the entry in force, and when this controller first saw it
-        self.away = {}  # name -> since when it is not there, by this controller
+        self.entry_id, self.entry_seen_at = (
+            None,
+            0,
+        )  # the current entry, and when this controller first saw it
+        self.missing_since = {}  # name -> since when this controller has found it missing
 
     def look(self, now, state):
-        of = state["epoch"][0], state["map"].get(KEY, {}).get("gen")
-        if of != self.of:
-            self.of, self.since = of, now
-
-    def next(self, now, state, known, there):
-        """The leader's: (id, value) of the next entry, or None. `known`: whom the records name."""
-        self.away = {name: self.away.get(name, now) for name in known if name not in there}
-        row = state["map"].get(KEY)
+        """Notes when the entry in `state` was first seen; called whenever the state may have changed."""
+        entry_id = state["epoch"][0], state["map"].get(RECORD_KEY, {}).get("gen")
+        if entry_id != self.entry_id:
+            self.entry_id, self.entry_seen_at = entry_id, now
+
+    def next(self, now, state, configured_names, alive_names):
+        """Returns (id, value) of the entry that the leader should propose next, or None.
+
+        `configured_names` are the controllers that the records name; `alive_names` those that are there now.
+        """
+        self.missing_since = {
+            name: self.missing_since.get(name, now) for name in configured_names if name not in alive_names
+        }
+        row = state["map"].get(RECORD_KEY)
         if row is None:
-            # until the first one all go by their files; of an earlier record some may still share by that
-            names = sorted(known)
-            return _entry(row, 1, names, names if state["epoch"][0] == 1 else [])
-        if now - self.since < 2 * W:
+            # Until the first entry all controllers use the rank in their files. In a later epoch some may
+            # still share by an entry of the earlier record, so no controller counts as named before.
+            names = sorted(configured_names)
+            return _make_entry(row, 1, names, names if state["epoch"][0] == 1 else [])
+        if now - self.entry_seen_at < 2 * TRANSITION_NS:
             return None
-        gone = {n for n in row["names"] if now - self.away.get(n, now) > W}
-        names = sorted((set(row["names"]) - gone) | (set(there) & set(known)))
+        removed = {n for n in row["names"] if now - self.missing_since.get(n, now) > TRANSITION_NS}
+        names = sorted((set(row["names"]) - removed) | (set(alive_names) & set(configured_names)))
         if names == row["names"] == row["before"]:
             return None
-        return _entry(row, row["gen"] + 1, names, row["names"])
+        return _make_entry(row, row["gen"] + 1, names, row["names"])
+
+    def turn(self, now, state, own_name, state_age):
+        """Returns (number of sharing controllers, (rank, number of ranks)) for the controller `own_name`.
 
-    def turn(self, now, state, me, age):
-        """(how many share, None: not known; (rank, ranks), None: it has no turn); None: the file's rank
-        holds, as nothing was ever settled."""
+        The first is None where it is not known, the second where the controller has no share. Returns None
+        as a whole where nothing was ever agreed; the rank in the configuration files then holds. `state_age`
+        is the age of `state` in ns, None where there is no state yet.
+        """
         self.look(now, state)
-        row = state["map"].get(KEY)
-        if row is None or not may_place(age):
-            return None if row is None and may_place(age) and state["epoch"][0] == 1 else (None, None)
+        row = state["map"].get(RECORD_KEY)
+        if row is None or not may_place(state_age):
+            return None if row is None and may_place(state_age) and state["epoch"][0] == 1 else (None, None)
         names, before = row["names"], row["before"]
-        mine = names
-        if now - self.since < W:
-            mine = max(names, before, key=len) if me in before else ()
-        return len(names), (mine.index(me), len(mine)) if me in names and me in mine else None
+        sharing = names
+        if now - self.entry_seen_at < TRANSITION_NS:
+            sharing = max(names, before, key=len) if own_name in before else ()
+        return len(names), (
+            (sharing.index(own_name), len(sharing)) if own_name in names and own_name in sharing else None
+        )
 
 
-def _entry(row, gen, names, before):
-    return f"{KEY}/{gen}", {"?": {KEY: row}, KEY: {"gen": gen, "names": names, "before": before}}
+def _make_entry(row, gen, names, before):
+    """Returns the id and value of an entry that replaces `row`, which must still be the current one."""
+    return f"{RECORD_KEY}/{gen}", {
+        "?": {RECORD_KEY: row},
+        RECORD_KEY: {"gen": gen, "names": names, "before": before},
+    }
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -5,7 +5,7 @@
 from helpers import T0, Front, S, line
 
 from terndrift.fleet.messages import AskKnown, Knows
-from terndrift.fleet.ranks import KEY, Ranks, W
+from terndrift.fleet.ranks import RECORD_KEY, TRANSITION_NS, Ranks
 from terndrift.fleet.warm import FADES, HANDS, Known
 from terndrift.fleet.work import LIMIT
 
@@ -154,7 +154,7 @@
         return {"epoch": [epoch, ""], "map": {}}
     names, before = rows[-1]
     row = {"gen": len(rows), "names": list(names), "before": list(before)}
-    return {"epoch": [epoch, ""], "map": {KEY: row}}
+    return {"epoch": [epoch, ""], "map": {RECORD_KEY: row}}
 
 
 def parts(views, at):
@@ -179,8 +179,17 @@
                 continue
             views, at = {n: Ranks() for n in all_of}, T0
             for n in all_of:
-                views[n].look(at - 3 * W, old)
-            for passed in (0, S, LIMIT - 1, LIMIT, W - 1, W, LIMIT + W, 2 * W):
+                views[n].look(at - 3 * TRANSITION_NS, old)
+            for passed in (
+                0,
+                S,
+                LIMIT - 1,
+                LIMIT,
+                TRANSITION_NS - 1,
+                TRANSITION_NS,
+                LIMIT + TRANSITION_NS,
+                2 * TRANSITION_NS,
+            ):
                 now, here = at + passed, {}
                 for n, when in zip(all_of, seen_at, strict=True):
                     if when == "anew":  # it started a moment ago, and has heard
@@ -190,32 +199,32 @@
                         here[n] = views[n], old, passed
                     else:
                         ranks = Ranks()
-                        ranks.look(at - 3 * W, old)
+                        ranks.look(at - 3 * TRANSITION_NS, old)
                         ranks.look(at + when, new)
                         here[n] = ranks, new, 0
                 total = parts(here, now)
                 assert total <= 1 + 1e-9, (before, names, seen_at, passed / S, total)
-                least = min(least, total) if passed >= 2 * W and seen_at == (0,) * 6 else least
+                least = min(least, total) if passed >= 2 * TRANSITION_NS and seen_at == (0,) * 6 else least
     assert least > 1 - 1e-9, "once all have seen it the whole pace is used"
 
 
 def test_the_leader_takes_a_name_out_after_a_limit_and_begins_with_the_files_names():
     ranks, now = Ranks(), T0
     id, value = ranks.next(now, state(), set("abc"), set("abc"))
-    assert id == "ranks/1" and value[KEY]["names"] == value[KEY]["before"] == list("abc")
-    assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][KEY]["before"] == []
+    assert id == "ranks/1" and value[RECORD_KEY]["names"] == value[RECORD_KEY]["before"] == list("abc")
+    assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][RECORD_KEY]["before"] == []
     one = state(("abc", "abc"))
     ranks.look(now, one)
     for seconds in range(0, 70, 1):
         found = ranks.next(now + seconds * S, one, set("abc"), set("ab"))
         if found:
             break
-    assert seconds >= 2 * W // S and found[1][KEY]["names"] == list("ab")
+    assert seconds >= 2 * TRANSITION_NS // S and found[1][RECORD_KEY]["names"] == list("ab")
     two = state(("abc", "abc"), ("ab", "abc"))
     ranks.look(now + 100 * S, two)
     assert ranks.next(now + 101 * S, two, set("abc"), set("abc")) is None, "one after the other"
-    _, back = ranks.next(now + 100 * S + 2 * W, two, set("abc"), set("abc"))
-    assert back[KEY]["names"] == list("abc") and back[KEY]["before"] == list("ab")
+    _, back = ranks.next(now + 100 * S + 2 * TRANSITION_NS, two, set("abc"), set("abc"))
+    assert back[RECORD_KEY]["names"] == list("abc") and back[RECORD_KEY]["before"] == list("ab")
 
 
 # The decisions.
