--- a/terndrift/fleet/stages.py
+++ b/terndrift/fleet/stages.py
@@ -1,81 +1,100 @@
-"""A controller's return, stage by stage, and how long each lasts at most. Free of I/O.
+"""Progress of a controller's recovery after a start: its stages and the timeout of each.
 
-`full` here is a controller's own view, by its own viewers; what the whole fleet serves the auditor measures
-(audit/recovery.py)."""
+The fleet service calls it to decide how often to look for news and what to report to operators. It does no
+I/O, and no stage may last longer than its timeout: a recovery must never wait for ever.
+
+`FULL` here is one controller's view, judged by its own viewers; the auditor measures the service of the whole
+fleet (audit/recovery.py).
+"""
 
 from enum import Enum
 
 SECOND = 1_000_000_000
-# Of its own viewers, answered in target, over so many seconds: as the auditor has it.
-WELL, HOLDS = 0.95, 5
+# Share of this controller's own viewers to be answered in target, and over how many seconds. The auditor
+# uses the same two values.
+IN_TARGET_SHARE, HOLDS = 0.95, 5
 
 
 class Stage(Enum):
+    """Stage of a recovery; the values are reported to operators."""
+
     STARTED = "started"  # no list yet
-    LISTED = "has a list"
-    RAMPS = "ramps"  # has heard the fleet, or waited its limit
+    HAS_LIST = "has a list"
+    RAMPING_UP = "ramps"  # has the fleet's record, or timed out waiting for it
     FULL = "full"
 
 
-ROUTES = {
-    Stage.STARTED: (Stage.LISTED,),
-    Stage.LISTED: (Stage.RAMPS,),
-    Stage.RAMPS: (Stage.FULL,),
+TRANSITIONS = {
+    Stage.STARTED: (Stage.HAS_LIST,),
+    Stage.HAS_LIST: (Stage.RAMPING_UP,),
+    Stage.RAMPING_UP: (Stage.FULL,),
     Stage.FULL: (),
 }
 
 
-# ns that each lasts at most; then it goes on as it is. STARTED: the longest that a source's first word is
-# waited for (`first`, 15 s) and once more. LISTED: an election and two questions to voters take under 3 s;
-# alone in the world it goes on after twice that. RAMPS: by then no streamer that was warm before can be taken
-# for cold (`cold_for`, 8 to 10 s), and it is as good as it gets.
-LONGEST = {Stage.STARTED: 30 * SECOND, Stage.LISTED: 6 * SECOND, Stage.RAMPS: 15 * SECOND}
+# ns after which a stage ends even though what it waits for is missing.
+# STARTED: twice the longest wait for the first message of a list source (`first`, 15 s).
+# HAS_LIST: an election and two requests to voters take under 3 s; a controller that reaches no other goes on
+# after twice that.
+# RAMPING_UP: by then no streamer that was warm before can be taken for cold (`cold_for`, 8 to 10 s), so
+# waiting longer improves nothing.
+STAGE_TIMEOUT_NS = {Stage.STARTED: 30 * SECOND, Stage.HAS_LIST: 6 * SECOND, Stage.RAMPING_UP: 15 * SECOND}
 
 
 class Return:
-    """`fleet`: whether there are others to be heard."""
+    """The recovery of one controller; times are in ns.
 
-    def __init__(self, now, fleet):
-        self.stage, self.since, self.began, self.fleet = Stage.STARTED, now, now, fleet
-        self.past, self.why = [], ""  # past: (stage, ns that it took, whether its limit ended it)
+    `has_peers` says whether there are other controllers whose record is to be waited for.
+    """
+
+    def __init__(self, now, has_peers):
+        self.stage, self.stage_since, self.started_at, self.has_peers = Stage.STARTED, now, now, has_peers
+        # past: (stage, ns that it took, whether its timeout ended it); why: what the present stage waits for
+        self.past, self.why = [], ""
 
     def under_way(self):
+        """Tells whether the controller has not reached full service yet."""
         return self.stage is not Stage.FULL
 
-    def look(self, now, listed, heard, asked, in_target):
-        """Goes on as far as it can: whether it has a list, has heard the fleet; of the viewers of the last
-        HOLDS seconds, how many asked and were answered in target."""
+    def look(self, now, has_list, has_record, asked, in_target):
+        """Advances as many stages as the conditions or timeouts allow; called periodically.
+
+        `has_list` and `has_record` say whether the controller has a list of streamers and the fleet's record.
+        Of the viewers of the last HOLDS seconds, `asked` requested something and `in_target` of these were
+        answered in target.
+        """
         while self.stage is not Stage.FULL:
-            done, self.why = self._done(now, listed, heard, asked, in_target)
-            late = now - self.since >= LONGEST[self.stage]
-            if not (done or late):
+            done, self.why = self._check_stage(now, has_list, has_record, asked, in_target)
+            timed_out = now - self.stage_since >= STAGE_TIMEOUT_NS[self.stage]
+            if not (done or timed_out):
                 return
-            self._turn(now, ROUTES[self.stage][0], not done)
+            self._set_stage(now, TRANSITIONS[self.stage][0], not done)
         self.why = ""
 
-    def _done(self, now, listed, heard, asked, in_target):
-        """(whether this stage is over, what it waits for)."""
+    def _check_stage(self, now, has_list, has_record, asked, in_target):
+        """Returns (whether the present stage is complete, what it waits for)."""
         if self.stage is Stage.STARTED:
-            return listed, "a list of streamers"
-        if self.stage is Stage.LISTED:
-            return heard or not self.fleet, "the fleet's record"
-        well = now - self.since >= HOLDS * SECOND and in_target >= WELL * asked
-        return well, f"{WELL:.0%} in target for {HOLDS} s: {in_target} of {asked}"
-
-    def _turn(self, now, stage, by_limit):
-        """Every change of stage."""
-        assert stage in ROUTES[self.stage], f"{self.stage} to {stage}"
-        self.past.append((self.stage, now - self.since, by_limit))
-        self.stage, self.since = stage, now
+            return has_list, "a list of streamers"
+        if self.stage is Stage.HAS_LIST:
+            return has_record or not self.has_peers, "the fleet's record"
+        reached = now - self.stage_since >= HOLDS * SECOND and in_target >= IN_TARGET_SHARE * asked
+        return reached, f"{IN_TARGET_SHARE:.0%} in target for {HOLDS} s: {in_target} of {asked}"
+
+    def _set_stage(self, now, stage, by_timeout):
+        """Makes every change of the stage."""
+        assert stage in TRANSITIONS[self.stage], f"invalid transition from {self.stage} to {stage}"
+        self.past.append((self.stage, now - self.stage_since, by_timeout))
+        self.stage, self.stage_since = stage, now
 
     def report(self, now):
+        """Returns the stage and its history for operators, with times in seconds."""
         return {
             "stage": self.stage.value,
-            "since_s": round((now - self.since) / SECOND, 1),
+            "since_s": round((now - self.stage_since) / SECOND, 1),
             "waits_for": self.why,
-            "up_s": round((now - self.began) / SECOND, 1),
+            "up_s": round((now - self.started_at) / SECOND, 1),
             "past": [
-                {"stage": s.value, "took_s": round(took / SECOND, 2), "by_limit": late}
-                for s, took, late in self.past
+                {"stage": stage.value, "took_s": round(took / SECOND, 2), "by_limit": by_timeout}
+                for stage, took, by_timeout in self.past
             ],
         }
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -101,9 +101,9 @@
     one.look(1, False, False, 0, 0)
     assert (one.stage, one.why) == (stages.Stage.STARTED, "a list of streamers")
     one.look(SECOND, True, False, 0, 0)
-    assert (one.stage, one.why) == (stages.Stage.LISTED, "the fleet's record")
+    assert (one.stage, one.why) == (stages.Stage.HAS_LIST, "the fleet's record")
     one.look(2 * SECOND, True, True, 4, 1)
-    assert one.stage is stages.Stage.RAMPS
+    assert one.stage is stages.Stage.RAMPING_UP
     one.look(7 * SECOND, True, True, 40, 37)
     assert one.why == "95% in target for 5 s: 37 of 40"
     one.look(8 * SECOND, True, True, 40, 38)
@@ -116,10 +116,10 @@
     while one.stage is not stages.Stage.FULL:
         at += SECOND // 2
         one.look(at, False, False, 10, 0)
-    assert at == sum(stages.LONGEST.values()) and all(late for _, _, late in one.past)
+    assert at == sum(stages.STAGE_TIMEOUT_NS.values()) and all(late for _, _, late in one.past)
     alone = stages.Return(0, False)
     alone.look(SECOND, True, False, 0, 0)
-    assert alone.stage is stages.Stage.RAMPS, "nobody is waited for where there is no fleet"
+    assert alone.stage is stages.Stage.RAMPING_UP, "nobody is waited for where there is no fleet"
 
 
 def test_a_try_by_a_word_from_before_its_return_is_stale_and_one_that_was_never_down_is_not():
