--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -6,7 +6,7 @@
 
 from terndrift.core.carried import Kind
 from terndrift.fleet.members import Standing
-from terndrift.fleet.warm import FADES, SECOND
+from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
 from terndrift.fleet.work import LIMIT, may_place
 
 # Bytes a second, in the long run, that keeping it may cost the disk, and how often it is kept at most.
@@ -17,7 +17,7 @@
     """For the next run, in a file. `at`: ns since 1970; `age`: how old what is agreed was then, in ns."""
 
     at: int
-    rows: list[tuple[str, int, int, int, int]]  # warm.Known.keeps
+    rows: list[tuple[str, int, int, int, int]]  # warm.Known.export_own
     turn: tuple[int, int] | None = None
     age: int | None = None
 
@@ -48,13 +48,13 @@
     def look(self):
         """Now and then; oftener while it returns."""
         now = self.clock.now()
-        self.last = {id: at for id, at in self.last.items() if now - at <= FADES}
-        self.known.saw(now, self._rows(now))
+        self.last = {id: at for id, at in self.last.items() if now - at <= OBSERVATION_LIFETIME_NS}
+        self.known.record_own(now, self._rows(now))
         handed, warm = (self._there(), self._turn(now)), {}
         if self.returning():
             warm = {id: use for id, use in self._proven(now).items() if id not in self.told}
         else:
-            self.known.asking = False
+            self.known.requesting = False
         self.told |= warm.keys()
         if warm or handed != self.handed:
             self.handed = handed
@@ -82,7 +82,7 @@
         for id, streamer in self.core.controller.streamers.items():
             line, last = self.listing.line_of(id), self.last.get(id)
             ill = streamer.next_try - streamer.gap if streamer.gap else streamer.down or 0
-            if line is None or last is None and now - ill > FADES:
+            if line is None or last is None and now - ill > OBSERVATION_LIFETIME_NS:
                 continue
             use = min(999, int(100 * streamer.use(now)))
             out.append((line.address, self.clock.wall_ns(line.started), last or ill, ill, use))
@@ -96,7 +96,7 @@
         def here(wall):
             return self.clock.wall_ns(self.clock.of_wall_ns(wall))
 
-        found = self.known.proven(now, started, here)
+        found = self.known.proven_warm(now, started, here)
         return {of[address]: use for address, use in found.items() if address in of}
 
     # Its next run.
@@ -107,7 +107,7 @@
         if now < self.keep_at:
             return None
         wall = self.clock.wall_ns(now)
-        rows = self.known.keeps(now, wall)
+        rows = self.known.export_own(now, wall)
         self.keep_at = now + max(EVERY, 100 * len(rows) * SECOND // BUDGET)  # a row is up to 100 bytes long
         turn = self.handed[1] if self.handed else None
         return Kept(wall, rows, turn, self.controller.follower.age(now))
--- a/terndrift/fleet/stages.py
+++ b/terndrift/fleet/stages.py
@@ -82,7 +82,7 @@
 
     def _set_stage(self, now, stage, by_timeout):
         """Makes every change of the stage."""
-        assert stage in TRANSITIONS[self.stage], f"invalid transition from {self.stage} to {stage}"
+        assert stage in TRANSITIONS[self.stage], f"{self.stage} to {stage}"
         self.past.append((self.stage, now - self.stage_since, by_timeout))
         self.stage, self.stage_since = stage, now
 
--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -1,14 +1,18 @@
-"""What is worth knowing of streamers after a restart: who saw which of them run, since which start, and when
-last; told among members, kept in the controller's own store. Free of I/O.
+"""Observations of streamers that prove, after a restart, which of them are warm.
 
-A streamer is taken for warm on two words together, never on one: its list's, heard in this run, which says
-its start, and a witness's, who saw it run for a whole warm-up under that very start and lately. A fact of
-another start is no fact; each fades in the time in which the decisions' own reports do. So what is wrong, old
-or made up costs time: a streamer is then paced as if it were cold, as without any witness.
+An observation says which controller saw a streamer run, under which start, since when and until when. The
+fleet's Controller calls this module to exchange observations with other members; sight.py adds this
+controller's own, stores them for its next run and asks which streamers are proven warm. It does no I/O.
 
-Guards a mass restart against pacing all streamers as cold. It could do harm where list and witness are wrong
-together: a streamer that restarted within the lateness of its list, which those that never restarted take for
-warm as well.
+A streamer must never be taken for warm on one source alone. It takes two: the list heard in this run, which
+says when the streamer started, and an observer who saw it run for a whole warm-up under that very start and
+recently. An observation of another start doesn't count, and each expires as fast as the decisions' own
+reports. So a wrong, old or invented observation costs only time: the streamer is then subject to slow start
+as a cold one, as without any observer.
+
+This prevents slow start of all streamers after a mass restart of controllers. It fails where list and
+observer are wrong together: a streamer that restarted within the delay of its list, which controllers that
+never restarted take for warm as well.
 """
 
 import zlib
@@ -19,182 +23,267 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-# As the decisions' own reports fade.
-FADES = 15 * SECOND
-# Of a controller's own earlier run: longer than a mass restart takes, and the list must say the same start.
-KEPT = 60 * SECOND
-# Witnesses remembered of a streamer, the latest: enough that one who lies is not alone with his word.
-WITNESSES = 4
-# Between words to one other member, whoever it is; facts in one, which fit a datagram.
-TELL, PIECE = SECOND, 14
-# Between questions after a start, and answers that are enough: each holds what its sender heard of all.
-ASK, ENOUGH = SECOND // 4, 2
-# Answers that one member gives in a second, whoever asks: with whole lists of 500 streamers that is 200 kB/s.
-HANDS = 5
-# Two that saw it fail, each later than whoever saw it well, are believed against him; one alone may lie.
-ILL = 2
+# Observations expire as fast as the decisions' own reports.
+OBSERVATION_LIFETIME_NS = 15 * SECOND
+# For observations of this controller's earlier run: longer than a mass restart takes. The list must still say
+# the same start.
+RESTORED_LIFETIME_NS = 60 * SECOND
+# Latest observers that are remembered of a streamer; enough that a false observation is not the only one.
+MAX_OBSERVERS = 4
+# Between gossip messages, each to one random member; observations in one message, which fit a datagram.
+GOSSIP_INTERVAL_NS, GOSSIP_BATCH = SECOND, 14
+# Between requests after a start, and responses that suffice: each holds what its sender heard of all members.
+REQUEST_INTERVAL_NS, SUFFICIENT_RESPONSES = SECOND // 4, 2
+# Responses of one member in a second, to all requests: 200 kB/s with whole lists of 500 streamers.
+MAX_RESPONSES_PER_SECOND = 5
+# Observers of a failure, each later than whoever saw the streamer run, that outweigh him; one alone may be
+# wrong or lie.
+MIN_FAILURE_OBSERVERS = 2
 
 
 @dataclass(frozen=True)
 class Seen:
-    """Of a streamer, by one witness; times by this controller's clock."""
+    """One observer's observation of a streamer; times are in ns by this controller's clock."""
 
-    who: str
-    run: int  # of the witness: what an earlier run of it saw is gone with the next
-    started: int  # as its list says, ns since 1970; 0: long ago
-    since: int  # it was seen to run from then
-    last: int  # until then
-    ill: int  # when it was seen to fail; 0: not since it last ran
-    use: int  # what is asked of its link, in hundredths of what that gives
+    who: str  # name of the observer; "" for an earlier run of this controller
+    observer_run: int  # an observation of an earlier run of the observer ends with that run
+    started: int  # the streamer's start as its list says, in ns since 1970; 0: long ago
+    seen_from: int
+    seen_until: int
+    failed_at: int  # when it was seen to fail; 0: not since it was last seen to run
+    use: int  # demand on its link, in hundredths of the link's capacity
 
 
 class Known:
+    """Observations of all streamers by this and other controllers.
+
+    `me` is this controller's name and `run` the number of its run; `now` and `cold_for`, the time of a
+    warm-up, are in ns. The owner calls `tick` when `next_at` is due and sends the messages in `out`.
+    """
+
     def __init__(self, me, run, now, cold_for=0):
         self.me, self.run, self.cold_for = me, run, cold_for
-        self.seen = {}  # address -> {who: Seen}
-        self.out, self.asks, self.answers = [], {}, set()  # asks: member -> when; answers: who has answered
-        self.tell_at, self.ask_at, self.told, self.handed = now, now, 0, []
-        self.asking = True  # until ENOUGH have answered, or its return is over
-        self.handed_out = 0
-
-    # What this controller saw, and kept.
-
-    def saw(self, now, rows):
-        """Own sight, now and then: [(address, started, last, ill, use)], `ill` when it was last seen to fail,
-        0: not since it ran."""
-        for address, started, last, ill, use in rows:
-            was = self.seen.get(address, {}).get(self.me)
-            same = was and was.run == self.run and was.started == started and not ill
-            self._put(address, Seen(self.me, self.run, started, was.since if same else last, last, ill, use))
-        self._fade(now)
-
-    def keeps(self, now, wall):
-        """What of its own sight is worth keeping: [[address, started, ns it ran, last, use]], `last` in ns
-        since 1970 where `wall` is now."""
-        mine = [(a, by[self.me]) for a, by in sorted(self.seen.items()) if self.me in by]
+        self.seen = {}  # address -> {observer: Seen}
+        # out: (member, message) to send; requested_at: member -> when; responders: members that responded
+        self.out, self.requested_at, self.responders = [], {}, set()
+        self.next_gossip_at, self.next_request_at, self.gossip_rounds, self.response_times = now, now, 0, []
+        self.requesting = True  # until SUFFICIENT_RESPONSES have come, or the recovery is over
+        self.responses_sent = 0
+
+    # Observations of this controller, in this run and the last.
+
+    def record_own(self, now, rows):
+        """Records this controller's own observations and removes expired ones; called periodically.
+
+        `rows` are (address, started, seen_until, failed_at, use); `failed_at` is when the streamer was last
+        seen to fail, 0 if not since it ran.
+        """
+        for address, started, seen_until, failed_at, use in rows:
+            previous = self.seen.get(address, {}).get(self.me)
+            continues = (
+                previous
+                and previous.observer_run == self.run
+                and previous.started == started
+                and not failed_at
+            )
+            self._put(
+                address,
+                Seen(
+                    self.me,
+                    self.run,
+                    started,
+                    previous.seen_from if continues else seen_until,
+                    seen_until,
+                    failed_at,
+                    use,
+                ),
+            )
+        self._expire(now)
+
+    def export_own(self, now, wall):
+        """Returns this controller's own observations that its next run can use.
+
+        The rows are [address, started, ns it was observed, seen_until, use], where `seen_until` is in ns
+        since 1970 and `wall` is `now` in that scale.
+        """
+        own = [(address, by[self.me]) for address, by in sorted(self.seen.items()) if self.me in by]
         return [
-            [a, s.started, s.last - s.since, wall - (now - s.last), s.use]
-            for a, s in mine
-            if s.run == self.run and not s.ill
+            [
+                address,
+                observation.started,
+                observation.seen_until - observation.seen_from,
+                wall - (now - observation.seen_until),
+                observation.use,
+            ]
+            for address, observation in own
+            if observation.observer_run == self.run and not observation.failed_at
         ]
 
     def restore(self, now, wall, rows):
-        """What an earlier run kept; what is too old, or lies ahead as a clock was set, is nothing."""
-        for address, started, ran, last, use in rows:
-            if 0 <= wall - last <= KEPT:
-                at = now - (wall - last)
-                self._put(address, Seen("", 0, started, at - ran, at, 0, use))
+        """Takes over rows that `export_own` returned in an earlier run.
 
-    def _put(self, address, one):
+        Rows that are too old are ignored, and so are rows that lie in the future because a clock was set.
+        """
+        for address, started, observed, seen_until, use in rows:
+            if 0 <= wall - seen_until <= RESTORED_LIFETIME_NS:
+                at = now - (wall - seen_until)
+                self._put(address, Seen("", 0, started, at - observed, at, 0, use))
+
+    def _put(self, address, observation):
         by = self.seen.setdefault(address, {})
-        by[one.who] = one
-        while len(by) > WITNESSES:
-            del by[min(by, key=lambda who: max(by[who].last, by[who].ill))]
+        by[observation.who] = observation
+        while len(by) > MAX_OBSERVERS:
+            del by[min(by, key=lambda who: max(by[who].seen_until, by[who].failed_at))]
 
-    def _fade(self, now):
+    def _expire(self, now):
         for address, by in list(self.seen.items()):
-            for who, s in list(by.items()):
-                if now - max(s.last, s.ill) > (FADES if who else KEPT):
+            for who, observation in list(by.items()):
+                if now - max(observation.seen_until, observation.failed_at) > (
+                    OBSERVATION_LIFETIME_NS if who else RESTORED_LIFETIME_NS
+                ):
                     del by[who]
             if not by:
                 del self.seen[address]
 
-    # What others say.
+    # Exchange with other members.
 
     def next_at(self):
-        return min(self.tell_at, self.ask_at) if self.asking else self.tell_at
+        """Returns when `tick` is due."""
+        return min(self.next_gossip_at, self.next_request_at) if self.requesting else self.next_gossip_at
 
     def tick(self, now, alive):
-        """`alive`: the members that are there."""
-        if self.asking and now >= self.ask_at:
-            self._ask(now, alive)
-        if now >= self.tell_at:
-            self.tell_at = now + TELL
-            self._fade(now)
+        """Sends a request and a gossip message where each is due.
+
+        `alive` are the names of the members that are there.
+        """
+        if self.requesting and now >= self.next_request_at:
+            self._request(now, alive)
+        if now >= self.next_gossip_at:
+            self.next_gossip_at = now + GOSSIP_INTERVAL_NS
+            self._expire(now)
             if alive and self.seen:
-                self.told += 1
-                to = alive[zlib.crc32(b"%d" % self.told, zlib.crc32(self.me.encode())) % len(alive)]
-                self.out.append((to, self._knows(now, self._some())))
+                self.gossip_rounds += 1
+                to = alive[zlib.crc32(b"%d" % self.gossip_rounds, zlib.crc32(self.me.encode())) % len(alive)]
+                self.out.append((to, self._make_message(now, self._next_batch())))
 
-    def _some(self):
-        """The next PIECE addresses, in turn."""
+    def _next_batch(self):
+        """Returns the next GOSSIP_BATCH addresses, round robin."""
         addresses = sorted(self.seen)
-        first = self.told * PIECE % len(addresses)
-        return (addresses[first:] + addresses[:first])[:PIECE]
+        first = self.gossip_rounds * GOSSIP_BATCH % len(addresses)
+        return (addresses[first:] + addresses[:first])[:GOSSIP_BATCH]
 
-    def _ask(self, now, alive):
-        self.ask_at = now + ASK
+    def _request(self, now, alive):
+        """Asks one member; those already asked come again only when all others have been asked."""
+        self.next_request_at = now + REQUEST_INTERVAL_NS
         order = in_own_order(alive, f"{self.me}/")
-        left = [n for n in order if n not in self.asks] or [n for n in order if n not in self.answers]
-        if left:
-            self.asks[left[0]] = now
-            self.out.append((left[0], AskKnown()))
+        remaining = [n for n in order if n not in self.requested_at] or [
+            n for n in order if n not in self.responders
+        ]
+        if remaining:
+            self.requested_at[remaining[0]] = now
+            self.out.append((remaining[0], AskKnown()))
 
     def asked(self, now, sender):
-        """One answer, if this second has room for it; who gets none asks somebody else."""
-        self.handed = [at for at in self.handed if now - at < SECOND]
-        if len(self.handed) < HANDS and self.seen:
-            self.handed.append(now)
-            self.handed_out += 1
-            self.out.append((sender, self._knows(now, list(self.seen), answers=True)))
-
-    def _knows(self, now, addresses, answers=False):
+        """Responds to a request, unless the limit of this second is reached.
+
+        A sender that gets no response asks another member.
+        """
+        self.response_times = [at for at in self.response_times if now - at < SECOND]
+        if len(self.response_times) < MAX_RESPONSES_PER_SECOND and self.seen:
+            self.response_times.append(now)
+            self.responses_sent += 1
+            self.out.append((sender, self._make_message(now, list(self.seen), answers=True)))
+
+    def _make_message(self, now, addresses, answers=False):
+        """Returns a message with observations of the addresses.
+
+        A response (`answers`) has all of each address, gossip only the latest.
+        """
         facts = []
         for address in addresses:
             by = self.seen[address]
-            some = by.values() if answers else [max(by.values(), key=lambda s: max(s.last, s.ill))]
+            chosen = (
+                by.values() if answers else [max(by.values(), key=lambda s: max(s.seen_until, s.failed_at))]
+            )
             facts += [
                 Fact(
                     address,
                     s.who,
-                    s.run,
+                    s.observer_run,
                     s.started,
-                    (s.last - s.since) // MS,
-                    (now - s.last) // MS,
-                    (now - s.ill) // MS if s.ill else -1,
+                    (s.seen_until - s.seen_from) // MS,
+                    (now - s.seen_until) // MS,
+                    (now - s.failed_at) // MS if s.failed_at else -1,
                     s.use,
                 )
-                for s in some
+                for s in chosen
                 if s.who
             ]
         return Knows(facts, answers)
 
-    def heard(self, now, sender, m, runs):
-        """`runs`: member -> its present run. Ages of an answer count from the question; of another word
-        nobody can tell how long it was on its way, which the sameness of the start bears."""
+    def heard(self, now, sender, message, runs):
+        """Takes over the observations in a message; `runs`: member -> its present run.
+
+        Ages in a response count from the request, so its delay can't make an observation look newer than it
+        is. How long an unrequested message was on its way is unknown; this does no harm, as the start in the
+        list must be the same. Responses that nobody requested are ignored, and so are observations of unknown
+        members, of earlier runs or with times in the future.
+        """
         at = now
-        if m.answers:
-            if sender not in self.asks or sender in self.answers:
+        if message.answers:
+            if sender not in self.requested_at or sender in self.responders:
                 return
-            at = self.asks[sender]
-            self.answers.add(sender)
-            self.asking = len(self.answers) < ENOUGH
-        for f in m.facts:
-            if f.who == self.me or runs.get(f.who) != f.run or min(f.ran, f.ago) < 0:
+            at = self.requested_at[sender]
+            self.responders.add(sender)
+            self.requesting = len(self.responders) < SUFFICIENT_RESPONSES
+        for fact in message.facts:
+            if fact.who == self.me or runs.get(fact.who) != fact.run or min(fact.ran, fact.ago) < 0:
                 continue
-            last = at - f.ago * MS
-            was = self.seen.get(f.address, {}).get(f.who)
-            if was and was.run == f.run and max(was.last, was.ill) >= last:
+            seen_until = at - fact.ago * MS
+            previous = self.seen.get(fact.address, {}).get(fact.who)
+            if (
+                previous
+                and previous.observer_run == fact.run
+                and max(previous.seen_until, previous.failed_at) >= seen_until
+            ):
                 continue
-            ill = at - f.ill * MS if f.ill >= 0 else 0
-            if now - max(last, ill) <= FADES:
-                self._put(f.address, Seen(f.who, f.run, f.started, last - f.ran * MS, last, ill, f.use))
+            failed_at = at - fact.ill * MS if fact.ill >= 0 else 0
+            if now - max(seen_until, failed_at) <= OBSERVATION_LIFETIME_NS:
+                self._put(
+                    fact.address,
+                    Seen(
+                        fact.who,
+                        fact.run,
+                        fact.started,
+                        seen_until - fact.ran * MS,
+                        seen_until,
+                        failed_at,
+                        fact.use,
+                    ),
+                )
+
+    # The proof.
 
-    # What is proven by it.
+    def proven_warm(self, now, started, local_start):
+        """Returns {address: hundredths of its link in demand} of the streamers that are proven warm.
 
-    def proven(self, now, started, here):
-        """{address: hundredths of its link that were asked} of streamers proven warm. `started`: address ->
-        start in ns since 1970 as the list of this run has it, 0: long ago; `here(ns since 1970)`: the same
-        start as this machine's list would say it, which is 0 for all that lies before its own."""
-        out = {}
+        `started` maps addresses to starts in ns since 1970 as the list of this run has them, 0: long ago.
+        `local_start` turns a start in another controller's list into what the list on this machine says of
+        the same start; that is 0 for all starts before the zero of this machine's clock.
+        """
+        proven = {}
         for address, start in started.items():
             by = self.seen.get(address, {}).values()
-            well = [
-                s for s in by if here(s.started) == start and not s.ill and s.last - s.since >= self.cold_for
+            valid = [
+                s
+                for s in by
+                if local_start(s.started) == start
+                and not s.failed_at
+                and s.seen_until - s.seen_from >= self.cold_for
             ]
-            if not well:
+            if not valid:
                 continue
-            latest = max(well, key=lambda s: s.last)
-            if sum(s.ill > latest.last for s in by) < ILL:
-                out[address] = latest.use
-        return out
+            latest = max(valid, key=lambda s: s.seen_until)
+            if sum(s.failed_at > latest.seen_until for s in by) < MIN_FAILURE_OBSERVERS:
+                proven[address] = latest.use
+        return proven
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -276,7 +276,7 @@
                         answers,
                     )
 
-                front.controller.warm._knows = lies
+                front.controller.warm._make_message = lies
 
         world._kill = kill
         world.run()
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -6,7 +6,7 @@
 
 from terndrift.fleet.messages import AskKnown, Knows
 from terndrift.fleet.ranks import RECORD_KEY, TRANSITION_NS, Ranks
-from terndrift.fleet.warm import FADES, HANDS, Known
+from terndrift.fleet.warm import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
 from terndrift.fleet.work import LIMIT
 
 COLD = 8 * S
@@ -24,7 +24,7 @@
         self.known = {n: Known(n, 1, self.now, COLD) for n in self.runs}
 
     def sees(self, who, address, started=5, ill=0, use=40):
-        self.known[who].saw(self.now, [(address, started, self.now, self.now if ill else 0, use)])
+        self.known[who].record_own(self.now, [(address, started, self.now, self.now if ill else 0, use)])
 
     def says(self, who, to, m):
         self.known[to].heard(self.now, who, m, self.runs)
@@ -58,23 +58,25 @@
     town.run(12, ("c0", "a", 5), ("c1", "b", 6))
     one = town.anew("c3")
     town.run(1)
-    assert one.proven(town.now, {"a": 5, "b": 6}, same) == {"a": 40, "b": 40}
-    assert one.proven(town.now, {"a": 7, "b": 6}, same) == {"b": 40}, "a fact of another start is no fact"
-    assert one.proven(town.now, {"c": 5}, same) == {}, "nobody saw it"
-    town.run(FADES // S + 1)
-    assert one.proven(town.now, {"a": 5, "b": 6}, same) == {}, "facts fade"
+    assert one.proven_warm(town.now, {"a": 5, "b": 6}, same) == {"a": 40, "b": 40}
+    assert one.proven_warm(town.now, {"a": 7, "b": 6}, same) == {"b": 40}, (
+        "a fact of another start is no fact"
+    )
+    assert one.proven_warm(town.now, {"c": 5}, same) == {}, "nobody saw it"
+    town.run(OBSERVATION_LIFETIME_NS // S + 1)
+    assert one.proven_warm(town.now, {"a": 5, "b": 6}, same) == {}, "facts fade"
 
 
 def test_a_witness_counts_once_it_has_seen_a_whole_warm_up_without_a_failure():
     town = Town()
     town.run(7, ("c0", "a", 5))
     one = town.known["c1"]
-    assert one.proven(town.now, {"a": 5}, same) == {}
+    assert one.proven_warm(town.now, {"a": 5}, same) == {}
     town.run(8, ("c0", "a", 5))
-    assert one.proven(town.now, {"a": 5}, same)
+    assert one.proven_warm(town.now, {"a": 5}, same)
     town.sees("c0", "a", ill=True)
     town.run(7, ("c0", "a", 5))
-    assert one.proven(town.now, {"a": 5}, same) == {}, "it has failed since, and may have started anew"
+    assert one.proven_warm(town.now, {"a": 5}, same) == {}, "it has failed since, and may have started anew"
 
 
 def test_one_alone_who_says_that_all_are_ill_is_not_believed_and_two_are():
@@ -82,16 +84,16 @@
     town.run(12, ("c0", "a", 5))
     town.sees("c1", "a", ill=True)
     town.run(8, ("c0", "a", 5))
-    assert town.known["c3"].proven(town.now, {"a": 5}, same), "c0 saw it well after that"
+    assert town.known["c3"].proven_warm(town.now, {"a": 5}, same), "c0 saw it well after that"
     liar = town.known["c1"]
     for _ in range(3):
         town.now += S
         town.sees("c1", "a", ill=True)
-        town.says("c1", "c3", liar._knows(town.now, ["a"]))
-    assert town.known["c3"].proven(town.now, {"a": 5}, same)
+        town.says("c1", "c3", liar._make_message(town.now, ["a"]))
+    assert town.known["c3"].proven_warm(town.now, {"a": 5}, same)
     town.sees("c2", "a", ill=True)
-    town.says("c2", "c3", town.known["c2"]._knows(town.now, ["a"]))
-    assert town.known["c3"].proven(town.now, {"a": 5}, same) == {}
+    town.says("c2", "c3", town.known["c2"]._make_message(town.now, ["a"]))
+    assert town.known["c3"].proven_warm(town.now, {"a": 5}, same) == {}
 
 
 def test_facts_from_the_future_of_old_runs_and_of_those_that_nobody_asked_are_nothing():
@@ -115,7 +117,7 @@
     asked = {n: 0 for n in town.known}
     for n in list(town.known):
         if n in old:
-            town.known[n].handed_out = 0
+            town.known[n].responses_sent = 0
         else:
             town.anew(n)
     for _ in range(12):  # three seconds
@@ -125,20 +127,20 @@
                 one.tick(town.now, [n for n in town.known if n != who])
                 for to, m in one.out:
                     asked[to] += isinstance(m, AskKnown)
-        before = {n: town.known[n].handed_out for n in old}
+        before = {n: town.known[n].responses_sent for n in old}
         town.carry()
-        assert all(town.known[n].handed_out - before[n] <= HANDS for n in old)
-    assert all(town.known[n].proven(town.now, {"a": 5}, same) for n in town.known)
+        assert all(town.known[n].responses_sent - before[n] <= MAX_RESPONSES_PER_SECOND for n in old)
+    assert all(town.known[n].proven_warm(town.now, {"a": 5}, same) for n in town.known)
     assert max(asked.values()) <= 20, asked
 
 
 def test_what_an_earlier_run_kept_counts_under_the_same_start_and_not_for_long():
     town = Town()
     town.run(12, ("c0", "a", 5))
-    kept = town.known["c0"].keeps(town.now, 500 * S)
+    kept = town.known["c0"].export_own(town.now, 500 * S)
     one = town.anew("c0")
     one.restore(town.now, 504 * S, kept)
-    assert one.proven(town.now, {"a": 5}, same) and not one.proven(town.now, {"a": 6}, same)
+    assert one.proven_warm(town.now, {"a": 5}, same) and not one.proven_warm(town.now, {"a": 6}, same)
     for wall in (499 * S, 500 * S + 61 * S):  # a clock that was set back; too long ago
         one = town.anew("c0")
         one.restore(town.now, wall, kept)
