--- a/terndrift/fleet/copies.py
+++ b/terndrift/fleet/copies.py
@@ -1,10 +1,14 @@
-"""Which catalogue a controller serves after a start: its own disk may be empty, or of yesterday. Free of I/O.
+"""Synchronisation of the title catalogue after a start, as a controller's disk may be empty or out of date.
 
-What is the same change has the same id on every controller, so of two catalogues the one that has the other's
-newest change and more behind it is ahead. Before it serves any title a controller that has started asks
-members how far theirs are; one that is behind takes a copy of the furthest. So a title that was removed
-everywhere does not come back from one old disk. It could do harm where operators change controllers one by
-one on purpose: such a difference is told, and nothing is copied unless two others are of one mind.
+A change has the same id on every controller, so of two catalogues the one that has the other's newest change
+and later ones is ahead. A controller that has started asks members for the ends of their catalogues; if it
+is behind, it takes a copy of the one that is furthest ahead. It must not serve any title before it is
+confirmed, so that a title removed everywhere doesn't return from one old disk.
+
+The risk is in operators who change controllers one by one on purpose: such a difference is reported, and
+nothing is copied unless two other controllers agree.
+
+The fleet service drives this module and makes the copies; the module does no I/O.
 """
 
 from enum import Enum
@@ -14,122 +18,158 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-# Between questions, and how many at once; one answer of who is sure is enough, else those of more than half
-# of all, but no more than so many: where half have the newest, that all of these lack it is 1 case in 4,096.
-ASK, AT_ONCE, ANY = SECOND // 4, 4, 12
-# As long as the stage in which it waits (stages.LONGEST): alone in the world it serves what it has.
-LIMIT = 6 * SECOND
-# Ids in a word: it fits a datagram, and who is further behind than that lacks the newest all the same.
-IDS = 24
-COPY = "copy:"  # begins the id of the change that puts a copy in place; it brings the ids of what it holds
+# Between requests, and how many at once. One response of a confirmed member is enough, else those of more
+# than half of all controllers, but at most MAX_RESPONSES_NEEDED: where half of them have the newest change,
+# the chance that all of these lack it is 1 in 4,096.
+REQUEST_INTERVAL_NS, PARALLEL_REQUESTS, MAX_RESPONSES_NEEDED = SECOND // 4, 4, 12
+# As long as the recovery stage in which it waits (stages.STAGE_TIMEOUT_NS). A controller that reaches no
+# other then serves what it has.
+SYNC_TIMEOUT_NS = 6 * SECOND
+# Change ids in a message, so that it fits a datagram. A controller further behind than this still lacks the
+# newest change, so it is found to be behind.
+HEAD_IDS = 24
+COPY = (
+    "copy:"  # prefix of the id of the change that installs a copy, which adds the ids of the copied changes
+)
 
 
 class Standing(Enum):
-    ASKING = "asks how far others are"
+    """State of the synchronisation."""
+
+    COMPARING = "asks how far others are"
     BEHIND = "takes a copy"
-    SURE = "sure"
+    CONFIRMED = "sure"
 
 
-ROUTES = {
-    Standing.ASKING: (Standing.BEHIND, Standing.SURE),
-    Standing.BEHIND: (Standing.ASKING, Standing.SURE),
-    Standing.SURE: (),
+TRANSITIONS = {
+    Standing.COMPARING: (Standing.BEHIND, Standing.CONFIRMED),
+    Standing.BEHIND: (Standing.COMPARING, Standing.CONFIRMED),
+    Standing.CONFIRMED: (),
 }
 
 
 class Copies:
-    """`ids()`: of the changes that this catalogue has, newest last; `others`: how many the records name, who
-    are there or not: a majority of the few that are up first would be none."""
-
-    def __init__(self, me, now, ids, others):
-        self.me, self.all_ids, self.began = me, ids, now
-        self.standing, self.why = Standing.ASKING if others else Standing.SURE, ""
-        self.judged, self.others = False, others  # judged: others' word made it sure, and not its limit
-        self.heads, self.asks, self.out, self.ask_at = {}, {}, [], now
-        self.source = None  # member to take a copy of
-        self.refused = set()  # who could not give one
+    """Synchronisation of one controller's catalogue; times are in ns.
+
+    `me` is this controller's name. `get_change_ids()` returns the ids of the changes in its catalogue, newest
+    last. `peer_count` is the number of other controllers that the records name, whether they are there or
+    not: more than half of the few that are up first would be no majority. The owner sends the messages in
+    `out`, and in the state BEHIND copies the catalogue of `source` and calls `copied`.
+    """
+
+    def __init__(self, me, now, get_change_ids, peer_count):
+        self.me, self.get_change_ids, self.started_at = me, get_change_ids, now
+        self.standing, self.why = Standing.COMPARING if peer_count else Standing.CONFIRMED, ""
+        # confirmed_by_peers: responses confirmed it, not the timeout
+        self.confirmed_by_peers, self.peer_count = False, peer_count
+        self.heads_by_name, self.request_counts, self.out, self.next_request_at = {}, {}, [], now
+        self.source = None  # member to copy from
+        self.failed_sources = set()  # members that could not provide a copy
 
     def begin(self, now):
-        """From now on it can ask: a first list may have been waited for, longer than the limit."""
-        self.began = self.ask_at = now
+        """Restarts the timeout once messages can be sent, as the wait for a first list may exceed it."""
+        self.started_at = self.next_request_at = now
 
     def ids(self):
-        return [id for id in self.all_ids() if not id.startswith(COPY)]
+        """Returns the ids of the changes in the catalogue, newest last, without those that install a copy."""
+        return [id for id in self.get_change_ids() if not id.startswith(COPY)]
 
     def sure(self):
-        return self.standing is Standing.SURE
+        """Tells whether the catalogue may be served."""
+        return self.standing is Standing.CONFIRMED
 
     def next_at(self):
-        return None if self.sure() else self.ask_at
+        """Returns when `tick` is due; None: no more."""
+        return None if self.sure() else self.next_request_at
 
     def head(self):
+        """Returns the end of this catalogue as a message."""
         ids = self.ids()
-        return Head(len(ids), ids[-IDS:], self.judged)
+        return Head(len(ids), ids[-HEAD_IDS:], self.confirmed_by_peers)
 
     def asked(self, sender):
+        """Responds to a request."""
         self.out.append((sender, self.head()))
 
     def tick(self, now, alive):
-        if self.sure() or now < self.ask_at:
+        """Sends requests that are due and applies the timeout; `alive`: names of members that are there."""
+        if self.sure() or now < self.next_request_at:
             return
-        self.ask_at = now + ASK
-        if now - self.began >= LIMIT:
-            return self._turn(Standing.SURE, "its limit ended that" if alive else "nobody else is there")
-        if self.standing is Standing.ASKING:
-            left = [n for n in in_own_order(alive, f"{self.me}+") if n not in self.heads]
-            for to in sorted(left, key=lambda n: self.asks.get(n, 0))[:AT_ONCE]:
-                self.asks[to] = self.asks.get(to, 0) + 1
+        self.next_request_at = now + REQUEST_INTERVAL_NS
+        if now - self.started_at >= SYNC_TIMEOUT_NS:
+            return self._set_state(
+                Standing.CONFIRMED,
+                "timed out without confirmation" if alive else "no other controller is there",
+            )
+        if self.standing is Standing.COMPARING:
+            remaining = [n for n in in_own_order(alive, f"{self.me}+") if n not in self.heads_by_name]
+            for to in sorted(remaining, key=lambda n: self.request_counts.get(n, 0))[:PARALLEL_REQUESTS]:
+                self.request_counts[to] = self.request_counts.get(to, 0) + 1
                 self.out.append((to, AskHead()))
-            if not left:  # all have answered, and one that could not give a copy is not asked again
-                self._judge()
+            if not remaining:  # all have responded, and one that failed to provide a copy is not asked again
+                self._evaluate()
         return None
 
     def heard(self, sender, head):
-        if sender in self.asks:
-            self.heads[sender] = head
-            if self.standing is Standing.ASKING:
-                self._judge()
-
-    def _ahead(self, head):
-        """By how many changes that catalogue is ahead; 0: it is not; None: neither has the other's newest."""
-        mine = self.ids()
-        if not head.ids or head.ids[-1] in mine:
+        """Takes a response; one that wasn't requested is ignored."""
+        if sender in self.request_counts:
+            self.heads_by_name[sender] = head
+            if self.standing is Standing.COMPARING:
+                self._evaluate()
+
+    def _changes_ahead(self, head):
+        """Returns how many changes that catalogue is ahead, 0 if it is not.
+
+        None if the two differ: neither has the other's newest change.
+        """
+        own_ids = self.ids()
+        if not head.ids or head.ids[-1] in own_ids:
             return 0
-        if not mine:
+        if not own_ids:
             return head.count
-        # who was so far behind that its newest is not told any more still has fewer
-        if mine[-1] in head.ids:
-            return len(head.ids) - head.ids.index(mine[-1]) - 1
-        return head.count - len(mine) if head.count > IDS and head.count > len(mine) else None
-
-    def _judge(self):
-        ahead = {name: self._ahead(head) for name, head in self.heads.items()}
-        further = {name: n for name, n in ahead.items() if n and name not in self.refused}
-        other = [name for name, n in ahead.items() if n is None and name not in self.refused]
-        alike = [n for n in other if sum(self.heads[m].ids[-1:] == self.heads[n].ids[-1:] for m in other) > 1]
-        if further or alike:
-            self.source = max(further, key=further.get) if further else alike[0]
-            return self._turn(Standing.BEHIND, f"of {self.source}")
+        # a controller so far behind that the head no longer has its newest change still has fewer changes
+        if own_ids[-1] in head.ids:
+            return len(head.ids) - head.ids.index(own_ids[-1]) - 1
+        return head.count - len(own_ids) if head.count > HEAD_IDS and head.count > len(own_ids) else None
+
+    def _evaluate(self):
+        """Decides by the responses so far whether to copy, and from whom, or whether all is confirmed."""
+        ahead = {name: self._changes_ahead(head) for name, head in self.heads_by_name.items()}
+        further = {name: n for name, n in ahead.items() if n and name not in self.failed_sources}
+        differing = [name for name, n in ahead.items() if n is None and name not in self.failed_sources]
+        agreeing = [
+            n
+            for n in differing
+            if sum(self.heads_by_name[m].ids[-1:] == self.heads_by_name[n].ids[-1:] for m in differing) > 1
+        ]
+        if further or agreeing:
+            self.source = max(further, key=further.get) if further else agreeing[0]
+            return self._set_state(Standing.BEHIND, f"of {self.source}")
         if any(ahead.values()):
-            return None  # some are further that could give no copy: somebody else may, until the limit
-        one = any(self.heads[n].sure for n, by in ahead.items() if by == 0)
-        if one or len(ahead) >= min(ANY, self.others // 2 + 1):
-            self.judged = True
-            return self._turn(Standing.SURE, f"{other[0]} has another" if other else "none is ahead")
+            return None  # those ahead could provide no copy; another member may, until the timeout
+        has_confirmed = any(self.heads_by_name[n].sure for n, by in ahead.items() if by == 0)
+        if has_confirmed or len(ahead) >= min(MAX_RESPONSES_NEEDED, self.peer_count // 2 + 1):
+            self.confirmed_by_peers = True
+            return self._set_state(
+                Standing.CONFIRMED, f"{differing[0]} has another" if differing else "none is ahead"
+            )
         return None
 
     def copied(self, whole):
-        """The copy is in place (`whole`), or could not be had: another one is asked."""
+        """Notes that the copy is in place (`whole`) or failed; after a failure another source is tried."""
         if self.standing is not Standing.BEHIND:
             return
         if not whole:
-            self.refused.add(self.source)
-        self.judged = whole and self.heads[self.source].sure
-        self._turn(Standing.SURE if self.judged else Standing.ASKING, "copied" if self.judged else "")
-        if not self.judged:
-            self._judge()  # of one that was not sure itself: others may be further
-
-    def _turn(self, standing, why):
-        """Every change of its standing."""
-        assert standing in ROUTES[self.standing], f"{self.standing} to {standing}"
+            self.failed_sources.add(self.source)
+        self.confirmed_by_peers = whole and self.heads_by_name[self.source].sure
+        self._set_state(
+            Standing.CONFIRMED if self.confirmed_by_peers else Standing.COMPARING,
+            "copied" if self.confirmed_by_peers else "",
+        )
+        if not self.confirmed_by_peers:
+            self._evaluate()  # the source wasn't confirmed itself, so others may be ahead of it
+
+    def _set_state(self, standing, why):
+        """Makes every change of the state."""
+        assert standing in TRANSITIONS[self.standing], f"{self.standing} to {standing}"
         self.standing, self.why = standing, why
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from terndrift.fleet.copies import ANY, LIMIT, Copies, Standing
+from terndrift.fleet.copies import MAX_RESPONSES_NEEDED, SYNC_TIMEOUT_NS, Copies, Standing
 from terndrift.fleet.messages import AskHead, Head
 
 S = 1_000_000_000
@@ -62,7 +62,7 @@
     alone = Town({"c0": OLD, "c1": NEW}, deaf=["c0"])
     assert alone.run(5).get("c0") is None
     at, what = alone.run(2)["c0"]
-    assert LIMIT / S <= at < LIMIT / S + 0.2 and what == "b"
+    assert SYNC_TIMEOUT_NS / S <= at < SYNC_TIMEOUT_NS / S + 0.2 and what == "b"
     assert not alone.up["c0"].head().sure, "its limit proves nothing to others"
 
 
@@ -81,19 +81,22 @@
     large = Town({f"c{n}": NEW if n % 2 else OLD for n in range(300)})
     served = large.run(7)
     assert len(served) == 300 and all(what == "d" for _, what in served.values())
-    assert large.most <= 4 * 300 and max(len(one.asks) for one in large.up.values()) <= 2 * ANY
+    assert (
+        large.most <= 4 * 300
+        and max(len(one.request_counts) for one in large.up.values()) <= 2 * MAX_RESPONSES_NEEDED
+    )
 
 
 def test_answers_that_nobody_asked_for_change_nothing_and_its_changes_of_standing_are_few():
     one = Copies("c0", 0, lambda: OLD, 3)
     one.heard("c1", Head(9, NEW, True))
-    assert one.standing is Standing.ASKING and not one.heads
+    assert one.standing is Standing.COMPARING and not one.heads_by_name
     one.tick(0, ["c1"])
     one.heard("c1", Head(9, NEW, True))
     assert one.standing is Standing.BEHIND
     one.copied(True)
     with pytest.raises(AssertionError):
-        one._turn(Standing.BEHIND, "")
+        one._set_state(Standing.BEHIND, "")
 
 
 def test_the_few_that_are_up_first_are_no_majority():
@@ -101,18 +104,18 @@
     replaced."""
     one = Copies("c0", 0, lambda: OLD, 19)
     for n in range(1, 10):
-        one.asks[f"c{n}"] = 1
+        one.request_counts[f"c{n}"] = 1
         one.heard(f"c{n}", Head(2, OLD, False))
-    assert one.standing is Standing.ASKING, "nine of nineteen: the ten others may have a newer one"
-    one.asks["c10"] = 1
+    assert one.standing is Standing.COMPARING, "nine of nineteen: the ten others may have a newer one"
+    one.request_counts["c10"] = 1
     one.heard("c10", Head(2, OLD, False))
-    assert one.standing is Standing.SURE
+    assert one.standing is Standing.CONFIRMED
 
 
 def test_its_limit_counts_from_when_it_can_ask():
     one = Copies("c0", 0, lambda: OLD, 3)
     one.begin(20 * S)
     one.tick(20 * S, ["c1"])
-    assert one.standing is Standing.ASKING and one.out
-    one.tick(20 * S + LIMIT, ["c1"])
-    assert one.sure() and not one.judged
+    assert one.standing is Standing.COMPARING and one.out
+    one.tick(20 * S + SYNC_TIMEOUT_NS, ["c1"])
+    assert one.sure() and not one.confirmed_by_peers
