--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -1,6 +1,10 @@
-"""What a controller's own traffic and list tell of streamers, for the others and for its next run; and what
-is made of it all after a start: handed to the decisions by one call of their contract. Decides nothing, no
-I/O."""
+"""Collection of what this controller's traffic and list say of streamers, and its use after a start.
+
+The fleet service calls `look` periodically. It passes own observations to the store in warm.py, from which
+other controllers get them, saves them for the next run, and reports to the core, by one call of the
+decisions' contract, how many controllers there are, which slow start share this one has and which streamers
+are proven warm. This module must never make a placement decision, and does no I/O; the owner writes the file.
+"""
 
 import msgspec
 
@@ -9,113 +13,152 @@
 from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
 from terndrift.fleet.work import LIMIT, may_place
 
-# Bytes a second, in the long run, that keeping it may cost the disk, and how often it is kept at most.
-BUDGET, EVERY = 4096, 10 * SECOND
+# Mean rate of bytes that saving may write to the disk, and the least time between saves.
+SAVE_BYTES_PER_SECOND, MIN_SAVE_INTERVAL_NS = 4096, 10 * SECOND
 
 
 class Kept(msgspec.Struct):
-    """For the next run, in a file. `at`: ns since 1970; `age`: how old what is agreed was then, in ns."""
+    """Contents of the file for the next run."""
 
-    at: int
-    rows: list[tuple[str, int, int, int, int]]  # warm.Known.export_own
-    turn: tuple[int, int] | None = None
-    age: int | None = None
+    at: int  # when it was saved, in ns since 1970
+    rows: list[tuple[str, int, int, int, int]]  # from warm.Known.export_own
+    turn: tuple[int, int] | None = None  # slow start share: (rank, number of ranks)
+    age: int | None = None  # age of the agreed state when saved, in ns
 
 
 class Sight:
-    """`returning()`: whether this controller's return is still under way."""
-
-    def __init__(self, controller, listing, host, cold_for, rank, returning):
-        self.known, self.controller, self.listing, self.host = controller.warm, controller, listing, host
-        self.core, self.clock, self.returning = host.core, host.clock, returning
-        self.rank = rank  # (rank, controllers) of the files, as long as nothing is settled
-        self.known.cold_for, controller.ranked = cold_for, True
-        self.last = {}  # id -> when it was last seen well
-        self.handed, self.told = (), set()  # what the decisions have: count and turn; ids proven warm
-        self.keep_at = host.clock.now() + EVERY
-        self.former = None  # (its turn, until when) of its last run, if that is not long ago
+    """Collects observations of one controller and reports to its core; times are in ns.
+
+    `controller` is the fleet's Controller, `host` steps the core, `cold_for` is the time of a warm-up.
+    `configured_rank` is (rank, number of controllers) of the configuration files, which holds as long as
+    nothing is agreed. `is_recovering()` tells whether this controller's recovery is still under way.
+    """
+
+    def __init__(self, controller, listing, host, cold_for, configured_rank, is_recovering):
+        self.store, self.controller, self.listing, self.host = controller.warm, controller, listing, host
+        self.core, self.clock, self.is_recovering = host.core, host.clock, is_recovering
+        self.configured_rank = configured_rank
+        self.store.cold_for, controller.ranked = cold_for, True
+        self.last_success = {}  # streamer id -> when it last started a playback or sent media
+        # what the core was told: (number of controllers, slow start share); ids of streamers proven warm
+        self.reported, self.reported_warm = (), set()
+        self.next_save_at = host.clock.now() + MIN_SAVE_INTERVAL_NS
+        self.restored_share = None  # (slow start share of the last run, until when), if that was not long ago
 
     def watch(self, event, carried, **facts):
-        """Of the core."""
+        """Takes the core's events: an answer that starts a playback counts as a success of the streamer."""
         if event == "answer" and facts["kind"] == Kind.PLAYS.value:
-            self.last[carried.streamer.id] = self.clock.now()
+            self.last_success[carried.streamer.id] = self.clock.now()
 
-    def passed(self, id, size):
-        """Media came from that streamer."""
+    def passed(self, streamer_id, size):
+        """Notes that `size` bytes of media came from the streamer."""
         if size:
-            self.last[id] = self.clock.now()
+            self.last_success[streamer_id] = self.clock.now()
 
     def look(self):
-        """Now and then; oftener while it returns."""
+        """Records observations and reports changes to the core.
+
+        Called periodically, and oftener during a recovery.
+        """
         now = self.clock.now()
-        self.last = {id: at for id, at in self.last.items() if now - at <= OBSERVATION_LIFETIME_NS}
-        self.known.record_own(now, self._rows(now))
-        handed, warm = (self._there(), self._turn(now)), {}
-        if self.returning():
-            warm = {id: use for id, use in self._proven(now).items() if id not in self.told}
+        self.last_success = {
+            streamer_id: at
+            for streamer_id, at in self.last_success.items()
+            if now - at <= OBSERVATION_LIFETIME_NS
+        }
+        self.store.record_own(now, self._observation_rows(now))
+        current, warm = (self._count_controllers(), self._slow_start_share(now)), {}
+        if self.is_recovering():
+            warm = {
+                streamer_id: use
+                for streamer_id, use in self._find_proven_warm(now).items()
+                if streamer_id not in self.reported_warm
+            }
         else:
-            self.known.requesting = False
-        self.told |= warm.keys()
-        if warm or handed != self.handed:
-            self.handed = handed
-            self.host.do(self.core.among, *handed, warm)
-
-    def _turn(self, now):
-        """As settled; until this run has heard of that, as its last run knew, for as long as that counts:
-        with none the first seconds of a return turn viewers away."""
-        settled = self.controller.turn(now) if self.controller.voters else None
-        if settled is None:
-            return self.rank
-        unheard = self.controller.follower.as_of is None
-        return self.former[0] if unheard and self.former and now < self.former[1] else settled[1]
-
-    def _there(self):
-        """How many controllers are there, those in doubt left out: what each takes of free room goes by it,
-        and no rule does. By the files' number few that are left go on as if all others had their part."""
-        seen = self.controller.members.members
-        if not any(m.run for m in seen.values()):
-            return self.rank[1]  # just started: nobody was met yet
-        return 1 + sum(bool(m.run) and m.standing is Standing.ALIVE for m in seen.values())
-
-    def _rows(self, now):
-        out = []
-        for id, streamer in self.core.controller.streamers.items():
-            line, last = self.listing.line_of(id), self.last.get(id)
-            ill = streamer.next_try - streamer.gap if streamer.gap else streamer.down or 0
-            if line is None or last is None and now - ill > OBSERVATION_LIFETIME_NS:
+            self.store.requesting = False
+        self.reported_warm |= warm.keys()
+        if warm or current != self.reported:
+            self.reported = current
+            self.host.do(self.core.among, *current, warm)
+
+    def _slow_start_share(self, now):
+        """Returns the share as (rank, number of ranks), None for no share.
+
+        Until this run has received the agreed state it uses the share that its last run had, as long as that
+        state would count: without a share the first seconds of a recovery turn viewers away.
+        """
+        agreed = self.controller.turn(now) if self.controller.voters else None
+        if agreed is None:
+            return self.configured_rank
+        has_no_state = self.controller.follower.as_of is None
+        return (
+            self.restored_share[0]
+            if has_no_state and self.restored_share and now < self.restored_share[1]
+            else agreed[1]
+        )
+
+    def _count_controllers(self):
+        """Returns how many controllers are alive, without suspected ones.
+
+        Each controller's part of the free room depends on it, and no rule does. With the configured number,
+        the few controllers that are left would leave unused the parts of all others.
+        """
+        members = self.controller.members.members
+        if not any(m.run for m in members.values()):
+            return self.configured_rank[1]  # just started: no member has been met yet
+        return 1 + sum(bool(m.run) and m.standing is Standing.ALIVE for m in members.values())
+
+    def _observation_rows(self, now):
+        rows = []
+        for streamer_id, streamer in self.core.controller.streamers.items():
+            line, last_success = self.listing.line_of(streamer_id), self.last_success.get(streamer_id)
+            # a backoff begins with the failure, so that is when the next attempt is due less the backoff
+            failed_at = streamer.next_try - streamer.gap if streamer.gap else streamer.down or 0
+            if line is None or last_success is None and now - failed_at > OBSERVATION_LIFETIME_NS:
                 continue
             use = min(999, int(100 * streamer.use(now)))
-            out.append((line.address, self.clock.wall_ns(line.started), last or ill, ill, use))
-        return out
+            rows.append(
+                (line.address, self.clock.wall_ns(line.started), last_success or failed_at, failed_at, use)
+            )
+        return rows
 
-    def _proven(self, now):
-        """id -> hundredths of its link, of what stands in the list of this run."""
-        fresh, of = self.listing.fresh(), self.listing.flow.numbers.of
+    def _find_proven_warm(self, now):
+        """Returns {streamer id: hundredths of its link in demand} of streamers proven warm.
+
+        Only streamers in the list of this run are considered.
+        """
+        fresh, ids_by_address = self.listing.fresh(), self.listing.flow.numbers.of
         started = {line.address: self.clock.wall_ns(line.started) for line in fresh}
 
-        def here(wall):
+        def local_start(wall):
             return self.clock.wall_ns(self.clock.of_wall_ns(wall))
 
-        found = self.known.proven_warm(now, started, here)
-        return {of[address]: use for address, use in found.items() if address in of}
+        proven = self.store.proven_warm(now, started, local_start)
+        return {ids_by_address[address]: use for address, use in proven.items() if address in ids_by_address}
 
-    # Its next run.
+    # The file for the next run.
 
     def keeps(self):
-        """What is to be kept now; None: nothing yet."""
+        """Returns the Kept to be written now, or None where no save is due."""
         now = self.clock.now()
-        if now < self.keep_at:
+        if now < self.next_save_at:
             return None
         wall = self.clock.wall_ns(now)
-        rows = self.known.export_own(now, wall)
-        self.keep_at = now + max(EVERY, 100 * len(rows) * SECOND // BUDGET)  # a row is up to 100 bytes long
-        turn = self.handed[1] if self.handed else None
-        return Kept(wall, rows, turn, self.controller.follower.age(now))
+        rows = self.store.export_own(now, wall)
+        # a row is up to 100 bytes long
+        self.next_save_at = now + max(MIN_SAVE_INTERVAL_NS, 100 * len(rows) * SECOND // SAVE_BYTES_PER_SECOND)
+        share = self.reported[1] if self.reported else None
+        return Kept(wall, rows, share, self.controller.follower.age(now))
 
     def restore(self, kept):
+        """Takes over what the last run saved.
+
+        Its slow start share counts only while the agreed state that it was taken from would count, and not
+        where the clock was set back since.
+        """
         now = self.clock.now()
         wall = self.clock.wall_ns(now)
-        self.known.restore(now, wall, kept.rows)
+        self.store.restore(now, wall, kept.rows)
         age = None if kept.age is None else kept.age + wall - kept.at
         if kept.turn and wall >= kept.at and may_place(age):
-            self.former = tuple(kept.turn), now + LIMIT - age
+            self.restored_share = tuple(kept.turn), now + LIMIT - age
