--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -106,7 +106,11 @@
         The rows are [address, started, ns it was observed, seen_until, use], where `seen_until` is in ns
         since 1970 and `wall` is `now` in that scale.
         """
-        own = [(address, by[self.me]) for address, by in sorted(self.seen.items()) if self.me in by]
+        own = [
+            (address, by_observer[self.me])
+            for address, by_observer in sorted(self.seen.items())
+            if self.me in by_observer
+        ]
         return [
             [
                 address,
@@ -130,19 +134,21 @@
                 self._put(address, Seen("", 0, started, at - observed, at, 0, use))
 
     def _put(self, address, observation):
-        by = self.seen.setdefault(address, {})
-        by[observation.who] = observation
-        while len(by) > MAX_OBSERVERS:
-            del by[min(by, key=lambda who: max(by[who].seen_until, by[who].failed_at))]
+        by_observer = self.seen.setdefault(address, {})
+        by_observer[observation.who] = observation
+        while len(by_observer) > MAX_OBSERVERS:
+            del by_observer[
+                min(by_observer, key=lambda who: max(by_observer[who].seen_until, by_observer[who].failed_at))
+            ]
 
     def _expire(self, now):
-        for address, by in list(self.seen.items()):
-            for who, observation in list(by.items()):
+        for address, by_observer in list(self.seen.items()):
+            for who, observation in list(by_observer.items()):
                 if now - max(observation.seen_until, observation.failed_at) > (
                     OBSERVATION_LIFETIME_NS if who else RESTORED_LIFETIME_NS
                 ):
-                    del by[who]
-            if not by:
+                    del by_observer[who]
+            if not by_observer:
                 del self.seen[address]
 
     # Exchange with other members.
@@ -201,9 +207,11 @@
         """
         facts = []
         for address in addresses:
-            by = self.seen[address]
+            by_observer = self.seen[address]
             chosen = (
-                by.values() if answers else [max(by.values(), key=lambda s: max(s.seen_until, s.failed_at))]
+                by_observer.values()
+                if answers
+                else [max(by_observer.values(), key=lambda s: max(s.seen_until, s.failed_at))]
             )
             facts += [
                 Fact(
@@ -273,10 +281,10 @@
         """
         proven = {}
         for address, start in started.items():
-            by = self.seen.get(address, {}).values()
+            by_observer = self.seen.get(address, {}).values()
             valid = [
                 s
-                for s in by
+                for s in by_observer
                 if local_start(s.started) == start
                 and not s.failed_at
                 and s.seen_until - s.seen_from >= self.cold_for
@@ -284,6 +292,6 @@
             if not valid:
                 continue
             latest = max(valid, key=lambda s: s.seen_until)
-            if sum(s.failed_at > latest.seen_until for s in by) < MIN_FAILURE_OBSERVERS:
+            if sum(s.failed_at > latest.seen_until for s in by_observer) < MIN_FAILURE_OBSERVERS:
                 proven[address] = latest.use
         return proven
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -1,4 +1,4 @@
-"""What is known of streamers after a restart, whose turn it is at the cold ones: without I/O."""
+"""Observations that prove streamers warm after a restart, and slow start shares of cold ones; without I/O."""
 
 import itertools
 
@@ -9,149 +9,163 @@
 from terndrift.fleet.warm import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
 from terndrift.fleet.work import LIMIT
 
-COLD = 8 * S
+WARM_UP_NS = 8 * S
 
 
-def same(wall):
+def identity(wall):
+    """Stands for the conversion of starts between machines whose clocks agree."""
     return wall
 
 
-class Town:
-    """Members that each see some streamers, and a clock."""
+class SimulatedFleet:
+    """Members that each observe some streamers, with one clock and a network that loses nothing."""
 
     def __init__(self, count=4):
         self.now, self.runs = T0, {f"c{n}": 1 for n in range(count)}
-        self.known = {n: Known(n, 1, self.now, COLD) for n in self.runs}
+        self.stores = {n: Known(n, 1, self.now, WARM_UP_NS) for n in self.runs}
 
-    def sees(self, who, address, started=5, ill=0, use=40):
-        self.known[who].record_own(self.now, [(address, started, self.now, self.now if ill else 0, use)])
+    def observe(self, observer, address, started=5, failed=0, use=40):
+        """Records an observation by `observer` now, of a failure if `failed`."""
+        self.stores[observer].record_own(
+            self.now, [(address, started, self.now, self.now if failed else 0, use)]
+        )
 
-    def says(self, who, to, m):
-        self.known[to].heard(self.now, who, m, self.runs)
+    def deliver(self, who, to, message):
+        """Delivers a message with observations."""
+        self.stores[to].heard(self.now, who, message, self.runs)
 
-    def run(self, seconds, *seeing):
-        """A quarter of a second after the other; `seeing`: (who, address, started) that go on all along."""
+    def run(self, seconds, *observations):
+        """Steps all members every quarter of a second.
+
+        `observations` are (observer, address, started) that are repeated in each step.
+        """
         for _ in range(4 * seconds):
             self.now += S // 4
-            for who, address, started in seeing:
-                self.sees(who, address, started)
-            for who, one in self.known.items():
-                one.tick(self.now, [n for n in self.known if n != who])
-            self.carry()
-
-    def carry(self):
-        while moved := [(who, *one.out.pop(0)) for who, one in self.known.items() if one.out]:
-            for who, to, m in moved:
-                if isinstance(m, AskKnown):
-                    self.known[to].asked(self.now, who)
-                elif isinstance(m, Knows):
-                    self.says(who, to, m)
-
-    def anew(self, who):
+            for observer, address, started in observations:
+                self.observe(observer, address, started)
+            for who, store in self.stores.items():
+                store.tick(self.now, [n for n in self.stores if n != who])
+            self.deliver_all()
+
+    def deliver_all(self):
+        """Delivers all messages that wait, until no more come."""
+        while moved := [(who, *store.out.pop(0)) for who, store in self.stores.items() if store.out]:
+            for who, to, message in moved:
+                if isinstance(message, AskKnown):
+                    self.stores[to].asked(self.now, who)
+                elif isinstance(message, Knows):
+                    self.deliver(who, to, message)
+
+    def restart(self, who):
+        """Starts a new run of a member, which knows nothing."""
         self.runs[who] += 1
-        one = self.known[who] = Known(who, self.runs[who], self.now, COLD)
-        return one
-
-
-def test_one_that_starts_anew_learns_who_is_warm_from_the_others_within_a_second():
-    town = Town()
-    town.run(12, ("c0", "a", 5), ("c1", "b", 6))
-    one = town.anew("c3")
-    town.run(1)
-    assert one.proven_warm(town.now, {"a": 5, "b": 6}, same) == {"a": 40, "b": 40}
-    assert one.proven_warm(town.now, {"a": 7, "b": 6}, same) == {"b": 40}, (
-        "a fact of another start is no fact"
+        store = self.stores[who] = Known(who, self.runs[who], self.now, WARM_UP_NS)
+        return store
+
+
+def test_restarted_controller_learns_warm_streamers_from_others_within_a_second():
+    fleet = SimulatedFleet()
+    fleet.run(12, ("c0", "a", 5), ("c1", "b", 6))
+    store = fleet.restart("c3")
+    fleet.run(1)
+    assert store.proven_warm(fleet.now, {"a": 5, "b": 6}, identity) == {"a": 40, "b": 40}
+    assert store.proven_warm(fleet.now, {"a": 7, "b": 6}, identity) == {"b": 40}, (
+        "an observation of another start doesn't count"
     )
-    assert one.proven_warm(town.now, {"c": 5}, same) == {}, "nobody saw it"
-    town.run(OBSERVATION_LIFETIME_NS // S + 1)
-    assert one.proven_warm(town.now, {"a": 5, "b": 6}, same) == {}, "facts fade"
-
-
-def test_a_witness_counts_once_it_has_seen_a_whole_warm_up_without_a_failure():
-    town = Town()
-    town.run(7, ("c0", "a", 5))
-    one = town.known["c1"]
-    assert one.proven_warm(town.now, {"a": 5}, same) == {}
-    town.run(8, ("c0", "a", 5))
-    assert one.proven_warm(town.now, {"a": 5}, same)
-    town.sees("c0", "a", ill=True)
-    town.run(7, ("c0", "a", 5))
-    assert one.proven_warm(town.now, {"a": 5}, same) == {}, "it has failed since, and may have started anew"
-
-
-def test_one_alone_who_says_that_all_are_ill_is_not_believed_and_two_are():
-    town = Town()
-    town.run(12, ("c0", "a", 5))
-    town.sees("c1", "a", ill=True)
-    town.run(8, ("c0", "a", 5))
-    assert town.known["c3"].proven_warm(town.now, {"a": 5}, same), "c0 saw it well after that"
-    liar = town.known["c1"]
+    assert store.proven_warm(fleet.now, {"c": 5}, identity) == {}, "nobody observed it"
+    fleet.run(OBSERVATION_LIFETIME_NS // S + 1)
+    assert store.proven_warm(fleet.now, {"a": 5, "b": 6}, identity) == {}, "observations expire"
+
+
+def test_observer_counts_after_a_whole_warm_up_without_a_failure():
+    fleet = SimulatedFleet()
+    fleet.run(7, ("c0", "a", 5))
+    store = fleet.stores["c1"]
+    assert store.proven_warm(fleet.now, {"a": 5}, identity) == {}
+    fleet.run(8, ("c0", "a", 5))
+    assert store.proven_warm(fleet.now, {"a": 5}, identity)
+    fleet.observe("c0", "a", failed=True)
+    fleet.run(7, ("c0", "a", 5))
+    assert store.proven_warm(fleet.now, {"a": 5}, identity) == {}, "it failed and may have restarted since"
+
+
+def test_failure_reports_of_one_observer_are_ignored_and_of_two_accepted():
+    fleet = SimulatedFleet()
+    fleet.run(12, ("c0", "a", 5))
+    fleet.observe("c1", "a", failed=True)
+    fleet.run(8, ("c0", "a", 5))
+    assert fleet.stores["c3"].proven_warm(fleet.now, {"a": 5}, identity), "c0 saw it run after that"
+    liar = fleet.stores["c1"]
     for _ in range(3):
-        town.now += S
-        town.sees("c1", "a", ill=True)
-        town.says("c1", "c3", liar._make_message(town.now, ["a"]))
-    assert town.known["c3"].proven_warm(town.now, {"a": 5}, same)
-    town.sees("c2", "a", ill=True)
-    town.says("c2", "c3", town.known["c2"]._make_message(town.now, ["a"]))
-    assert town.known["c3"].proven_warm(town.now, {"a": 5}, same) == {}
+        fleet.now += S
+        fleet.observe("c1", "a", failed=True)
+        fleet.deliver("c1", "c3", liar._make_message(fleet.now, ["a"]))
+    assert fleet.stores["c3"].proven_warm(fleet.now, {"a": 5}, identity)
+    fleet.observe("c2", "a", failed=True)
+    fleet.deliver("c2", "c3", fleet.stores["c2"]._make_message(fleet.now, ["a"]))
+    assert fleet.stores["c3"].proven_warm(fleet.now, {"a": 5}, identity) == {}
 
 
-def test_facts_from_the_future_of_old_runs_and_of_those_that_nobody_asked_are_nothing():
+def test_observations_from_the_future_old_runs_or_unrequested_responses_are_ignored():
     from terndrift.fleet.messages import Fact
 
-    town = Town()
-    one = town.known["c3"]
+    fleet = SimulatedFleet()
+    store = fleet.stores["c3"]
     ahead = Fact("a", "c0", 1, 5, 20_000, -60_000)
-    town.says("c0", "c3", Knows([ahead, Fact("a", "c9", 1, 5, 20_000, 0), Fact("a", "c1", 9, 5, 20_000, 0)]))
-    assert not one.seen, "times ahead, a member that is none, another run of a member"
-    town.says("c0", "c3", Knows([Fact("a", "c0", 1, 5, 20_000, 0)], answers=True))
-    assert not one.seen, "an answer to what was never asked"
-    town.says("c0", "c3", Knows([Fact("a", "c0", 1, 5, 20_000, 0)]))
-    assert one.seen
+    fleet.deliver(
+        "c0", "c3", Knows([ahead, Fact("a", "c9", 1, 5, 20_000, 0), Fact("a", "c1", 9, 5, 20_000, 0)])
+    )
+    assert not store.seen, "time in the future, unknown member, another run of a member"
+    fleet.deliver("c0", "c3", Knows([Fact("a", "c0", 1, 5, 20_000, 0)], answers=True))
+    assert not store.seen, "a response that was not requested"
+    fleet.deliver("c0", "c3", Knows([Fact("a", "c0", 1, 5, 20_000, 0)]))
+    assert store.seen
 
 
-def test_what_one_hands_out_in_a_second_is_bounded_and_many_that_return_ask_all_alike():
-    town = Town(40)
+def test_responses_per_second_are_bounded_and_requests_of_many_spread_evenly():
+    fleet = SimulatedFleet(40)
     old = [f"c{n}" for n in range(10)]
-    town.run(12, *((n, "a", 5) for n in old))
-    asked = {n: 0 for n in town.known}
-    for n in list(town.known):
+    fleet.run(12, *((n, "a", 5) for n in old))
+    asked = {n: 0 for n in fleet.stores}
+    for n in list(fleet.stores):
         if n in old:
-            town.known[n].responses_sent = 0
+            fleet.stores[n].responses_sent = 0
         else:
-            town.anew(n)
-    for _ in range(12):  # three seconds
-        town.now += S // 4
-        for who, one in town.known.items():
+            fleet.restart(n)
+    for _ in range(12):  # 3 s
+        fleet.now += S // 4
+        for who, store in fleet.stores.items():
             if who not in old:
-                one.tick(town.now, [n for n in town.known if n != who])
-                for to, m in one.out:
+                store.tick(fleet.now, [n for n in fleet.stores if n != who])
+                for to, m in store.out:
                     asked[to] += isinstance(m, AskKnown)
-        before = {n: town.known[n].responses_sent for n in old}
-        town.carry()
-        assert all(town.known[n].responses_sent - before[n] <= MAX_RESPONSES_PER_SECOND for n in old)
-    assert all(town.known[n].proven_warm(town.now, {"a": 5}, same) for n in town.known)
+        before = {n: fleet.stores[n].responses_sent for n in old}
+        fleet.deliver_all()
+        assert all(fleet.stores[n].responses_sent - before[n] <= MAX_RESPONSES_PER_SECOND for n in old)
+    assert all(fleet.stores[n].proven_warm(fleet.now, {"a": 5}, identity) for n in fleet.stores)
     assert max(asked.values()) <= 20, asked
 
 
-def test_what_an_earlier_run_kept_counts_under_the_same_start_and_not_for_long():
-    town = Town()
-    town.run(12, ("c0", "a", 5))
-    kept = town.known["c0"].export_own(town.now, 500 * S)
-    one = town.anew("c0")
-    one.restore(town.now, 504 * S, kept)
-    assert one.proven_warm(town.now, {"a": 5}, same) and not one.proven_warm(town.now, {"a": 6}, same)
-    for wall in (499 * S, 500 * S + 61 * S):  # a clock that was set back; too long ago
-        one = town.anew("c0")
-        one.restore(town.now, wall, kept)
-        assert not one.seen
+def test_restored_observations_count_for_the_same_start_and_a_limited_time():
+    fleet = SimulatedFleet()
+    fleet.run(12, ("c0", "a", 5))
+    kept = fleet.stores["c0"].export_own(fleet.now, 500 * S)
+    store = fleet.restart("c0")
+    store.restore(fleet.now, 504 * S, kept)
+    assert store.proven_warm(fleet.now, {"a": 5}, identity) and not store.proven_warm(
+        fleet.now, {"a": 6}, identity
+    )
+    for wall in (499 * S, 500 * S + 61 * S):  # clock set back; too old
+        store = fleet.restart("c0")
+        store.restore(fleet.now, wall, kept)
+        assert not store.seen
 
 
-# Turns.
+# Slow start shares.
 
 
 def state(*rows, epoch=1):
-    """As after these entries: (names, before)."""
+    """Returns the record's state after these entries, (names, before) each."""
     if not rows:
         return {"epoch": [epoch, ""], "map": {}}
     names, before = rows[-1]
@@ -159,8 +173,8 @@
     return {"epoch": [epoch, ""], "map": {RECORD_KEY: row}}
 
 
-def parts(views, at):
-    """The sum of what all take; `views`: name -> (its Ranks, its state, how old that is)."""
+def total_share(views, at):
+    """Returns the sum of all shares; `views`: name -> (its Ranks, its state, age of the state in ns)."""
     total = 0.0
     for name, (ranks, seen, age) in views.items():
         found = ranks.turn(at, seen, name, age)
@@ -169,18 +183,20 @@
     return total
 
 
-def test_the_parts_of_all_never_come_to_more_than_the_whole_for_any_pair_of_views():
-    """One entry after another; each controller that was there saw it at once, late, or not yet; one that
-    starts anew sees the newest first."""
-    all_of, least = "abcdef", 9.9
+def test_shares_never_exceed_the_whole_pace_for_any_combination_of_views():
+    """Of a new entry, each controller has seen it at once, late or not yet.
+
+    A restarted controller sees it first.
+    """
+    controllers, least = "abcdef", 9.9
     pairs = [("abcdef", "abcd"), ("abcd", "abcdef"), ("abcd", "abef"), ("ab", "abcdef"), ("abcde", "abf")]
     for before, names in pairs:
         old, new = state((before, before)), state((before, before), (names, before))
-        for seen_at in itertools.product((0, LIMIT - S, None, "anew"), repeat=len(all_of)):
-            if seen_at.count("anew") > 2:
+        for seen_at in itertools.product((0, LIMIT - S, None, "restarted"), repeat=len(controllers)):
+            if seen_at.count("restarted") > 2:
                 continue
-            views, at = {n: Ranks() for n in all_of}, T0
-            for n in all_of:
+            views, at = {n: Ranks() for n in controllers}, T0
+            for n in controllers:
                 views[n].look(at - 3 * TRANSITION_NS, old)
             for passed in (
                 0,
@@ -193,67 +209,71 @@
                 2 * TRANSITION_NS,
             ):
                 now, here = at + passed, {}
-                for n, when in zip(all_of, seen_at, strict=True):
-                    if when == "anew":  # it started a moment ago, and has heard
+                for n, when in zip(controllers, seen_at, strict=True):
+                    if when == "restarted":  # it has just restarted and has the state
                         ranks = Ranks()
                         here[n] = ranks, new, 0
-                    elif when is None or passed < when:  # knows nothing newer than the entry's moment
+                    elif when is None or passed < when:  # its state is as old as the entry
                         here[n] = views[n], old, passed
                     else:
                         ranks = Ranks()
                         ranks.look(at - 3 * TRANSITION_NS, old)
                         ranks.look(at + when, new)
                         here[n] = ranks, new, 0
-                total = parts(here, now)
+                total = total_share(here, now)
                 assert total <= 1 + 1e-9, (before, names, seen_at, passed / S, total)
                 least = min(least, total) if passed >= 2 * TRANSITION_NS and seen_at == (0,) * 6 else least
-    assert least > 1 - 1e-9, "once all have seen it the whole pace is used"
+    assert least > 1 - 1e-9, "the whole pace is used once all have seen the entry"
 
 
-def test_the_leader_takes_a_name_out_after_a_limit_and_begins_with_the_files_names():
+def test_leader_removes_a_name_after_the_transition_time_and_starts_with_configured_names():
     ranks, now = Ranks(), T0
     id, value = ranks.next(now, state(), set("abc"), set("abc"))
     assert id == "ranks/1" and value[RECORD_KEY]["names"] == value[RECORD_KEY]["before"] == list("abc")
     assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][RECORD_KEY]["before"] == []
-    one = state(("abc", "abc"))
-    ranks.look(now, one)
+    first = state(("abc", "abc"))
+    ranks.look(now, first)
     for seconds in range(0, 70, 1):
-        found = ranks.next(now + seconds * S, one, set("abc"), set("ab"))
+        found = ranks.next(now + seconds * S, first, set("abc"), set("ab"))
         if found:
             break
     assert seconds >= 2 * TRANSITION_NS // S and found[1][RECORD_KEY]["names"] == list("ab")
-    two = state(("abc", "abc"), ("ab", "abc"))
-    ranks.look(now + 100 * S, two)
-    assert ranks.next(now + 101 * S, two, set("abc"), set("abc")) is None, "one after the other"
-    _, back = ranks.next(now + 100 * S + 2 * TRANSITION_NS, two, set("abc"), set("abc"))
+    second = state(("abc", "abc"), ("ab", "abc"))
+    ranks.look(now + 100 * S, second)
+    assert ranks.next(now + 101 * S, second, set("abc"), set("abc")) is None, "a further entry has to wait"
+    _, back = ranks.next(now + 100 * S + 2 * TRANSITION_NS, second, set("abc"), set("abc"))
     assert back[RECORD_KEY]["names"] == list("abc") and back[RECORD_KEY]["before"] == list("ab")
 
 
-# The decisions.
+# Decisions.
 
 
 def cold_front():
+    """Returns a Front with one streamer that it takes for cold, listed as started 100 s ago."""
     front = Front(streamers=1, warm=False, cold_for=8 * S)
     front.list([line(0, started=T0 - 100 * S)])
     return front
 
 
-def sent(front, seconds):
-    tries = 0
+def count_attempts(front, seconds):
+    """Returns for how many viewers, 10 a second, the front attempted a set-up."""
+    attempts = 0
     for _ in range(int(seconds * 10)):
         front.now += S // 10
         pb = front.want(cells=1, left=S // 2, top=0)
-        tries += pb is not None and pb.tries > 0
-    return tries
+        attempts += pb is not None and pb.tries > 0
+    return attempts
 
 
-def test_a_restarted_front_places_at_once_on_what_is_proven_warm_and_by_its_turn_on_the_rest():
+def test_restarted_front_places_at_once_on_proven_warm_streamers_and_by_its_share_on_others():
     paced, proven = cold_front(), cold_front()
     proven.c.among(proven.now, 2, (0, 2), [0])
-    assert sent(proven, 2) > 2 * sent(paced, 2), "without the proof a whole warm-up is waited for"
-    none = cold_front()
-    none.c.among(none.now, 2, None)
-    assert sent(none, 6) == 0, "no turn, and not proven"
-    # proven for the start that the list said: a new one is cold again
+    assert count_attempts(proven, 2) > 2 * count_attempts(paced, 2), (
+        "without the proof it waits for a whole warm-up"
+    )
+    without_share = cold_front()
+    without_share.c.among(without_share.now, 2, None)
+    assert count_attempts(without_share, 6) == 0, "no share, and not proven"
+    # the proof holds for the start in the list; after a new start the streamer is cold again
     proven.list([line(0, started=proven.now)])
     assert proven.c._slot(proven.now, proven.c.streamers[0]) is not None
