--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Which catalogue a controller serves after a start: without I/O."""
+"""Synchronisation of the catalogue after a start, without I/O."""
 
 import pytest
 
@@ -9,113 +9,128 @@
 OLD, NEW = ["a", "b"], ["a", "b", "c", "d"]
 
 
-class Town:
-    """Controllers that have started all at once, by name what their disks have; a copy takes 0.3 s."""
+class SimulatedFleet:
+    """Controllers that start at once; a copy takes up to 0.3 s.
 
-    def __init__(self, disks, broken=(), deaf=()):
-        self.now, self.disks, self.broken, self.deaf = 1000 * S, dict(disks), set(broken), set(deaf)
-        self.up = {n: Copies(n, self.now, lambda n=n: self.disks[n], len(disks) - 1) for n in disks}
-        self.served, self.copied, self.most = {}, 0, 0  # name -> (after s, what it has by then)
+    `disks` maps names to the change ids on their disks; those in `broken` can't provide a copy, and those in
+    `isolated` reach no other.
+    """
+
+    def __init__(self, disks, broken=(), isolated=()):
+        self.now, self.disks, self.broken, self.isolated = 1000 * S, dict(disks), set(broken), set(isolated)
+        self.copies = {n: Copies(n, self.now, lambda n=n: self.disks[n], len(disks) - 1) for n in disks}
+        # served: name -> (seconds until it serves, newest change that it has then)
+        self.served, self.copied, self.max_requests = {}, 0, 0
 
     def run(self, seconds):
+        """Steps all controllers every 0.1 s and returns `served`; notes the most requests in a step."""
         for _ in range(int(seconds * 10)):
             self.now += S // 10
-            asked = 0
-            for n, one in self.up.items():
-                one.tick(self.now, [] if n in self.deaf else [m for m in self.up if m not in self.deaf | {n}])
-                for to, m in one.out:
-                    asked += isinstance(m, AskHead)
-                    self.up[to].asked(n) if isinstance(m, AskHead) else self.up[to].heard(n, m)
-                one.out.clear()
-                if one.standing is Standing.BEHIND and self.now % (3 * S // 10) < S // 10:
-                    whole = one.source not in self.broken
+            requests = 0
+            for n, sync in self.copies.items():
+                sync.tick(
+                    self.now,
+                    [] if n in self.isolated else [m for m in self.copies if m not in self.isolated | {n}],
+                )
+                for to, m in sync.out:
+                    requests += isinstance(m, AskHead)
+                    self.copies[to].asked(n) if isinstance(m, AskHead) else self.copies[to].heard(n, m)
+                sync.out.clear()
+                if sync.standing is Standing.BEHIND and self.now % (3 * S // 10) < S // 10:
+                    whole = sync.source not in self.broken
                     if whole:
                         self.copied += 1
-                        new = [id for id in self.disks[one.source] if id not in self.disks[n]]
+                        new = [id for id in self.disks[sync.source] if id not in self.disks[n]]
                         self.disks[n] = [*self.disks[n], *new, "copy:1"]
-                    one.copied(whole)
-                if one.sure() and n not in self.served:
-                    self.served[n] = (self.now - 1000 * S) / S, (one.ids() or [""])[-1]
-            self.most = max(self.most, asked)
+                    sync.copied(whole)
+                if sync.sure() and n not in self.served:
+                    self.served[n] = (self.now - 1000 * S) / S, (sync.ids() or [""])[-1]
+            self.max_requests = max(self.max_requests, requests)
         return self.served
 
 
-def test_half_with_their_stores_a_quarter_with_none_a_quarter_of_yesterday_all_serve_the_newest():
-    town = Town({f"c{n}": NEW if n % 2 else OLD if n % 4 else [] for n in range(20)})
-    served = town.run(7)
+def test_all_serve_the_newest_when_half_are_current_a_quarter_empty_and_a_quarter_old():
+    fleet = SimulatedFleet({f"c{n}": NEW if n % 2 else OLD if n % 4 else [] for n in range(20)})
+    served = fleet.run(7)
     assert {what for _, what in served.values()} == {"d"} and len(served) == 20
-    assert max(at for at, _ in served.values()) < 3 and 10 <= town.copied <= 14, "some from one that had less"
+    assert max(at for at, _ in served.values()) < 3 and 10 <= fleet.copied <= 14, (
+        "some copied from one that was behind itself"
+    )
 
 
-def test_one_old_disk_among_those_that_never_stopped_takes_a_copy_at_once():
-    town = Town({"c0": NEW, "c1": NEW, "c2": NEW})
-    town.run(3)
-    town.disks["c3"] = list(OLD)
-    town.up["c3"] = Copies("c3", town.now, lambda: town.disks["c3"], 3)
-    town.run(1)
-    assert town.served["c3"][1] == "d"
+def test_controller_with_an_old_disk_copies_at_once_from_running_ones():
+    fleet = SimulatedFleet({"c0": NEW, "c1": NEW, "c2": NEW})
+    fleet.run(3)
+    fleet.disks["c3"] = list(OLD)
+    fleet.copies["c3"] = Copies("c3", fleet.now, lambda: fleet.disks["c3"], 3)
+    fleet.run(1)
+    assert fleet.served["c3"][1] == "d"
 
 
-def test_one_that_cannot_give_a_copy_is_followed_by_another_and_alone_it_serves_what_it_has_by_its_limit():
-    town = Town({"c0": OLD, "c1": NEW, "c2": NEW, "c3": NEW}, broken=["c1", "c2"])
-    assert town.run(5)["c0"][1] == "d"
-    alone = Town({"c0": OLD, "c1": NEW}, deaf=["c0"])
+def test_failed_source_is_replaced_and_an_isolated_controller_serves_its_own_after_the_timeout():
+    fleet = SimulatedFleet({"c0": OLD, "c1": NEW, "c2": NEW, "c3": NEW}, broken=["c1", "c2"])
+    assert fleet.run(5)["c0"][1] == "d"
+    alone = SimulatedFleet({"c0": OLD, "c1": NEW}, isolated=["c0"])
     assert alone.run(5).get("c0") is None
     at, what = alone.run(2)["c0"]
     assert SYNC_TIMEOUT_NS / S <= at < SYNC_TIMEOUT_NS / S + 0.2 and what == "b"
-    assert not alone.up["c0"].head().sure, "its limit proves nothing to others"
+    assert not alone.copies["c0"].head().sure, "a timeout confirms nothing to others"
 
 
-def test_of_two_that_differ_the_one_that_two_have_is_taken_and_one_alone_is_told():
-    town = Town({"c0": ["a", "x"], "c1": ["a", "y"], "c2": ["a", "y"]})
-    assert town.run(7)["c0"][1] == "y"
-    two = Town({"c0": ["a", "x"], "c1": ["a", "y"]})
+def test_differing_catalogue_is_copied_if_two_have_it_and_only_reported_if_one_has():
+    fleet = SimulatedFleet({"c0": ["a", "x"], "c1": ["a", "y"], "c2": ["a", "y"]})
+    assert fleet.run(7)["c0"][1] == "y"
+    two = SimulatedFleet({"c0": ["a", "x"], "c1": ["a", "y"]})
     assert {n: what for n, (_, what) in two.run(7).items()} == {"c0": "x", "c1": "y"}
-    assert two.up["c0"].why == "c1 has another"
+    assert two.copies["c0"].why == "c1 has another"
 
 
-def test_one_further_behind_than_a_word_tells_is_behind_all_the_same_and_300_ask_all_alike():
+def test_controller_behind_by_more_than_a_head_copies_and_requests_of_300_stay_bounded():
     far = [f"i{n}" for n in range(100)]
-    town = Town({"c0": far, "c1": far[:3], "c2": far})
-    assert town.run(7)["c1"][1] == "i99"
-    large = Town({f"c{n}": NEW if n % 2 else OLD for n in range(300)})
+    fleet = SimulatedFleet({"c0": far, "c1": far[:3], "c2": far})
+    assert fleet.run(7)["c1"][1] == "i99"
+    large = SimulatedFleet({f"c{n}": NEW if n % 2 else OLD for n in range(300)})
     served = large.run(7)
     assert len(served) == 300 and all(what == "d" for _, what in served.values())
     assert (
-        large.most <= 4 * 300
-        and max(len(one.request_counts) for one in large.up.values()) <= 2 * MAX_RESPONSES_NEEDED
+        large.max_requests <= 4 * 300
+        and max(len(sync.request_counts) for sync in large.copies.values()) <= 2 * MAX_RESPONSES_NEEDED
     )
 
 
-def test_answers_that_nobody_asked_for_change_nothing_and_its_changes_of_standing_are_few():
-    one = Copies("c0", 0, lambda: OLD, 3)
-    one.heard("c1", Head(9, NEW, True))
-    assert one.standing is Standing.COMPARING and not one.heads_by_name
-    one.tick(0, ["c1"])
-    one.heard("c1", Head(9, NEW, True))
-    assert one.standing is Standing.BEHIND
-    one.copied(True)
+def test_unrequested_responses_are_ignored_and_invalid_transitions_fail():
+    sync = Copies("c0", 0, lambda: OLD, 3)
+    sync.heard("c1", Head(9, NEW, True))
+    assert sync.standing is Standing.COMPARING and not sync.heads_by_name
+    sync.tick(0, ["c1"])
+    sync.heard("c1", Head(9, NEW, True))
+    assert sync.standing is Standing.BEHIND
+    sync.copied(True)
     with pytest.raises(AssertionError):
-        one._set_state(Standing.BEHIND, "")
+        sync._set_state(Standing.BEHIND, "")
 
 
-def test_the_few_that_are_up_first_are_no_majority():
-    """Seen on lost-state: two controllers that were up before the others served by a word that half had
-    replaced."""
-    one = Copies("c0", 0, lambda: OLD, 19)
+def test_the_few_controllers_up_first_are_no_majority():
+    """Guards against controllers that start first and take their own number for a majority.
+
+    In the day lost-state two such controllers served an old catalogue that half of all had replaced.
+    """
+    sync = Copies("c0", 0, lambda: OLD, 19)
     for n in range(1, 10):
-        one.request_counts[f"c{n}"] = 1
-        one.heard(f"c{n}", Head(2, OLD, False))
-    assert one.standing is Standing.COMPARING, "nine of nineteen: the ten others may have a newer one"
-    one.request_counts["c10"] = 1
-    one.heard("c10", Head(2, OLD, False))
-    assert one.standing is Standing.CONFIRMED
-
-
-def test_its_limit_counts_from_when_it_can_ask():
-    one = Copies("c0", 0, lambda: OLD, 3)
-    one.begin(20 * S)
-    one.tick(20 * S, ["c1"])
-    assert one.standing is Standing.COMPARING and one.out
-    one.tick(20 * S + SYNC_TIMEOUT_NS, ["c1"])
-    assert one.sure() and not one.confirmed_by_peers
+        sync.request_counts[f"c{n}"] = 1
+        sync.heard(f"c{n}", Head(2, OLD, False))
+    assert sync.standing is Standing.COMPARING, (
+        "nine of nineteen responded; the ten others may have a newer one"
+    )
+    sync.request_counts["c10"] = 1
+    sync.heard("c10", Head(2, OLD, False))
+    assert sync.standing is Standing.CONFIRMED
+
+
+def test_timeout_counts_from_when_requests_can_be_sent():
+    sync = Copies("c0", 0, lambda: OLD, 3)
+    sync.begin(20 * S)
+    sync.tick(20 * S, ["c1"])
+    assert sync.standing is Standing.COMPARING and sync.out
+    sync.tick(20 * S + SYNC_TIMEOUT_NS, ["c1"])
+    assert sync.sure() and not sync.confirmed_by_peers
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -41,8 +41,8 @@
         """
         for _ in range(4 * seconds):
             self.now += S // 4
-            for observer, address, started in observations:
-                self.observe(observer, address, started)
+            for who, address, started in observations:
+                self.observe(who, address, started)
             for who, store in self.stores.items():
                 store.tick(self.now, [n for n in self.stores if n != who])
             self.deliver_all()
