--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""The measure of full service, on ledgers made by hand."""
+"""Recovery after controllers were killed: the audit of hand-made ledgers, stages and whole recoveries."""
 
 import pytest
 
@@ -18,9 +18,12 @@
 }
 
 
-def day(good, rung=lambda n: 1, down=(20, 23), controllers=4, kills=3):
-    """40 s, five viewers a second; `good(n)`: how many of them are answered in target; one playback of four
-    seconds begins each second at `rung(n)`."""
+def make_facts(good, rung=lambda n: 1, down=(20, 23), controllers=4, kills=3):
+    """Returns the Facts of 40 s with five viewers a second.
+
+    In second n `good(n)` viewers are answered in target and a playback of 4 s starts at `rung(n)`. The first
+    `kills` of the controllers are down in the seconds of `down`.
+    """
     viewers, streamers = [], []
     names = [f"c{n}" for n in range(controllers)]
     runner = [
@@ -68,66 +71,72 @@
     return Facts(DEPLOYMENT, {"viewers": viewers, "streamers": streamers, "runner": runner}, 0.3)
 
 
-def found(facts):
-    [one] = recovery.report(facts, 40)["recovery"]["outages"]
-    return one
+def only_outage(facts):
+    """Returns the report of the one outage in the facts."""
+    [outage] = recovery.report(facts, 40)["recovery"]["outages"]
+    return outage
 
 
-def test_service_that_never_fell_is_full_at_once_and_one_that_did_when_five_good_seconds_begin():
-    assert found(day(lambda n: 5))["full_service_s"] == 0
-    one = found(day(lambda n: 5 if n < 20 or n >= 27 else 2))
-    assert (one["outage_s"], one["down"], one["full_service_s"]) == (3.0, 3, 4.0)
-    assert found(day(lambda n: 5 if n < 20 or n in (24, 25) else 2))["full_service_s"] is None
+def test_full_service_starts_at_once_without_a_drop_else_with_five_good_seconds():
+    assert only_outage(make_facts(lambda n: 5))["full_service_s"] == 0
+    outage = only_outage(make_facts(lambda n: 5 if n < 20 or n >= 27 else 2))
+    assert (outage["outage_s"], outage["down"], outage["full_service_s"]) == (3.0, 3, 4.0)
+    assert only_outage(make_facts(lambda n: 5 if n < 20 or n in (24, 25) else 2))["full_service_s"] is None
 
 
-def test_good_answers_at_a_low_rung_are_not_full_service():
-    assert found(day(lambda n: 5, rung=lambda n: 1 if n < 20 or n >= 28 else 0))["full_service_s"] > 4
+def test_answers_in_target_at_a_low_rung_are_not_full_service():
+    assert (
+        only_outage(make_facts(lambda n: 5, rung=lambda n: 1 if n < 20 or n >= 28 else 0))["full_service_s"]
+        > 4
+    )
 
 
-def test_what_it_was_made_of_and_the_peaks_after_it():
-    one = found(day(lambda n: 5))
-    assert one["slowest_start_s"] == 1.0 and one["fewer_viewers_s"] == 0 and one["met_a_dead_one"] == 0
-    assert one["peak_set_ups_a_streamer_s"] == 1
+def test_report_has_the_parts_of_an_outage_and_the_peaks_after_it():
+    outage = only_outage(make_facts(lambda n: 5))
+    assert (
+        outage["slowest_start_s"] == 1.0 and outage["fewer_viewers_s"] == 0 and outage["met_a_dead_one"] == 0
+    )
+    assert outage["peak_set_ups_a_streamer_s"] == 1
     assert recovery.peak([0, 1, SECOND - 1, SECOND, 3 * SECOND]) == 3
 
 
 @pytest.mark.parametrize("kills", [0, 1])
-def test_one_controller_that_is_killed_is_no_outage(kills):
-    assert recovery.report(day(lambda n: 5, controllers=8, kills=kills), 40) == {}
-
-
-def test_a_return_goes_on_by_what_it_waits_for_or_by_each_stages_limit():
-    one = stages.Return(0, True)
-    one.look(1, False, False, 0, 0)
-    assert (one.stage, one.why) == (stages.Stage.STARTED, "a list of streamers")
-    one.look(SECOND, True, False, 0, 0)
-    assert (one.stage, one.why) == (stages.Stage.HAS_LIST, "the fleet's record")
-    one.look(2 * SECOND, True, True, 4, 1)
-    assert one.stage is stages.Stage.RAMPING_UP
-    one.look(7 * SECOND, True, True, 40, 37)
-    assert one.why == "95% in target for 5 s: 37 of 40"
-    one.look(8 * SECOND, True, True, 40, 38)
-    assert one.stage is stages.Stage.FULL and not any(late for _, _, late in one.past)
-    assert [took / SECOND for _, took, _ in one.past] == [1, 1, 6]
-
-
-def test_alone_in_the_world_and_badly_off_it_is_full_by_its_limits():
-    one, at = stages.Return(0, True), 0
-    while one.stage is not stages.Stage.FULL:
+def test_one_killed_controller_is_no_outage(kills):
+    assert recovery.report(make_facts(lambda n: 5, controllers=8, kills=kills), 40) == {}
+
+
+def test_recovery_stages_advance_when_their_conditions_hold():
+    progress = stages.Return(0, True)
+    progress.look(1, False, False, 0, 0)
+    assert (progress.stage, progress.why) == (stages.Stage.STARTED, "a list of streamers")
+    progress.look(SECOND, True, False, 0, 0)
+    assert (progress.stage, progress.why) == (stages.Stage.HAS_LIST, "the fleet's record")
+    progress.look(2 * SECOND, True, True, 4, 1)
+    assert progress.stage is stages.Stage.RAMPING_UP
+    progress.look(7 * SECOND, True, True, 40, 37)
+    assert progress.why == "95% in target for 5 s: 37 of 40"
+    progress.look(8 * SECOND, True, True, 40, 38)
+    assert progress.stage is stages.Stage.FULL and not any(timed_out for _, _, timed_out in progress.past)
+    assert [took / SECOND for _, took, _ in progress.past] == [1, 1, 6]
+
+
+def test_isolated_controller_reaches_full_service_by_the_timeouts():
+    progress, at = stages.Return(0, True), 0
+    while progress.stage is not stages.Stage.FULL:
         at += SECOND // 2
-        one.look(at, False, False, 10, 0)
-    assert at == sum(stages.STAGE_TIMEOUT_NS.values()) and all(late for _, _, late in one.past)
+        progress.look(at, False, False, 10, 0)
+    assert at == sum(stages.STAGE_TIMEOUT_NS.values()) and all(timed_out for _, _, timed_out in progress.past)
     alone = stages.Return(0, False)
     alone.look(SECOND, True, False, 0, 0)
-    assert alone.stage is stages.Stage.RAMPING_UP, "nobody is waited for where there is no fleet"
+    assert alone.stage is stages.Stage.RAMPING_UP, "there is no wait for others where there is no fleet"
 
 
-def test_a_try_by_a_word_from_before_its_return_is_stale_and_one_that_was_never_down_is_not():
-    from types import SimpleNamespace as Made
+def test_attempt_by_a_list_from_before_the_restart_is_stale_only_for_a_restarted_controller():
+    from types import SimpleNamespace as Namespace
 
     from terndrift.audit import placements
 
-    def swap(t, number, holders, *by):
+    def swap_rows(t, number, holders, *by):
         rows = [
             {
                 "t": t * SECOND,
@@ -141,39 +150,41 @@
         ]
         return rows + [{**row, "t": t * SECOND + 1, "what": "swapped", "code": 200} for row in rows]
 
-    runner = swap(1, 0, [1], "c0", "c1") + swap(5, 1, [2], "c0", "c1") + swap(30, 2, [3], "c1")
-    facts = Made(
+    runner = swap_rows(1, 0, [1], "c0", "c1") + swap_rows(5, 1, [2], "c0", "c1") + swap_rows(30, 2, [3], "c1")
+    facts = Namespace(
         runner=runner, names={"c0": "a0", "c1": "a1"}, controller_downs={"a0": [(10 * SECOND, 14 * SECOND)]}
     )
 
-    def found(streamer, at, by="c0"):
-        facts.tries = [Made(pb=f"{by}~1-1", title="clip", streamer=streamer, at=at * SECOND)]
+    def count_stale(streamer, at, by="c0"):
+        facts.tries = [Namespace(pb=f"{by}~1-1", title="clip", streamer=streamer, at=at * SECOND)]
         return len(list(placements.stale(facts)))
 
-    assert found(1, 15) == 1 and found(2, 15) == 0 and found(3, 31) == 0
-    assert found(1, 9) == 0 and found(1, 15, "c1") == 0, "before its return, and one that was not down"
+    assert count_stale(1, 15) == 1 and count_stale(2, 15) == 0 and count_stale(3, 31) == 0
+    assert count_stale(1, 9) == 0 and count_stale(1, 15, "c1") == 0, (
+        "an attempt before the restart, and a controller that was not down"
+    )
 
 
-def test_seven_in_ten_killed_and_back_in_virtual_time_keep_the_rules_and_come_to_full_service():
+def test_seven_of_ten_controllers_restarted_keep_the_rules_and_reach_full_service():
     from terndrift.rehearse import run
     from terndrift.rehearse.virtual_return import World
 
-    day_of, found = run.load("herd-return"), {}
-    day_of["fleet"]["racks"], day_of["viewers"]["rate"] = 3, 9.0
+    day, outages = run.load("herd-return"), {}
+    day["fleet"]["racks"], day["viewers"]["rate"] = 3, 9.0
     for parts in ((), ("members", "kept")):
-        world = World(day_of, 4, 10, 12, 50, parts, at=0.5)  # the day's own first wave is over by then
+        world = World(day, 4, 10, 12, 50, parts, at=0.5)  # the first wave of viewers is over by then
         world.run()
         report = world.report()
         assert not any(report["rules"].values()), report["breaks"]
-        found[parts] = report["recovery"]["outages"][0]
-        assert found[parts]["down"] == 7
-        again = [f.core.controller for f in world.fronts if f.core.controller.began_empty]
-        assert len(again) == 7 and all(bool(c.proven) == bool(parts) for c in again)
-    assert found["members", "kept"]["full_service_s"] is not None
+        outages[parts] = report["recovery"]["outages"][0]
+        assert outages[parts]["down"] == 7
+        restarted = [f.core.controller for f in world.fronts if f.core.controller.began_empty]
+        assert len(restarted) == 7 and all(bool(c.proven) == bool(parts) for c in restarted)
+    assert outages["members", "kept"]["full_service_s"] is not None
 
 
-def test_a_run_that_begins_soon_after_the_last_goes_by_its_turn_until_it_hears_and_not_later():
-    from types import SimpleNamespace as Made
+def test_restarted_controller_uses_its_saved_share_only_while_the_state_would_count():
+    from types import SimpleNamespace as Namespace
 
     from terndrift.fleet.member import Controller
     from terndrift.fleet.sight import Kept, Sight
@@ -181,31 +192,33 @@
 
     def sight(at, kept):
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
-        handed = []
-        core = Made(controller=Made(streamers={}, racks={}), among=lambda *args: handed.append(args))
-        clock = Made(now=lambda: at, wall_ns=lambda now: now, of_wall_ns=lambda wall: wall)
-        listing = Made(fresh=list, flow=Made(numbers=Made(of={})))
-        one = Sight(
+        reported = []
+        core = Namespace(
+            controller=Namespace(streamers={}, racks={}), among=lambda *args: reported.append(args)
+        )
+        clock = Namespace(now=lambda: at, wall_ns=lambda now: now, of_wall_ns=lambda wall: wall)
+        listing = Namespace(fresh=list, flow=Namespace(numbers=Namespace(of={})))
+        collector = Sight(
             fleet,
             listing,
-            Made(core=core, clock=clock, do=lambda call, *args: call(*args)),
+            Namespace(core=core, clock=clock, do=lambda call, *args: call(*args)),
             SECOND,
             (0, 2),
             lambda: True,
         )
         if kept:
-            one.restore(kept)
-        one.look()
-        return handed[-1][:2]
+            collector.restore(kept)
+        collector.look()
+        return reported[-1][:2]
 
     kept = Kept(1000 * SECOND, [], (1, 2), 2 * SECOND)
-    assert sight(1000 * SECOND, None) == (2, None), "nothing is known yet: it has no turn"
+    assert sight(1000 * SECOND, None) == (2, None), "no state yet, so it has no share"
     assert sight(1017 * SECOND, kept) == (2, (1, 2))
-    for at in (1000 * SECOND + LIMIT - 2 * SECOND, 999 * SECOND):  # too old by then; a clock set back
+    for at in (1000 * SECOND + LIMIT - 2 * SECOND, 999 * SECOND):  # state too old; clock set back
         assert sight(at, kept) == (2, None)
 
 
-def test_what_was_turned_away_out_of_order_and_what_came_too_late_are_counted_from_the_surge_on():
+def test_rejections_out_of_order_and_late_work_are_counted_from_the_surge_on():
     from terndrift.audit import overload
 
     low = {**PLAN, "top": 1, "adds": 1.0}
@@ -217,7 +230,7 @@
     }
 
     def report(away, title):
-        made = day(lambda n: 5 if not 20 <= n < 25 else 1)
+        made = make_facts(lambda n: 5 if not 20 <= n < 25 else 1)
         viewers, extra = list(made.viewers), []
         for n in (21, 22):
             for k in range(away):
@@ -240,33 +253,42 @@
         )
         return overload.report(facts, 40)["overload"]
 
-    one = report(4, "h")
-    assert one["turned_away"] == 8 and one["out_of_order"] == 0.5, "four pairs a second, two are chance"
-    assert one["late_work_share"] == 0.1 and one["full_service_s"] == 1 and one["in_surge"] == 1.0
-    assert report(4, "t")["out_of_order"] == 0, "none is more important than what was taken"
+    overloaded = report(4, "h")
+    assert overloaded["turned_away"] == 8 and overloaded["out_of_order"] == 0.5, (
+        "four pairs a second, two of them put down to chance"
+    )
+    assert (
+        overloaded["late_work_share"] == 0.1
+        and overloaded["full_service_s"] == 1
+        and overloaded["in_surge"] == 1.0
+    )
+    assert report(4, "t")["out_of_order"] == 0, "none is more important than the accepted ones"
     assert report(2, "h")["out_of_order"] == 0
-    assert overload.report(day(lambda n: 5), 40) == {}, "no surge"
+    assert overload.report(make_facts(lambda n: 5), 40) == {}, "there was no surge"
+
 
+def test_rack_restart_and_false_observations_break_no_rule():
+    """Guards against false observations that make restarted controllers overload cold streamers.
 
-def test_a_rack_that_restarts_meanwhile_and_members_that_lie_cost_time_and_no_rule():
-    """Two of three survivors say that all run and have run for long, a rack that is cold among them, and one
-    of them that everything fails; a tenth of the words is lost."""
+    Two of the three controllers left claim that all streamers have run for long, though a rack has just
+    restarted; one of them also claims that all fail. A tenth of the messages is lost.
+    """
     from terndrift.fleet.messages import Fact, Knows
     from terndrift.rehearse import run
     from terndrift.rehearse.virtual_return import World
 
-    day_of = run.load("herd-return")
-    day_of["fleet"]["racks"], day_of["viewers"]["rate"] = 3, 9.0
+    day = run.load("herd-return")
+    day["fleet"]["racks"], day["viewers"]["rate"] = 3, 9.0
     for seed in (4, 5):
-        world = World(day_of, seed, 10, 12, 40, at=0.5, rack=1, loss=0.1)
-        held = world._kill
+        world = World(day, seed, 10, 12, 40, at=0.5, rack=1, loss=0.1)
+        original_kill = world._kill
 
-        def kill(world=world, held=held):
-            held()
-            lying = [f for f in world.fronts if not f.dead][:2]
-            for n, front in enumerate(lying):
+        def kill(world=world, original_kill=original_kill):
+            original_kill()
+            liars = [f for f in world.fronts if not f.dead][:2]
+            for n, front in enumerate(liars):
 
-                def lies(now, addresses, answers=False, front=front, n=n):
+                def false_message(now, addresses, answers=False, front=front, n=n):
                     run_of, ill = front.controller.members.run, 0 if n else -1
                     return Knows(
                         [
@@ -276,7 +298,7 @@
                         answers,
                     )
 
-                front.controller.warm._make_message = lies
+                front.controller.warm._make_message = false_message
 
         world._kill = kill
         world.run()
