--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class StreamerObservation:
     """One observer's observation of a streamer; times are in ns by this controller's clock."""
 
     who: str  # name of the observer; "" for an earlier run of this controller
@@ -63,7 +63,7 @@
 
     def __init__(self, me, run, now, cold_for=0):
         self.me, self.run, self.cold_for = me, run, cold_for
-        self.seen = {}  # address -> {observer: Seen}
+        self.seen = {}  # address -> {observer: StreamerObservation}
         # out: (member, message) to send; requested_at: member -> when; responders: members that responded
         self.out, self.requested_at, self.responders = [], {}, set()
         self.next_gossip_at, self.next_request_at, self.gossip_rounds, self.response_times = now, now, 0, []
@@ -88,7 +88,7 @@
             )
             self._put(
                 address,
-                Seen(
+                StreamerObservation(
                     self.me,
                     self.run,
                     started,
@@ -131,7 +131,7 @@
         for address, started, observed, seen_until, use in rows:
             if 0 <= wall - seen_until <= RESTORED_LIFETIME_NS:
                 at = now - (wall - seen_until)
-                self._put(address, Seen("", 0, started, at - observed, at, 0, use))
+                self._put(address, StreamerObservation("", 0, started, at - observed, at, 0, use))
 
     def _put(self, address, observation):
         by_observer = self.seen.setdefault(address, {})
@@ -237,17 +237,17 @@
         list must be the same. Responses that nobody requested are ignored, and so are observations of unknown
         members, of earlier runs or with times in the future.
         """
-        at = now
+        reference_time = now
         if message.answers:
             if sender not in self.requested_at or sender in self.responders:
                 return
-            at = self.requested_at[sender]
+            reference_time = self.requested_at[sender]
             self.responders.add(sender)
             self.requesting = len(self.responders) < SUFFICIENT_RESPONSES
         for fact in message.facts:
             if fact.who == self.me or runs.get(fact.who) != fact.run or min(fact.ran, fact.ago) < 0:
                 continue
-            seen_until = at - fact.ago * MS
+            seen_until = reference_time - fact.ago * MS
             previous = self.seen.get(fact.address, {}).get(fact.who)
             if (
                 previous
@@ -255,11 +255,11 @@
                 and max(previous.seen_until, previous.failed_at) >= seen_until
             ):
                 continue
-            failed_at = at - fact.ill * MS if fact.ill >= 0 else 0
+            failed_at = reference_time - fact.ill * MS if fact.ill >= 0 else 0
             if now - max(seen_until, failed_at) <= OBSERVATION_LIFETIME_NS:
                 self._put(
                     fact.address,
-                    Seen(
+                    StreamerObservation(
                         fact.who,
                         fact.run,
                         fact.started,
