--- a/terndrift/fleet/copies.py
+++ b/terndrift/fleet/copies.py
@@ -147,7 +147,7 @@
             return self._set_state(Standing.BEHIND, f"of {self.source}")
         if any(ahead.values()):
             return None  # those ahead could provide no copy; another member may, until the timeout
-        has_confirmed = any(self.heads_by_name[name].sure for name, n in ahead.items() if n == 0)
+        has_confirmed = any(self.heads_by_name[n].sure for n, changes in ahead.items() if changes == 0)
         if has_confirmed or len(ahead) >= min(MAX_RESPONSES_NEEDED, self.peer_count // 2 + 1):
             self.confirmed_by_peers = True
             return self._set_state(
