--- a/terndrift/fleet/load.py
+++ b/terndrift/fleet/load.py
@@ -1,12 +1,15 @@
-"""What the whole fleet was asked for and gave of late, as each controller knows it: sums over members without
-a centre. Free of I/O.
-
-Each member tells the two collectors of its group (the names in order, cut into pieces of the root of their
-number; the first two that are there) what it saw in the last WINDOW, whole, twice a second. A collector adds
-up its group and tells the sum to the collectors of the other groups, and the sum of all to its own group. So
-a member is counted once, in one group's sum; of two sums of one group the one over more members counts, then
-the newer. A word counts for LAPSES: after a cut, a restart or a lie a sum is wrong for so long. A member says
-4 datagrams a second, a collector up to 6 times the root of the members.
+"""Load reports: the fleet-wide sums of requests and answers, kept by each controller without a central node.
+
+The fleet's member (member.py) owns a `Loads`, passes received `Load` messages to it and sends what it puts
+into `out`; surge.py fills in the local figures and reads the totals. This module does no I/O.
+
+Members are sorted by name and split into groups of about sqrt(n). Twice a second each member sends its
+complete counts of the last WINDOW seconds to the two collectors of its group: the first two of the group
+that are alive. A collector adds up its group, sends the sum to the collectors of the other groups, and sends
+the total to its own group. Each member is thus counted once, in the sum of one group. Of two sums of the same
+group, the one over more members is used, then the newer one. A report is valid for REPORT_LIFETIME_NS; after
+a partition, a restart or a false report a sum is wrong for at most that long. A member sends 4 datagrams a
+second, a collector up to 6 * sqrt(n).
 """
 
 from math import isqrt
@@ -17,181 +20,234 @@
 from terndrift.fleet.messages import Beside, Load
 from terndrift.fleet.window import BEAT, SECOND, Seconds
 
-MS = 1_000_000
-LAPSES = 3 * SECOND
-# A figure of one member beyond this is made up: no controller is asked so much in WINDOW.
-MOST = 100_000
-OWN, GROUP, TOTAL = range(3)
-# Of a plan: asked for by viewers; shed before it was taken; answered; of these in target, late, turned away.
-WANTED, SHED, ANSWERED, IN_TARGET, LATE, TURNED = range(6)
-# Beside plans: tries beyond the first, connections made to streamers, set-ups open now.
-EXTRA, CONNECTED, OPEN = range(3)
+NS_PER_MS = 1_000_000
+REPORT_LIFETIME_NS = 3 * SECOND
+# Higher counts of a single member are rejected as false: no controller gets that many requests in WINDOW.
+MAX_COUNT_PER_MEMBER = 100_000
+# Values of Load.kind: the counts of one member, of a group, of the whole fleet.
+MEMBER_REPORT, GROUP_REPORT, TOTAL_REPORT = range(3)
+# Columns of a plan's row: requests by viewers; shed before set-up; answered; and of the answered ones those
+# within the startup target, late, and turned away.
+WANTED, SHED, ANSWERED, IN_TARGET, LATE, TURNED_AWAY = range(6)
+# Columns of the row that is not split by plan: attempts beyond the first, connections made to streamers, and
+# set-ups open now.
+EXTRA_ATTEMPTS, CONNECTIONS, OPEN_SETUPS = range(3)
 
 
-class Own:
-    """What this controller saw, second by second."""
+class LoadCounter:
+    """Counts of this controller, per second."""
 
     def __init__(self):
-        self.seconds = Seconds(lambda: ({}, [0, 0]))  # {plan: [...]}, [extra, connected]
+        # per second: ({plan: row}, [extra attempts, connections])
+        self.seconds = Seconds(lambda: ({}, [0, 0]))
 
-    def count(self, now, plan, *which):
+    def count(self, now, plan, *columns):
+        """Adds one to each of the columns (WANTED to TURNED_AWAY) of a plan; `now` in ns."""
         row = self.seconds.at(now)[0].setdefault(plan, [0] * 6)
-        for n in which:
-            row[n] += 1
+        for column in columns:
+            row[column] += 1
 
-    def more(self, now, which):
-        self.seconds.at(now)[1][which] += 1
+    def count_other(self, now, column):
+        """Adds one to EXTRA_ATTEMPTS or CONNECTIONS; `now` in ns."""
+        self.seconds.at(now)[1][column] += 1
 
-    def of_late(self, now, open):
-        """(by plan, others) of the last WINDOW whole seconds."""
-        plans, more = {}, [0, 0, open]
-        for by_plan, other in self.seconds.of_late(now):
-            _add(plans, by_plan)
-            more = [a + b for a, b in zip(more, [*other, 0], strict=True)]
-        return plans, more
+    def recent(self, now, open_setups):
+        """Returns ({plan: row}, row of other counts) of the last WINDOW whole seconds."""
+        plans, others = {}, [0, 0, open_setups]
+        for second_plans, second_others in self.seconds.of_late(now):
+            _add_rows(plans, second_plans)
+            others = [a + b for a, b in zip(others, [*second_others, 0], strict=True)]
+        return plans, others
 
 
-def _add(plans, more):
-    for plan, row in more.items():
+def _add_rows(plans, added_plans):
+    for plan, row in added_plans.items():
         plans[plan] = [a + b for a, b in zip(plans.get(plan, [0] * 6), row, strict=True)]
 
 
-def added(words):
-    """One sum of several: (by plan, others, how many members)."""
-    plans, more, members = {}, [0, 0, 0], 0
-    for m in words:
-        _add(plans, m.plans)
-        more = [a + b for a, b in zip(more, m.more, strict=True)]
-        members += m.members
-    return plans, more, members
+def sum_reports(reports):
+    """Adds up `Load` messages; returns ({plan: row}, row of other counts, number of members)."""
+    plans, others, members = {}, [0, 0, 0], 0
+    for report in reports:
+        _add_rows(plans, report.plans)
+        others = [a + b for a, b in zip(others, report.more, strict=True)]
+        members += report.members
+    return plans, others, members
 
 
-def sound(m):
-    """Whether figures can be true at all."""
-    rows = [*m.plans.values(), m.more]
-    shaped = m.members > 0 and len(m.more) == 3 and all(len(row) == 6 for row in m.plans.values())
+def is_plausible(report):
+    """Whether a received `Load` has the right shape and figures within the bounds for its members."""
+    rows = [*report.plans.values(), report.more]
+    shaped = (
+        report.members > 0 and len(report.more) == 3 and all(len(row) == 6 for row in report.plans.values())
+    )
     return (
         shaped
-        and all(0 <= n <= MOST * m.members for row in rows for n in row)
-        and 0 <= m.level < 100
-        and beside.sound(m.beside, m.members, MOST * m.members)
+        and all(0 <= n <= MAX_COUNT_PER_MEMBER * report.members for row in rows for n in row)
+        and 0 <= report.level < 100
+        and beside.sound(report.beside, report.members, MAX_COUNT_PER_MEMBER * report.members)
     )
 
 
 class Loads:
-    """`own(now)`: (by plan, others) that this controller saw; None: it tells nothing. `own_beside(now)`: a
-    Beside of its own, or None."""
+    """The load reports that one controller holds and sends, and the shedding level carried with them.
+
+    `own(now)` returns the local ({plan: row}, row of other counts); while it is None nothing is sent or
+    accepted. `own_beside(now)` returns the local `Beside` or None. Both are set by surge.py. `out` collects
+    (recipient, message) for the member to send. All times are in ns of the controller's monotonic clock.
+    """
 
     def __init__(self, me, names, now):
         self.me, self.names, self.own, self.own_beside = me, sorted(names), None, lambda now: None
-        self.caps = {}  # decided with the level in force
-        self.size = isqrt(len(self.names) - 1) + 1
-        self.group = self.names.index(me) // self.size
-        self.words = {}  # member of this group -> (its word, when heard)
-        self.groups = {}  # group -> (word, when)
-        self.whole = None  # (word on all, when), of a collector
-        self.level = (0.0, "", now - LAPSES)  # in force: value, who decided it, as of when
-        self.out, self.beat_at, self.began = [], now, now
+        self.caps = {}  # key -> part to shed; decided together with the level in force
+        self.group_size = isqrt(len(self.names) - 1) + 1
+        self.own_group = self.names.index(me) // self.group_size
+        self.member_reports = {}  # member of the own group -> (report, when received)
+        self.group_reports = {}  # group -> (report, when received)
+        self.total_report = None  # (report on the whole fleet, when received), from a collector
+        self.level = (0.0, "", now - REPORT_LIFETIME_NS)  # in force: (value, who decided it, when)
+        self.out, self.report_at, self.started_at = [], now, now
 
     def next_at(self):
-        return None if self.own is None else self.beat_at
+        """When `tick` is due; None while there is nothing to report."""
+        return None if self.own is None else self.report_at
 
-    def _of(self, group):
-        return self.names[group * self.size : (group + 1) * self.size]
+    def _group_names(self, group):
+        return self.names[group * self.group_size : (group + 1) * self.group_size]
 
-    def collectors(self, group, there):
-        return [n for n in self._of(group) if n in there][:2]
+    def collectors(self, group, alive):
+        """The first two names of the group that are in `alive`."""
+        return [n for n in self._group_names(group) if n in alive][:2]
 
-    def decides(self, now, there):
-        """Whether this one decides for all: the first that is there, once it has heard what was decided."""
-        return min({*there, self.me}) == self.me and now - self.began >= LAPSES
+    def decides(self, now, alive):
+        """Whether this controller decides the level for the fleet.
 
-    def tick(self, now, there):
-        if self.own is None or now < self.beat_at:
+        That is the first one alive, once it has run long enough to have received the previous decision.
+        """
+        return min({*alive, self.me}) == self.me and now - self.started_at >= REPORT_LIFETIME_NS
+
+    def tick(self, now, alive):
+        """Sends the due reports to `out`; `alive` names the other members that are alive."""
+        if self.own is None or now < self.report_at:
             return
-        self.beat_at, there = now + BEAT, set(there)
-        mine = self._word(OWN, *self.own(now), 1, 0, self.own_beside(now))
-        self.words[self.me] = mine, now
-        mates = self.collectors(self.group, there | {self.me})
-        self.out += [(to, mine) for to in mates if to != self.me]
-        if self.me in mates:
-            self._collect(now, there)
-
-    def _collect(self, now, there):
-        self.words = {n: x for n, x in self.words.items() if now - x[1] < LAPSES}
-        rides = beside.merged([(m.beside, now - at) for m, at in self.words.values()])
-        group = self._word(GROUP, *added([m for m, _ in self.words.values()]), self.group, rides)
-        self.groups[self.group] = group, now
-        groups = range(-(-len(self.names) // self.size))
-        others = [to for g in groups if g != self.group for to in self.collectors(g, there)]
-        # of groups alone: two collectors must not echo each other
-        whole = self._word(TOTAL, *self._sum(now), 0, self._beside(now))
-        self.out += [(to, group) for to in others]
-        self.out += [(to, whole) for to in self._of(self.group) if to in there and to != self.me]
-
-    def _word(self, kind, plans, more, members, group, rides):
+        self.report_at, alive = now + BEAT, set(alive)
+        own_report = self._report(MEMBER_REPORT, *self.own(now), 1, 0, self.own_beside(now))
+        self.member_reports[self.me] = own_report, now
+        own_collectors = self.collectors(self.own_group, alive | {self.me})
+        self.out += [(to, own_report) for to in own_collectors if to != self.me]
+        if self.me in own_collectors:
+            self._collect(now, alive)
+
+    def _collect(self, now, alive):
+        self.member_reports = {
+            n: x for n, x in self.member_reports.items() if now - x[1] < REPORT_LIFETIME_NS
+        }
+        group_beside = beside.merged(
+            [(report.beside, now - at) for report, at in self.member_reports.values()]
+        )
+        group_report = self._report(
+            GROUP_REPORT,
+            *sum_reports([report for report, _ in self.member_reports.values()]),
+            self.own_group,
+            group_beside,
+        )
+        self.group_reports[self.own_group] = group_report, now
+        groups = range(-(-len(self.names) // self.group_size))
+        other_collectors = [to for g in groups if g != self.own_group for to in self.collectors(g, alive)]
+        # Built from group sums only, never from another collector's total: two collectors would otherwise
+        # feed each other's totals back.
+        total_report = self._report(TOTAL_REPORT, *self._sum(now), 0, self._beside(now))
+        self.out += [(to, group_report) for to in other_collectors]
+        self.out += [
+            (to, total_report) for to in self._group_names(self.own_group) if to in alive and to != self.me
+        ]
+
+    def _report(self, kind, plans, others, members, group, carried):
         level, by, at = self.level
         if self.caps:
-            rides = msgspec.structs.replace(rides or Beside(), caps=self.caps)
-        return Load(kind, plans, more, members, group, level, by, (self.beat_at - BEAT - at) // MS, rides)
-
-    def heard(self, now, sender, m):
-        if self.own is None or sender not in self.names or not sound(m):
+            carried = msgspec.structs.replace(carried or Beside(), caps=self.caps)
+        return Load(
+            kind, plans, others, members, group, level, by, (self.report_at - BEAT - at) // NS_PER_MS, carried
+        )
+
+    def heard(self, now, sender, report):
+        """Handles a received `Load`; drops implausible ones and those of senders that may not send them."""
+        if self.own is None or sender not in self.names or not is_plausible(report):
             return
-        if m.kind == OWN and self.names.index(sender) // self.size == self.group:
-            self.words[sender] = m, now
-        elif m.kind == GROUP and sender in self._of(m.group):
-            self._better(self.groups, m.group, m, now)
-        elif m.kind == TOTAL:
-            best = {None: self.whole} if self.whole else {}
-            self._better(best, None, m, now)
-            self.whole = best[None]
+        if report.kind == MEMBER_REPORT and self.names.index(sender) // self.group_size == self.own_group:
+            self.member_reports[sender] = report, now
+        elif report.kind == GROUP_REPORT and sender in self._group_names(report.group):
+            self._store_better(self.group_reports, report.group, report, now)
+        elif report.kind == TOTAL_REPORT:
+            best = {None: self.total_report} if self.total_report else {}
+            self._store_better(best, None, report, now)
+            self.total_report = best[None]
         _, by, at = self.level
-        said = now - max(0, m.ago) * MS  # by whoever decided: a word that is passed on gets no younger
+        # The age counts from the decision, so that forwarding does not renew it.
+        decided_at = now - max(0, report.ago) * NS_PER_MS
         if (
-            m.by
-            and m.by != self.me
-            and now - said <= LAPSES
-            and (now - at > LAPSES or m.by < by or m.by == by and said > at)
+            report.by
+            and report.by != self.me
+            and now - decided_at <= REPORT_LIFETIME_NS
+            and (now - at > REPORT_LIFETIME_NS or report.by < by or report.by == by and decided_at > at)
         ):
-            self.level, self.caps = (m.level, m.by, said), m.beside.caps if m.beside else {}
+            self.level, self.caps = (
+                (report.level, report.by, decided_at),
+                report.beside.caps if report.beside else {},
+            )
 
     @staticmethod
-    def _better(table, key, m, now):
-        was, at = table.get(key, (None, 0))
-        if was is None or now - at > BEAT or m.members >= was.members:
-            table[key] = m, now
+    def _store_better(table, key, report, now):
+        previous, at = table.get(key, (None, 0))
+        if previous is None or now - at > BEAT or report.members >= previous.members:
+            table[key] = report, now
 
     def decided(self, now, level, caps=()):
+        """Sets the level and the caps (key -> part to shed) that this controller has decided."""
         self.level, self.caps = (level, self.me, now), dict(caps)
 
     def caps_in_force(self, now):
-        return dict(self.caps) if self.level[1] and now - self.level[2] <= LAPSES else {}
+        """The caps (key -> part to shed); empty where the last decision has expired."""
+        return dict(self.caps) if self.level[1] and now - self.level[2] <= REPORT_LIFETIME_NS else {}
 
     def in_force(self, now):
-        """The level for this controller; 0 where nobody who decides is heard."""
+        """The shedding level for this controller; 0 where the last decision has expired."""
         value, by, at = self.level
-        return value if by and now - at <= LAPSES else 0.0
+        return value if by and now - at <= REPORT_LIFETIME_NS else 0.0
 
     def _sum(self, now):
-        return added([m for m, at in self.groups.values() if now - at < LAPSES])
+        return sum_reports(
+            [report for report, at in self.group_reports.values() if now - at < REPORT_LIFETIME_NS]
+        )
 
     def _beside(self, now):
-        return beside.merged([(m.beside, now - at) for m, at in self.groups.values() if now - at < LAPSES])
+        return beside.merged(
+            [
+                (report.beside, now - at)
+                for report, at in self.group_reports.values()
+                if now - at < REPORT_LIFETIME_NS
+            ]
+        )
 
     def total(self, now):
-        """(by plan, others, how many members it is of)."""
-        mine = self._sum(now)
-        whole = self._told(now, mine)
-        return (whole.plans, whole.more, whole.members) if whole else mine
+        """Returns ({plan: row}, row of other counts, number of members counted) of the fleet."""
+        own_sum = self._sum(now)
+        received = self._received_total(now, own_sum)
+        return (received.plans, received.more, received.members) if received else own_sum
 
     def rides(self, now):
-        """What rides beside that: a Beside, ages as of now."""
-        whole = self._told(now, self._sum(now))
-        rides = beside.merged([(whole.beside, now - self.whole[1])]) if whole else self._beside(now)
-        return rides or Beside()
-
-    def _told(self, now, mine):
-        """The word on all, where it is of more members than what came here."""
-        whole, at = self.whole or (None, 0)
-        return whole if whole is not None and now - at < LAPSES and whole.members > mine[2] else None
+        """The fleet's `Beside` that belongs to `total`, with its ages as of now."""
+        received = self._received_total(now, self._sum(now))
+        carried = (
+            beside.merged([(received.beside, now - self.total_report[1])]) if received else self._beside(now)
+        )
+        return carried or Beside()
+
+    def _received_total(self, now, own_sum):
+        """The received total, where it is valid and counts more members than the sum of the groups here."""
+        report, at = self.total_report or (None, 0)
+        return (
+            report
+            if report is not None and now - at < REPORT_LIFETIME_NS and report.members > own_sum[2]
+            else None
+        )
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -7,7 +7,7 @@
 from terndrift.core.carried import Kind
 from terndrift.fleet import crowds, findings, load
 from terndrift.fleet.leases import Leases, Pace
-from terndrift.fleet.load import Own
+from terndrift.fleet.load import LoadCounter
 from terndrift.fleet.messages import Beside
 from terndrift.fleet.returns import Book
 from terndrift.fleet.shed import Level, importance, is_shed, parts
@@ -32,7 +32,7 @@
     def __init__(self, controller, host, plans, limits=(), address=str, elsewhere=lambda: False):
         self.controller, self.core, self.clock = controller, host.core, host.clock
         self.host, self.address, self.elsewhere = host, address, elsewhere
-        self.plans, self.order, self.own = plans, importance(plans), Own()
+        self.plans, self.order, self.own = plans, importance(plans), LoadCounter()
         now = self.clock.now()
         self.found, self.pending = findings.Own(), set()
         self.crowds, self.fails = crowds.Own(), Seconds(lambda: [0])
@@ -44,7 +44,7 @@
         )
         self.connects = Pace(self.leases, "connects", LONGEST)
         self.calls = Pace(self.leases, "calls", 10**18)  # a source is asked all the same, only later
-        controller.loads.own = lambda now: self.own.of_late(now, self.core.open)
+        controller.loads.own = lambda now: self.own.recent(now, self.core.open)
         controller.loads.own_beside = self._beside
         controller.shed = Level(self.order)
 
@@ -65,11 +65,11 @@
             if carried.taken_at < self.raised_at:
                 return
             late = load.IN_TARGET if facts["took"] <= self.plans[plan].startup_target else load.LATE
-            self.own.count(now, plan, load.ANSWERED, late if plays else load.TURNED)
+            self.own.count(now, plan, load.ANSWERED, late if plays else load.TURNED_AWAY)
         elif event == "try":
             self.found.tries(now, self.address(carried.streamer.id))
             if facts["number"] > 1:
-                self.own.more(now, load.EXTRA)
+                self.own.count_other(now, load.EXTRA_ATTEMPTS)
                 self.leases.used(now, "extra")
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in BAD):
             # whether that is held against it the decisions say next
@@ -79,14 +79,14 @@
     def gate(self, plan, wait):
         """A viewer was turned away by this controller's own bounds, to come back after `wait` ns."""
         now = self.clock.now()
-        self.own.count(now, plan, load.WANTED, load.ANSWERED, load.TURNED)
+        self.own.count(now, plan, load.WANTED, load.ANSWERED, load.TURNED_AWAY)
         self.book.books(now, wait)
 
     def connecting(self, address):
         """ns to wait before a new connection there is made; None: it is not to be made now."""
         wait = self.connects.enter(self.clock.now(), address)
         if wait is not None:
-            self.own.more(self.clock.now(), load.CONNECTED)
+            self.own.count_other(self.clock.now(), load.CONNECTIONS)
         return wait
 
     def calling(self):
@@ -186,9 +186,9 @@
             "name": self.controller.me,
             "members": members,
             "plans": rows,
-            "extra_tries": more[load.EXTRA] / WINDOW,
-            "connections": more[load.CONNECTED] / WINDOW,
-            "open": more[load.OPEN],
+            "extra_tries": more[load.EXTRA_ATTEMPTS] / WINDOW,
+            "connections": more[load.CONNECTIONS] / WINDOW,
+            "open": more[load.OPEN_SETUPS],
             "level": round(level, 3),
             "decided_by": by,
             "age_s": round((now - at) / SECOND, 1),
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -6,7 +6,7 @@
 from helpers import deployment
 
 from terndrift.fleet import load, shed
-from terndrift.fleet.load import LAPSES, Loads, Own
+from terndrift.fleet.load import REPORT_LIFETIME_NS, LoadCounter, Loads
 from terndrift.fleet.messages import Load
 from terndrift.fleet.shed import Level, importance, is_shed, parts
 from terndrift.fleet.window import WINDOW
@@ -53,7 +53,7 @@
     assert {town.wanted(n) for n in town.names} == {10 * count}
     town.sent = dict.fromkeys(town.names, 0)
     town.run(4)
-    size = town.up[town.names[0]].size
+    size = town.up[town.names[0]].group_size
     assert sum(sent == 16 for sent in town.sent.values()) >= count - 2 * (size + 1), "two, twice a second"
     assert max(town.sent.values()) / 4 <= 6 * size + 2
 
@@ -68,7 +68,7 @@
     assert max(seen) <= 500 and sorted(seen)[len(seen) // 20] >= 400, "never too much; mostly whole"
     half = set(town.names[:21])
     town.loss, town.cut = 0.0, lambda a, b: (a in half) != (b in half)
-    town.run((LAPSES + 2 * S) / S)
+    town.run((REPORT_LIFETIME_NS + 2 * S) / S)
     assert {town.wanted(n) for n in half} == {210} and {town.wanted(n) for n in town.names[21:]} == {290}
     town.cut = lambda a, b: False
     town.run(3)
@@ -83,10 +83,10 @@
     town.run(3)
     for dead in ("c000", "c001"):
         del town.up[dead]
-    town.run((LAPSES + 2 * S) / S)
+    town.run((REPORT_LIFETIME_NS + 2 * S) / S)
     assert {town.wanted(n) for n in town.up} == {100}
     town.wants["c003"] = 10**9
-    town.run((LAPSES + 2 * S) / S)
+    town.run((REPORT_LIFETIME_NS + 2 * S) / S)
     assert {town.wanted(n) for n in town.up if n not in ("c002", "c003")} == {90}
     one = town.up["c009"]
     for wrong in (
@@ -116,7 +116,7 @@
         town.run(0.5)
     assert {one.in_force(town.now) for one in town.up.values()} == {1.4}
     del town.up["c000"]
-    town.run((LAPSES + S) / S)
+    town.run((REPORT_LIFETIME_NS + S) / S)
     assert {one.in_force(town.now) for one in town.up.values()} == {0.0}, "a word passed on gets no younger"
     for _ in range(8):
         assert decide(0.7) == "c001"
@@ -128,12 +128,12 @@
 
 
 def test_own_figures_are_of_whole_seconds_and_those_of_long_ago_are_forgotten():
-    own, now = Own(), 1000 * S
+    own, now = LoadCounter(), 1000 * S
     for n in range(40):
         own.count(now + n * S // 4, "free", load.WANTED)
-    plans, more = own.of_late(now + 10 * S, 7)
+    plans, more = own.recent(now + 10 * S, 7)
     assert plans == {"free": [8, 0, 0, 0, 0, 0]} and more == [0, 0, 7]
-    assert own.of_late(now + 20 * S, 0)[0] == {}
+    assert own.recent(now + 20 * S, 0)[0] == {}
 
 
 # Shedding.
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -5,7 +5,7 @@
 from world import in_world
 
 from terndrift.fleet import load
-from terndrift.fleet.load import LAPSES, Loads
+from terndrift.fleet.load import REPORT_LIFETIME_NS, Loads
 from terndrift.fleet.surge import HELD, Surge, hold, release
 
 NO_BREAKS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
@@ -16,7 +16,7 @@
     service = world.service
     fleet = Made(
         me="c0",
-        loads=Loads("c0", ["c0"], service.clock.now() - LAPSES),
+        loads=Loads("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
         shed=None,
         known={"c0"},
         voters=[],
@@ -64,7 +64,7 @@
 async def test_without_overload_nothing_differs_and_a_level_that_nobody_tells_any_more_lapses(world):
     surge, fleet = surge_of(world)
     assert not any(surge.sheds(plan, f"v{n}", "title x") for plan in surge.order for n in range(50))
-    fleet.loads.level = 3.0, "c9", world.service.clock.now() - LAPSES - 1
+    fleet.loads.level = 3.0, "c9", world.service.clock.now() - REPORT_LIFETIME_NS - 1
     assert surge.level() == 0 and not surge.sheds("free", "v1", "title x")
     assert (await world.ask("clip"))[0] == 200
 
