--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -1,23 +1,27 @@
-"""Limits of the whole fleet, lent out in parts: tries beyond the first, new connections to a streamer, calls
-to sources. Free of I/O.
+"""Fleet-wide rate limits, granted as leases: extra attempts, new connections to a streamer, calls to sources.
 
-Of each limit SURE is split among all whom the records name, and is theirs whatever they know of others; the
-rest the record's leader lends for a short time, by what each wants. At every moment, whatever the views of
-members:
+Each controller owns one `Leases`. The fleet's member (member.py) passes it the lease messages, calls `tick`
+and sends what it puts into `out`; surge.py tells it the demand and asks it before each limited action. This
+module does no I/O.
 
-- a lease counts for its holder until LEASE after it asked, by its own clock, and is looked at where it is
-  used: who stood still or was cut off has none when it goes on;
-- the lender counts it until LEASE after it lent, and 2% more for clocks that drift, whether it arrived or
-  not, and the largest of those that one holder may still have;
-- a leader lends only while a majority answered questions that it sent less than ELECTION ago, and not before
-  SETTLES after it began to lead: what one before it lent has lapsed by then.
+GUARANTEED_SHARE of each limit is split evenly among all controllers that the configuration names, and is
+theirs whatever they know of the others. The rest is granted for a short time by the leader of the record, by
+demand. The granted parts stay within the limit whatever the members' views are:
 
-So the parts in force come to the limit at most; after a change of leaders, and in the smaller half of a cut,
-to less. They are rates: in any time T the fleet does limit * T, and a second more of that or one for each
-holder, whichever is more.
+- A lease is valid for its holder until LEASE_NS after the request, by the holder's own clock, and is checked
+  on each use: a process that was paused or cut off has no lease when it resumes.
+- The leader counts a lease until LEASE_NS after the grant, plus 2% for clock drift, whether or not it
+  arrived; of several that one holder may still have it counts the largest.
+- A leader grants only while a quorum has answered questions sent less than ELECTION ago, and not before
+  LEADER_WAIT_NS after it became leader: by then all leases of the leader before it have expired.
 
-Shares are even where all that is wanted is more than there is: one that wants absurdly much takes nothing
-from others that want little."""
+So the parts in force add up to at most the limit, and to less after a change of leader or in the minority
+side of a partition. The parts are rates: in any time T the fleet performs at most limit * T actions, plus one
+second's worth of the limit or one action per holder, whichever is more.
+
+Where demand exceeds the limit the parts are even, so that one controller with an absurdly high demand takes
+nothing from others with a low one.
+"""
 
 from collections import Counter, deque
 
@@ -26,204 +30,245 @@
 from terndrift.fleet.window import WINDOW, Seconds
 from terndrift.fleet.work import DRIFT
 
-MS = 1_000_000
-SECOND = 1000 * MS
-# Short, as what a dead holder had is lost to the others for so long; asked for four times in it, so that two
-# lost datagrams in a row cost nothing.
-LEASE, ASK = 2 * SECOND, SECOND // 2
-# Of the limit: a fifth leaves most to those that need it, and whoever is cut off is not without.
-SURE = 0.2
-SETTLES = int((ELECTION + LEASE) * (1 + DRIFT)) + ELECTION // 4
-MOST_HOPS = 2
-# What is wanted is what was used and what had to wait of late, and this much more: a surge grows into it
-# within two or three askings.
-MORE = 1.5
-
-
-def shares(pool, wants):
-    """name -> part of the pool: even ones of what is wanted, but nobody more than it wants (max-min); what
-    is left then is split evenly, too. Guards the first second of a surge: what is wanted is known two
-    seconds late."""
-    out, left = {}, pool
-    for n, (name, want) in enumerate(sorted(wants.items(), key=lambda x: (x[1], x[0]))):
-        out[name] = max(0.0, min(want, left / (len(wants) - n)))
-        left -= out[name]
-    return {name: part + left / len(wants) for name, part in out.items()}
-
-
-class Lender:
-    """The leader's table: what was lent and may still be in force. `limits`: kind -> what the fleet may, a
-    second."""
+NS_PER_MS = 1_000_000
+SECOND = 1000 * NS_PER_MS
+# The lease is short, as the part of a dead holder is lost to the others until it expires. It is requested
+# four times in that time, so that two lost datagrams in a row have no effect.
+LEASE_NS, ASK = 2 * SECOND, SECOND // 2
+# Of the limit: a fifth leaves most of it to controllers with demand, and a controller that is cut off can
+# still act.
+GUARANTEED_SHARE = 0.2
+LEADER_WAIT_NS = int((ELECTION + LEASE_NS) * (1 + DRIFT)) + ELECTION // 4
+MAX_HOPS = 2
+# Demand is the recent use and what had to wait, times this: in a surge the parts then grow to the need
+# within two or three requests.
+DEMAND_FACTOR = 1.5
+
+
+def max_min_shares(pool, demands):
+    """Splits the pool by demand, max-min fair; returns name -> part of the pool.
+
+    Parts are even but none exceeds its demand; what remains is split evenly as well. That remainder covers
+    the first second of a surge, as demand is known two seconds late.
+    """
+    shares, remaining = {}, pool
+    for n, (name, demand) in enumerate(sorted(demands.items(), key=lambda x: (x[1], x[0]))):
+        shares[name] = max(0.0, min(demand, remaining / (len(demands) - n)))
+        remaining -= shares[name]
+    return {name: part + remaining / len(demands) for name, part in shares.items()}
+
+
+class LeaseTable:
+    """The leader's table of granted leases that may still be in force.
+
+    `limits`: kind -> the fleet's limit per second.
+    """
 
     def __init__(self, limits):
-        self.pools = {kind: (1 - SURE) * most for kind, most in limits.items() if most}
-        self.lent = {kind: {} for kind in self.pools}  # kind -> name -> deque of (part, until)
-        self.wants = {kind: {} for kind in self.pools}  # kind -> name -> (want, when it was asked)
-
-    def lend(self, now, name, wants):
-        """kind -> part for that one, from now on."""
-        out = {}
-        for kind, want in wants.items():
-            if kind not in self.pools or not 0 <= want < float("inf"):
+        self.pools = {kind: (1 - GUARANTEED_SHARE) * limit for kind, limit in limits.items() if limit}
+        self.granted = {kind: {} for kind in self.pools}  # kind -> name -> deque of (part, until)
+        self.demands = {kind: {} for kind in self.pools}  # kind -> name -> (demand, when requested)
+
+    def grant(self, now, name, demands):
+        """Grants leases to a holder as of `now` (ns); returns kind -> part per second.
+
+        Unknown kinds and demands that are not finite or are negative are left out.
+        """
+        parts = {}
+        for kind, demand in demands.items():
+            if kind not in self.pools or not 0 <= demand < float("inf"):
                 continue
-            asked = self.wants[kind] = {n: x for n, x in self.wants[kind].items() if now - x[1] < LEASE}
-            asked[name] = min(want, self.pools[kind]), now
-            part = shares(self.pools[kind], {n: x[0] for n, x in asked.items()})[name]
-            part = max(0.0, min(part, self.pools[kind] - self.out(now, kind, name)))
-            rows = self.lent[kind].setdefault(name, deque())
-            # a smaller one outlives the larger before it: that may be the one that arrived
-            rows.append((part, now + int(LEASE * (1 + DRIFT))))
-            out[kind] = part
-        return out
-
-    def out(self, now, kind, but=None):
-        """What may be in force of a kind, that of one holder left out."""
-        total, table = 0.0, self.lent[kind]
-        for name, rows in list(table.items()):
-            while rows and rows[0][1] <= now:
-                rows.popleft()
-            if not rows:
+            recent = self.demands[kind] = {
+                n: x for n, x in self.demands[kind].items() if now - x[1] < LEASE_NS
+            }
+            recent[name] = min(demand, self.pools[kind]), now
+            part = max_min_shares(self.pools[kind], {n: x[0] for n, x in recent.items()})[name]
+            part = max(0.0, min(part, self.pools[kind] - self.granted_sum(now, kind, name)))
+            leases = self.granted[kind].setdefault(name, deque())
+            # A smaller lease does not replace a larger one before it: the larger may be the one that arrived.
+            leases.append((part, now + int(LEASE_NS * (1 + DRIFT))))
+            parts[kind] = part
+        return parts
+
+    def granted_sum(self, now, kind, excluded=None):
+        """The most that may be in force of a kind, without the holder `excluded`; drops expired leases."""
+        total, table = 0.0, self.granted[kind]
+        for name, leases in list(table.items()):
+            while leases and leases[0][1] <= now:
+                leases.popleft()
+            if not leases:
                 del table[name]
-            elif name != but:
-                total += max(part for part, _ in rows)
+            elif name != excluded:
+                total += max(part for part, _ in leases)
         return total
 
 
 class Leases:
-    """What one controller may of each kind. `limits`: kind -> what the fleet may a second, 0: no limit;
-    `count`: how many the records name; `lent`: whether there are voters, one of whom lends."""
-
-    def __init__(self, me, limits, count, lent, now):
-        self.me, self.limits, self.lent = me, {k: v for k, v in limits.items() if v}, lent
-        self.sure = {kind: most * (SURE if lent else 1.0) / count for kind, most in self.limits.items()}
-        self.has = {}  # kind -> (part, until)
-        self.buckets = {kind: Bucket(now) for kind in self.limits}
+    """What one controller may do of each kind, and, on the leader, the table of what it has granted.
+
+    `limits`: kind -> the fleet's limit per second, 0: no limit; `controller_count`: how many controllers the
+    configuration names; `has_voters`: whether there are voters, whose leader grants leases; without them each
+    controller has an even part for good. `out` collects (recipient, message) for the member to send. All
+    times are in ns of the controller's monotonic clock.
+    """
+
+    def __init__(self, me, limits, controller_count, has_voters, now):
+        self.me, self.limits, self.has_voters = me, {k: v for k, v in limits.items() if v}, has_voters
+        self.guaranteed = {
+            kind: limit * (GUARANTEED_SHARE if has_voters else 1.0) / controller_count
+            for kind, limit in self.limits.items()
+        }
+        self.held = {}  # kind -> (part, until)
+        self.buckets = {kind: TokenBucket(now) for kind in self.limits}
         self.wanted = dict.fromkeys(self.limits, 0.0)
-        self.out, self.ask_at, self.asked_at = [], now, 0
-        self.lender, self.leads, self.leads_since = Lender(self.limits), False, 0  # leads: a mark of its term
+        self.out, self.request_at, self.requested_at = [], now, 0
+        # leader_term: a mark of the term in which this controller leads; False where it doesn't
+        self.table, self.leader_term, self.leading_since = LeaseTable(self.limits), False, 0
 
     def next_at(self):
-        return self.ask_at if self.lent and self.limits else None
+        """When `tick` is due; None where no leases are requested."""
+        return self.request_at if self.has_voters and self.limits else None
 
     def part(self, now, kind):
-        """What it may now, a second; None: there is no limit."""
+        """The rate per second that this controller may use now; None: there is no limit."""
         if kind not in self.limits:
             return None
-        part, until = self.has.get(kind, (0.0, 0))
-        return self.sure[kind] + (part if now < until else 0.0)
+        part, until = self.held.get(kind, (0.0, 0))
+        return self.guaranteed[kind] + (part if now < until else 0.0)
 
-    def wants(self, kind, rate):
-        """`rate`: a second, what was used and what had to wait."""
+    def set_demand(self, kind, rate):
+        """Sets the demand from `rate`, the recent use and what had to wait, per second."""
         if kind in self.limits:
-            self.wanted[kind] = max(0.0, MORE * rate - self.sure[kind])
+            self.wanted[kind] = max(0.0, DEMAND_FACTOR * rate - self.guaranteed[kind])
 
-    def left(self, now, kind):
-        """How many it may at this moment; None: there is no limit."""
+    def available(self, now, kind):
+        """How many actions of a kind are allowed at this moment; None: there is no limit."""
         part = self.part(now, kind)
-        return None if part is None else self.buckets[kind].left(now, part)
+        return None if part is None else self.buckets[kind].available(now, part)
 
-    def used(self, now, kind):
+    def consume(self, now, kind):
+        """Counts one action of a kind; does not check that it is allowed."""
         if (part := self.part(now, kind)) is not None:
-            self.buckets[kind].used(now, part)
+            self.buckets[kind].consume(now, part)
 
     def tick(self, now, to, sure):
-        """`to`: who may lend, or knows who does; None: nobody is known. `sure`: as for `asked`."""
-        if now < self.ask_at or not (self.lent and self.limits):
+        """Requests leases when due.
+
+        `to`: the leader or a member that may know it; None: none is known. `sure`: as for `asked`.
+        """
+        if now < self.request_at or not (self.has_voters and self.limits):
             return
-        self.ask_at = now + ASK
-        ask = AskLease(self.me, now, {k: round(v, 3) for k, v in self.wanted.items()})
-        if self.leads:
-            self.asked(now, ask, sure, None)
+        self.request_at = now + ASK
+        request = AskLease(self.me, now, {k: round(v, 3) for k, v in self.wanted.items()})
+        if self.leader_term:
+            self.asked(now, request, sure, None)
         elif to is not None:
-            self.out.append((to, ask))
+            self.out.append((to, request))
 
     def led(self, now, mark):
-        """Told after each event whether this one leads: False, or a mark of its term, which begins anew."""
-        if mark and mark != self.leads:
-            self.leads_since, self.lender = now, Lender(self.limits)
-        self.leads = mark
+        """Called after each event with False, or with a mark of the term in which this controller leads.
+
+        A new term begins with an empty table.
+        """
+        if mark and mark != self.leader_term:
+            self.leading_since, self.table = now, LeaseTable(self.limits)
+        self.leader_term = mark
 
     def asked(self, now, m, sure, leader):
-        """`sure`: whether a majority answered this leader of late; `leader`: who leads, where another
-        does."""
-        if self.leads:
-            if sure and now - self.leads_since >= SETTLES:
-                answer = Lease(m.at, self.lender.lend(now, m.who, m.wants))
+        """Handles an `AskLease`: grants where this controller leads, else forwards it to the leader.
+
+        `sure`: whether a quorum has answered this leader recently; `leader`: the leader's name where another
+        controller leads, or None.
+        """
+        if self.leader_term:
+            if sure and now - self.leading_since >= LEADER_WAIT_NS:
+                answer = Lease(m.at, self.table.grant(now, m.who, m.wants))
                 if m.who == self.me:
                     self.answered(now, answer)
                 else:
                     self.out.append((m.who, answer))
-        elif leader not in (None, self.me) and m.hops < MOST_HOPS:
+        elif leader not in (None, self.me) and m.hops < MAX_HOPS:
             self.out.append((leader, AskLease(m.who, m.at, m.wants, m.hops + 1)))
 
     def answered(self, now, m):
-        """Of what is newer than what it has; it counts from when it was asked for."""
-        if not now - LEASE < m.at <= now or m.at < self.asked_at:
+        """Handles a `Lease`, which is valid from the time of the request; ignores older and expired ones."""
+        if not now - LEASE_NS < m.at <= now or m.at < self.requested_at:
             return
-        self.asked_at = m.at
+        self.requested_at = m.at
         for kind, part in m.parts.items():
             if kind in self.limits and 0 <= part <= self.limits[kind]:
-                self.has[kind] = part, m.at + LEASE
+                self.held[kind] = part, m.at + LEASE_NS
 
     def report(self, now):
+        """Limit, part and demand of each kind, per second, for operators."""
         return {
             kind: {
-                "limit": most,
+                "limit": limit,
                 "part": round(self.part(now, kind), 3),
                 "wants": round(self.wanted[kind], 3),
             }
-            for kind, most in self.limits.items()
+            for kind, limit in self.limits.items()
         }
 
 
-class Bucket:
-    """A rate as a count: what was not used stays for a second at most, and one whole one in any case. It
-    begins with that one, or whoever has just started could do nothing."""
+class TokenBucket:
+    """A token bucket that holds up to one second's worth of its rate, and at least one token.
+
+    It starts with one token, as a controller that has just started could otherwise do nothing.
+    """
 
     def __init__(self, now):
-        self.level, self.at = 1.0, now
+        self.tokens, self.updated_at = 1.0, now
+
+    def _refill(self, now, rate):
+        self.tokens = min(max(1.0, rate), self.tokens + rate * max(0, now - self.updated_at) / SECOND)
+        self.updated_at = now
 
-    def _fill(self, now, rate):
-        self.level = min(max(1.0, rate), self.level + rate * max(0, now - self.at) / SECOND)
-        self.at = now
+    def available(self, now, rate):
+        """The number of whole tokens; `now` in ns, `rate` per second."""
+        self._refill(now, rate)
+        return int(self.tokens + 1e-9)
 
-    def left(self, now, rate):
-        self._fill(now, rate)
-        return int(self.level + 1e-9)
+    def consume(self, now, rate):
+        """Takes one token, even where none is left."""
+        self._refill(now, rate)
+        # Negative where an action waits for its turn, or was allowed by an earlier answer.
+        self.tokens -= 1
 
-    def used(self, now, rate):
-        self._fill(now, rate)
-        self.level -= 1  # under nought: somebody waits for his turn, or was let go by an earlier word
+    def wait_time(self, now, rate):
+        """The time in ns until a token is available."""
+        self._refill(now, rate)
+        return 0 if self.tokens >= 1 - 1e-9 else int((1 - self.tokens) / max(rate, 1e-9) * SECOND)
 
-    def wait(self, now, rate):
-        """ns until one may."""
-        self._fill(now, rate)
-        return 0 if self.level >= 1 - 1e-9 else int((1 - self.level) / max(rate, 1e-9) * SECOND)
 
+class KeyedRateLimiter:
+    """Applies the part of one kind to each of several keys separately, e.g. connections to each streamer.
 
-class Pace:
-    """A kind that is limited at each of several places, by one part: connections to each streamer. How long
-    the next one there has to wait; None: longer than `longest` ns, and it is not to be made."""
+    `max_wait`: the longest wait in ns; an action that would wait longer is refused.
+    """
 
-    def __init__(self, leases, kind, longest):
-        self.leases, self.kind, self.longest = leases, kind, longest
-        self.buckets, self.asked = {}, Seconds(Counter)
+    def __init__(self, leases, kind, max_wait):
+        self.leases, self.kind, self.max_wait = leases, kind, max_wait
+        self.buckets, self.requests = {}, Seconds(Counter)
 
-    def enter(self, now, key):
+    def reserve(self, now, key):
+        """Reserves one action for a key; returns its wait in ns, or None where it must not be performed."""
         part = self.leases.part(now, self.kind)
         if part is None:
             return 0
-        self.asked.at(now)[key] += 1
-        bucket = self.buckets.setdefault(key, Bucket(now))
-        wait = bucket.wait(now, part)
-        if wait > self.longest:
+        self.requests.at(now)[key] += 1
+        bucket = self.buckets.setdefault(key, TokenBucket(now))
+        wait = bucket.wait_time(now, part)
+        if wait > self.max_wait:
             return None
-        bucket.used(now, part)
+        bucket.consume(now, part)
         return wait
 
-    def look(self, now):
-        """Now and then: what is wanted is what was asked for at the busiest place."""
-        busy = sum(self.asked.of_late(now), Counter())
-        self.leases.wants(self.kind, max(busy.values(), default=0) / WINDOW)
+    def update_demand(self, now):
+        """Called periodically: the demand is that of the busiest key; drops full buckets of idle keys."""
+        recent = sum(self.requests.of_late(now), Counter())
+        self.leases.set_demand(self.kind, max(recent.values(), default=0) / WINDOW)
         part = self.leases.part(now, self.kind) or 0.0
-        self.buckets = {key: b for key, b in self.buckets.items() if b.wait(now, part) or busy[key]}
+        self.buckets = {
+            key: bucket for key, bucket in self.buckets.items() if bucket.wait_time(now, part) or recent[key]
+        }
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -6,7 +6,7 @@
 
 from terndrift.core.carried import Kind
 from terndrift.fleet import crowds, findings, load
-from terndrift.fleet.leases import Leases, Pace
+from terndrift.fleet.leases import KeyedRateLimiter, Leases
 from terndrift.fleet.load import LoadCounter
 from terndrift.fleet.messages import Beside
 from terndrift.fleet.returns import Book
@@ -42,8 +42,10 @@
         self.leases = controller.leases = Leases(
             controller.me, dict(limits), len(controller.known), bool(controller.voters), now
         )
-        self.connects = Pace(self.leases, "connects", LONGEST)
-        self.calls = Pace(self.leases, "calls", 10**18)  # a source is asked all the same, only later
+        self.connects = KeyedRateLimiter(self.leases, "connects", LONGEST)
+        self.calls = KeyedRateLimiter(
+            self.leases, "calls", 10**18
+        )  # a source is asked all the same, only later
         controller.loads.own = lambda now: self.own.recent(now, self.core.open)
         controller.loads.own_beside = self._beside
         controller.shed = Level(self.order)
@@ -70,7 +72,7 @@
             self.found.tries(now, self.address(carried.streamer.id))
             if facts["number"] > 1:
                 self.own.count_other(now, load.EXTRA_ATTEMPTS)
-                self.leases.used(now, "extra")
+                self.leases.consume(now, "extra")
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in BAD):
             # whether that is held against it the decisions say next
             self.pending.add(carried.streamer.id)
@@ -84,14 +86,14 @@
 
     def connecting(self, address):
         """ns to wait before a new connection there is made; None: it is not to be made now."""
-        wait = self.connects.enter(self.clock.now(), address)
+        wait = self.connects.reserve(self.clock.now(), address)
         if wait is not None:
             self.own.count_other(self.clock.now(), load.CONNECTIONS)
         return wait
 
     def calling(self):
         """ns to wait before a source of the list is asked again."""
-        return self.calls.enter(self.clock.now(), "")
+        return self.calls.reserve(self.clock.now(), "")
 
     def second(self, late, files, memory):
         """Each second: ns that the loop was late, parts of descriptors and memory in use."""
@@ -114,9 +116,9 @@
         self.pending.clear()
         # of those not answered yet alone: what plays is many times as much, and looked at ten times a second
         waiting = sum(pb.state is State.HELD and pb.tries > 0 for pb in self.core.controller.open)
-        self.leases.wants("extra", sum(n for (n,) in self.fails.of_late(now)) / WINDOW + waiting)
-        self.connects.look(now)
-        self.calls.look(now)
+        self.leases.set_demand("extra", sum(n for (n,) in self.fails.of_late(now)) / WINDOW + waiting)
+        self.connects.update_demand(now)
+        self.calls.update_demand(now)
         rides = self.controller.loads.rides(now)
         there = {self.controller.me, *self.controller.members.alive()}
         judged = findings.judged(now, self.controller.me, rides.found, there, self.found.tried)
@@ -124,7 +126,7 @@
         plans, _, _ = self.controller.loads.total(now)
         asked = sum(row[load.WANTED] for row in plans.values()) / WINDOW
         self.book.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW)
-        told = self.leases.left(now, "extra"), found, self.book.advice(rides.back, asked)
+        told = self.leases.available(now, "extra"), found, self.book.advice(rides.back, asked)
         if told != self.told or None not in told:
             self.told = told
             self.host.do(self.core.limits, *told)
