--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -10,7 +10,7 @@
 from terndrift.fleet.load import LoadCounter
 from terndrift.fleet.messages import Beside
 from terndrift.fleet.returns import Book
-from terndrift.fleet.shed import Level, importance, is_shed, parts
+from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
 from terndrift.fleet.strain import Strain
 from terndrift.fleet.window import SECOND, WINDOW, Seconds
 from terndrift.interface import Ending, State
@@ -158,9 +158,9 @@
         caps = self.controller.loads.caps_in_force(now)
         if any(is_shed(now, caps.get(key, 0.0), viewer) for key in keys):
             self.own.count(now, plan, load.WANTED)
-        elif level and is_shed(now, parts(level, self.order).get(plan, 0.0), viewer):
+        elif level and is_shed(now, shed_parts(level, self.order).get(plan, 0.0), viewer):
             self.own.count(now, plan, load.WANTED, load.SHED)
-        elif own and is_shed(now, parts(own, self.order).get(plan, 0.0), viewer):
+        elif own and is_shed(now, shed_parts(own, self.order).get(plan, 0.0), viewer):
             if self.elsewhere():
                 return self._come_back(now), True
             self.own.count(now, plan, load.WANTED, load.SHED)
@@ -194,7 +194,7 @@
             "level": round(level, 3),
             "decided_by": by,
             "age_s": round((now - at) / SECOND, 1),
-            "sheds": {n: round(p, 3) for n, p in parts(level, self.order).items() if p},
+            "sheds": {n: round(p, 3) for n, p in shed_parts(level, self.order).items() if p},
             "crowds": self.controller.loads.caps_in_force(now),
             "come_back": rides.back,
             "failing": {
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -8,7 +8,7 @@
 from terndrift.fleet import load, shed
 from terndrift.fleet.load import REPORT_LIFETIME_NS, LoadCounter, Loads
 from terndrift.fleet.messages import Load
-from terndrift.fleet.shed import Level, importance, is_shed, parts
+from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
 from terndrift.fleet.window import WINDOW
 
 S = 1_000_000_000
@@ -144,7 +144,7 @@
 
 def test_the_order_goes_by_revenue_and_what_is_paid_and_a_level_sheds_the_least_important_first():
     assert importance(deployment().plans) == ["free", "live", "paid"]
-    assert parts(1.4, ORDER) == {"free": 1.0, "seated": pytest.approx(0.4), "paid": 0.0}
+    assert shed_parts(1.4, ORDER) == {"free": 1.0, "seated": pytest.approx(0.4), "paid": 0.0}
 
 
 def test_who_is_shed_stays_shed_for_a_while_and_nobody_for_ever():
@@ -157,7 +157,7 @@
     assert first <= {v for v in viewers if is_shed(now, 0.5, v)}, "more are shed: the same, and others"
     always = first
     for turn in range(1, 12):
-        always = {v for v in always if is_shed(now + turn * shed.TURN, 0.3, v)}
+        always = {v for v in always if is_shed(now + turn * shed.TURN_NS, 0.3, v)}
     assert not always
 
 
@@ -179,7 +179,7 @@
             self.count += 1
             plan = self.chance.choices(list(self.MIX), list(self.MIX.values()))[0]
             asking.append((f"v{self.count}", plan, n + 12))
-        shares, row = parts(self.value, ORDER), {name: [0] * 6 for name in ORDER}
+        shares, row = shed_parts(self.value, ORDER), {name: [0] * 6 for name in ORDER}
         taken, left = [], []
         for one in asking:
             row[one[1]][load.WANTED] += 1
