--- a/terndrift/fleet/crowds.py
+++ b/terndrift/fleet/crowds.py
@@ -1,41 +1,48 @@
-"""Under overload one crowd does not take the place of all: the viewers of one title, or from one address,
-that ask for most of everything are held to their share first, and the level of shedding (shed.py) is left to
-the rest. Free of I/O.
+"""Caps on dominant keys under overload: a key is one title or one address, written "<kind> <name>".
 
-Each controller tells its heaviest keys with its words of load; sums are of all. The one that decides the
-level decides the parts of heavy keys to be shed, too. It guards the viewers of everything else, in every
-plan, against one title or one client that comes many times as often as all; it could do harm where that
-title is what all of them want: hence only while what is taken comes late or is turned away, only beyond
-HEAVY of all, and only with others there who would be hurt."""
+Where one title or one address causes most of all requests, its viewers are reduced to a share of the capacity
+first, and the shedding level (shed.py) applies to what is left. Each controller sends its most requested keys
+in load reports; sums are of the whole fleet. The controller that decides the level decides the caps too: its
+`Level` owns a `Caps` and steps it, and surge.py applies the parts. This module does no I/O.
+
+A cap protects the viewers of everything else, in every plan, against one title or one client that is
+requested many times more often than usual. It would do harm where that title is what all viewers want. It is
+therefore set only while answers come late or are turned away, only above HEAVY_SHARE of all requests, and
+only with other viewers present who would be affected.
+"""
 
 from collections import Counter
 
 from terndrift.fleet.window import SECOND, Seconds
 
-HEAVY = 0.5  # of what all ask for: no one title is that in quiet times, in the days and catalogues seen here
-SHARE = 0.25  # of what can be served a heavy key keeps: as one source at a controller's own gate (gate.py)
-OTHERS, PART = 10, 0.05  # others in the window, and their part: with fewer there is nobody to be guarded
-KEYS = 6  # of a kind in a word
-BACK = 0.1  # steps back, each beat, while all is well: five seconds from a whole part
+HEAVY_SHARE = 0.5  # of all requests: without overload no title reached that in the days and catalogues seen
+SHARE = 0.25  # of the capacity, left to a heavy key: as for one source at a controller's own gate (gate.py)
+# Requests for other keys in the window, and their part of all: with fewer there is nobody to protect.
+MIN_OTHERS, MIN_OTHERS_PART = 10, 0.05
+KEYS = 6  # of each kind in a load report
+RELEASE_STEP = 0.1  # per beat while all is well: a cap of 1 is released in five seconds
 
 
 class Own:
+    """Requests by key at this controller, per second."""
+
     def __init__(self):
         self.seconds = Seconds(Counter)
 
     def count(self, now, keys):
+        """Adds one request to each of the keys; `now` in ns."""
         self.seconds.at(now).update(keys)
 
     def table(self, now):
-        """The heaviest of the last whole seconds."""
+        """Returns key -> requests of the last whole seconds, for the most requested keys."""
         out = Counter()
         for keys in self.seconds.of_late(now):
             out.update(keys)
-        return heaviest(out)
+        return most_requested(out)
 
 
-def heaviest(counts):
-    """KEYS of each kind: all that come from one address must not push out the titles."""
+def most_requested(counts):
+    """Keeps KEYS keys of each kind, as many addresses must not displace the titles."""
     out, kinds = {}, Counter()
     for key, n in sorted(counts.items(), key=lambda x: (-x[1], x[0])):
         kind = key.partition(" ")[0]
@@ -46,42 +53,52 @@
 
 
 def merged(tables):
+    """Adds up tables of key -> requests and keeps the most requested keys."""
     out = Counter()
     for table in tables:
         out.update(table)
-    return heaviest(out)
+    return most_requested(out)
 
 
 def sound(table, most):
+    """Whether a received table has an allowed size and counts from 0 to `most`."""
     return len(table) <= 2 * KEYS and all(0 <= n <= most for n in table.values())
 
 
 class Caps:
-    """The one that decides steps them: key -> part of its viewers that is shed."""
+    """The parts to shed of dominant keys, stepped by the controller that decides for the fleet.
+
+    `parts`: key -> part of its viewers that is shed, above 0 and up to 1.
+    """
 
     def __init__(self):
-        self.parts, self.well_since = {}, None
-
-    def step(self, now, keys, wanted, can, bad):
-        """`keys`: what all asked for by key, `wanted`: altogether, `can`: answered in target at best, all in
-        the window; `bad`: whether too much of what was taken came late. Returns whether a new crowd was
-        found: the level waits for what that brings."""
-        others = max(OTHERS, PART * wanted)
-        needs = {
-            k: max(0.0, 1 - SHARE * can / n)
+        self.parts, self.good_since = {}, None
+
+    def step(self, now, keys, wanted, capacity, overloaded):
+        """Updates the caps; returns whether a new key was capped, so that the level waits for the effect.
+
+        `keys`: key -> requests; `wanted`: all requests; `capacity`: the most that can be answered in target;
+        all of these in the window of the sums. `overloaded`: whether too many answers came late or were
+        turned away.
+        """
+        min_others = max(MIN_OTHERS, MIN_OTHERS_PART * wanted)
+        needed_parts = {
+            k: max(0.0, 1 - SHARE * capacity / n)
             for k, n in keys.items()
-            if n > HEAVY * wanted and wanted - n >= others
+            if n > HEAVY_SHARE * wanted and wanted - n >= min_others
         }
-        new = False
-        self.well_since = None if bad else self.well_since or now
-        if bad:
-            for key, part in needs.items():
-                new = new or part > 0 and key not in self.parts
+        found_new = False
+        self.good_since = None if overloaded else self.good_since or now
+        if overloaded:
+            for key, part in needed_parts.items():
+                found_new = found_new or part > 0 and key not in self.parts
                 self.parts[key] = max(part, self.parts.get(key, 0.0))
-        elif now - self.well_since >= 2 * SECOND:
-            # as far as it comes as ever what goes well is what was taken of it, and the rest is still shed
+        elif now - self.good_since >= 2 * SECOND:
+            # While the key is requested as often as before, answers are good only because of the cap: it is
+            # not released below the part that is still needed.
             self.parts = {
-                k: max(round(part - BACK, 6), min(part, needs.get(k, 0.0))) for k, part in self.parts.items()
+                k: max(round(part - RELEASE_STEP, 6), min(part, needed_parts.get(k, 0.0)))
+                for k, part in self.parts.items()
             }
         self.parts = {k: part for k, part in self.parts.items() if part > 0}
-        return new
+        return found_new
