--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -1,6 +1,11 @@
-"""Overload at this controller: what its core and fronts saw goes into the fleet's sums, and what the fleet
-has settled comes back: who is turned away before he is a playback, how many tries beyond the first may be
-made, who tries a streamer that fails, when viewers are told to come back. No I/O."""
+"""Overload handling of one controller: connects its core and front to the fleet's sums and decisions.
+
+service.py creates one `Surge` per controller and hooks it into the core, the front, the carrier and the
+sources; fleet/service.py calls `look` periodically. What core and front saw goes into load reports; what the
+fleet has decided comes back: who is shed before he gets a playback, how many attempts beyond the first may be
+made, which controller attempts a failing streamer, and when viewers are told to come back. This module does
+no I/O. It must not end a running playback.
+"""
 
 import zlib
 
@@ -15,170 +20,195 @@
 from terndrift.fleet.window import SECOND, WINDOW, Seconds
 from terndrift.interface import Ending, State
 
-HELD = "shed/hold"  # of the record's map: {"level", "until" (ms since 1970), "by"}, an operator's word
-LOOKS = SECOND // 10  # between looks at what all found and allow: a fifth of what a word takes
-# What a set-up waits for its turn to connect at most: so much is left of the shortest startup target all the
-# same.
-LONGEST = SECOND // 4
-LONGEST_KEY = 48  # characters of a crowd's: a word of twelve has to fit a datagram with the rest
-BAD = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN, Ending.ERRED)
+# Key in the record's map of a level set by an operator: {"level", "until" (ms since 1970), "by"}.
+HOLD_KEY = "shed/hold"
+LOOKS = SECOND // 10  # between calls of `look`: a fifth of the interval between load reports
+# The longest wait of a set-up for its connection: that much still fits into the shortest startup target.
+MAX_CONNECT_WAIT_NS = SECOND // 4
+MAX_KEY_LENGTH = 48  # characters: twelve keys have to fit a datagram with the rest of a load report
+FAILED_ENDINGS = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN, Ending.ERRED)
 
 
 class Surge:
-    """`limits`: kind of lease -> what all controllers together may, a second (0: no limit);
-    `address`: of a streamer's id, by which members name it; `elsewhere()`: whether viewers can be sent on to
-    another one."""
+    """Overload handling of one controller.
+
+    `limits`: kind of lease -> what all controllers together may do per second (0: no limit); `address`: from
+    a streamer's id to the address by which members name it; `elsewhere()`: whether viewers can be sent on to
+    another controller. Sets `leases`, `shed` and the sources of load reports on the fleet's controller.
+    """
 
     def __init__(self, controller, host, plans, limits=(), address=str, elsewhere=lambda: False):
         self.controller, self.core, self.clock = controller, host.core, host.clock
         self.host, self.address, self.elsewhere = host, address, elsewhere
-        self.plans, self.order, self.own = plans, importance(plans), LoadCounter()
+        self.plans, self.order, self.counter = plans, importance(plans), LoadCounter()
         now = self.clock.now()
-        self.found, self.pending = findings.Own(), set()
-        self.crowds, self.fails = crowds.Own(), Seconds(lambda: [0])
-        self.book, self.draws = Book(self.core.deployment.rules.longest_advice), 0
+        # failed_streamers: ids with a failed set-up or playback since the last `look`
+        self.findings, self.failed_streamers = findings.Own(), set()
+        self.key_counter, self.failed_attempts = crowds.Own(), Seconds(lambda: [0])
+        self.return_times, self.draw_count = Book(self.core.deployment.rules.longest_advice), 0
+        # told: what the core was last told: (extra attempts, streamer id -> may attempt, return times in ns)
         self.strain, self.told = Strain(len(plans)), (None, {}, ())
-        self.went_by, self.raised_at = 0.0, 0  # the level as last looked at, and when it last rose
+        self.last_level, self.raised_at = 0.0, 0  # the level at the last `look`, and when it last rose
         self.leases = controller.leases = Leases(
             controller.me, dict(limits), len(controller.known), bool(controller.voters), now
         )
-        self.connects = KeyedRateLimiter(self.leases, "connects", LONGEST)
-        self.calls = KeyedRateLimiter(
-            self.leases, "calls", 10**18
-        )  # a source is asked all the same, only later
-        controller.loads.own = lambda now: self.own.recent(now, self.core.open)
+        self.connection_limiter = KeyedRateLimiter(self.leases, "connects", MAX_CONNECT_WAIT_NS)
+        # A call to a source is delayed but never refused.
+        self.call_limiter = KeyedRateLimiter(self.leases, "calls", 10**18)
+        controller.loads.own = lambda now: self.counter.recent(now, self.core.open)
         controller.loads.own_beside = self._beside
         controller.shed = Level(self.order)
 
-    # What the core and the front saw.
+    # Events of the core and the front.
 
     def watch(self, event, carried, **facts):
-        """Of the core."""
+        """Called by the core with each of its events."""
         now = self.clock.now()
         if event == "wanted":
-            self.own.count(now, carried.wanted.plan, load.WANTED)
+            self.counter.count(now, carried.wanted.plan, load.WANTED)
         elif event == "answer":
             plays, plan = facts["kind"] == Kind.PLAYS.value, carried.wanted.plan
-            self.book.books(now, facts["come_back"])
+            self.return_times.books(now, facts["come_back"])
             if plays:
-                self.found.plays(now, self.address(carried.streamer.id))
-            # who was taken under a lower level says nothing of this one: he may have been held for two
-            # seconds, and each rise would be followed by another for what the first has ended already
+                self.findings.plays(now, self.address(carried.streamer.id))
+            # Viewers taken under a lower level say nothing about this one, as they may have been held for two
+            # seconds. Counting them would raise the level again for a cause that the last raise has removed.
             if carried.taken_at < self.raised_at:
                 return
-            late = load.IN_TARGET if facts["took"] <= self.plans[plan].startup_target else load.LATE
-            self.own.count(now, plan, load.ANSWERED, late if plays else load.TURNED_AWAY)
+            column = load.IN_TARGET if facts["took"] <= self.plans[plan].startup_target else load.LATE
+            self.counter.count(now, plan, load.ANSWERED, column if plays else load.TURNED_AWAY)
         elif event == "try":
-            self.found.tries(now, self.address(carried.streamer.id))
+            self.findings.tries(now, self.address(carried.streamer.id))
             if facts["number"] > 1:
-                self.own.count_other(now, load.EXTRA_ATTEMPTS)
+                self.counter.count_other(now, load.EXTRA_ATTEMPTS)
                 self.leases.consume(now, "extra")
-        elif event in ("try over", "over") and facts["ending"] in (e.name for e in BAD):
-            # whether that is held against it the decisions say next
-            self.pending.add(carried.streamer.id)
-            self.fails.at(now)[0] += event == "try over"
+        elif event in ("try over", "over") and facts["ending"] in (e.name for e in FAILED_ENDINGS):
+            # `look` checks whether the core has set the streamer aside for it.
+            self.failed_streamers.add(carried.streamer.id)
+            self.failed_attempts.at(now)[0] += event == "try over"
 
     def gate(self, plan, wait):
-        """A viewer was turned away by this controller's own bounds, to come back after `wait` ns."""
+        """Called when this controller's own bounds turned a viewer away, to come back after `wait` ns."""
         now = self.clock.now()
-        self.own.count(now, plan, load.WANTED, load.ANSWERED, load.TURNED_AWAY)
-        self.book.books(now, wait)
+        self.counter.count(now, plan, load.WANTED, load.ANSWERED, load.TURNED_AWAY)
+        self.return_times.books(now, wait)
 
     def connecting(self, address):
-        """ns to wait before a new connection there is made; None: it is not to be made now."""
-        wait = self.connects.reserve(self.clock.now(), address)
+        """Returns ns to wait before a new connection to a streamer, or None where it must not be made."""
+        wait = self.connection_limiter.reserve(self.clock.now(), address)
         if wait is not None:
-            self.own.count_other(self.clock.now(), load.CONNECTIONS)
+            self.counter.count_other(self.clock.now(), load.CONNECTIONS)
         return wait
 
     def calling(self):
-        """ns to wait before a source of the list is asked again."""
-        return self.calls.reserve(self.clock.now(), "")
+        """Returns ns to wait before a source of the list is called again."""
+        return self.call_limiter.reserve(self.clock.now(), "")
 
     def second(self, late, files, memory):
-        """Each second: ns that the loop was late, parts of descriptors and memory in use."""
+        """Called each second; returns whether the state of this controller's own overload changed.
+
+        `late`: ns that the event loop was late; `files`, `memory`: parts of descriptors and memory in use.
+        """
         before = self.strain.standing
         self.strain.second(self.clock.now(), late, files, memory)
         return self.strain.standing is not before
 
-    # What all have settled, for the decisions.
+    # Decisions of the fleet, passed to the core.
 
     def look(self):
+        """Called every LOOKS ns: updates the demand for leases and tells the core what has changed."""
         now = self.clock.now()
         level = self.level()
-        if level > self.went_by + 0.01:
+        if level > self.last_level + 0.01:
             self.raised_at = now
-        self.went_by = level
+        self.last_level = level
         streamers = self.core.controller.streamers
-        for id in self.pending:
-            if (s := streamers.get(id)) is not None and s.gap:
-                self.found.failed(now, self.address(id))
-        self.pending.clear()
-        # of those not answered yet alone: what plays is many times as much, and looked at ten times a second
+        for id in self.failed_streamers:
+            if (streamer := streamers.get(id)) is not None and streamer.gap:
+                self.findings.failed(now, self.address(id))
+        self.failed_streamers.clear()
+        # Only open set-ups are searched: running playbacks are many times as many, and this runs ten times a
+        # second.
         waiting = sum(pb.state is State.HELD and pb.tries > 0 for pb in self.core.controller.open)
-        self.leases.set_demand("extra", sum(n for (n,) in self.fails.of_late(now)) / WINDOW + waiting)
-        self.connects.update_demand(now)
-        self.calls.update_demand(now)
+        self.leases.set_demand(
+            "extra", sum(n for (n,) in self.failed_attempts.of_late(now)) / WINDOW + waiting
+        )
+        self.connection_limiter.update_demand(now)
+        self.call_limiter.update_demand(now)
         rides = self.controller.loads.rides(now)
-        there = {self.controller.me, *self.controller.members.alive()}
-        judged = findings.judged(now, self.controller.me, rides.found, there, self.found.tried)
-        found = {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
+        alive = {self.controller.me, *self.controller.members.alive()}
+        judged = findings.judged(now, self.controller.me, rides.found, alive, self.findings.tried)
+        may_attempt = (
+            {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
+        )
         plans, _, _ = self.controller.loads.total(now)
-        asked = sum(row[load.WANTED] for row in plans.values()) / WINDOW
-        self.book.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW)
-        told = self.leases.available(now, "extra"), found, self.book.advice(rides.back, asked)
+        wanted_rate = sum(row[load.WANTED] for row in plans.values()) / WINDOW
+        self.return_times.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW)
+        told = (
+            self.leases.available(now, "extra"),
+            may_attempt,
+            self.return_times.advice(rides.back, wanted_rate),
+        )
         if told != self.told or None not in told:
             self.told = told
             self.host.do(self.core.limits, *told)
 
-    def _aside(self):
+    def _set_aside(self):
+        """Returns address -> whether it is down, of the streamers that the core has set aside."""
         streamers = self.core.controller.streamers
         return {self.address(id): s.down is not None for id, s in streamers.items() if s.gap}
 
     def _beside(self, now):
-        found = self.found.table(now, self._aside(), self.controller.loads.rides(now).found)
+        found = self.findings.table(now, self._set_aside(), self.controller.loads.rides(now).found)
         strained = [self.controller.me] if self.strain.level else []
-        return Beside(found, self.book.table(now), self.crowds.table(now), strained)
+        return Beside(found, self.return_times.table(now), self.key_counter.table(now), strained)
 
-    # Who is turned away.
+    # Shedding of viewers.
 
     def level(self):
-        """In force here: an operator's word as long as it holds, else the fleet's."""
-        now, held = self.clock.now(), self.controller.follower.state["map"].get(HELD)
+        """The level in force here: one set by an operator until it expires, else the fleet's."""
+        now, held = self.clock.now(), self.controller.follower.state["map"].get(HOLD_KEY)
         if held and self.clock.wall_ns(now) < held["until"] * 1_000_000:
             return held["level"]
         return self.controller.loads.in_force(now)
 
     def sheds(self, plan, viewer, *keys):
-        """None: he is taken as far as the fleet goes; else ns after which to come back, and whether he may be
-        sent on to another controller, as only this one has too many. Counts him. `keys`: of his crowds."""
-        now, keys = self.clock.now(), [key[:LONGEST_KEY] for key in keys]
-        self.crowds.count(now, keys)
-        level, own = self.level(), self.strain.level
+        """Decides on a viewer's request and counts it; `keys`: his title and address as in crowds.py.
+
+        Returns None where he is taken, else (ns after which to come back, whether he may be sent on to
+        another controller because only this one is overloaded).
+        """
+        now, keys = self.clock.now(), [key[:MAX_KEY_LENGTH] for key in keys]
+        self.key_counter.count(now, keys)
+        level, own_level = self.level(), self.strain.level
         caps = self.controller.loads.caps_in_force(now)
         if any(is_shed(now, caps.get(key, 0.0), viewer) for key in keys):
-            self.own.count(now, plan, load.WANTED)
+            self.counter.count(now, plan, load.WANTED)
         elif level and is_shed(now, shed_parts(level, self.order).get(plan, 0.0), viewer):
-            self.own.count(now, plan, load.WANTED, load.SHED)
-        elif own and is_shed(now, shed_parts(own, self.order).get(plan, 0.0), viewer):
+            self.counter.count(now, plan, load.WANTED, load.SHED)
+        elif own_level and is_shed(now, shed_parts(own_level, self.order).get(plan, 0.0), viewer):
             if self.elsewhere():
-                return self._come_back(now), True
-            self.own.count(now, plan, load.WANTED, load.SHED)
+                return self._return_time(now), True
+            self.counter.count(now, plan, load.WANTED, load.SHED)
         else:
             return None
-        wait = self._come_back(now)
-        self.book.books(now, wait)
+        wait = self._return_time(now)
+        self.return_times.books(now, wait)
         return wait, False
 
-    def _come_back(self, now):
+    def _return_time(self, now):
         advice = self.told[2]
-        self.draws += 1
-        luck = zlib.crc32(b"%d:%d" % (self.core.deployment.seed, self.draws)) * 2654435761 % 2**32
-        return advice[luck * len(advice) >> 32] if advice else self.core.deployment.rules.longest_advice
+        self.draw_count += 1
+        draw = zlib.crc32(b"%d:%d" % (self.core.deployment.seed, self.draw_count)) * 2654435761 % 2**32
+        return advice[draw * len(advice) >> 32] if advice else self.core.deployment.rules.longest_advice
 
     def report(self):
+        """The fleet's load, decisions and leases as this controller knows them, for operators.
+
+        Counts of plans, attempts and connections are per second.
+        """
         now, level = self.clock.now(), self.level()
-        plans, more, members = self.controller.loads.total(now)
+        plans, others, members = self.controller.loads.total(now)
         rides = self.controller.loads.rides(now)
         value, by, at = self.controller.loads.level
         names = ("wanted", "shed", "answered", "in_target", "late", "turned_away")
@@ -188,9 +218,9 @@
             "name": self.controller.me,
             "members": members,
             "plans": rows,
-            "extra_tries": more[load.EXTRA_ATTEMPTS] / WINDOW,
-            "connections": more[load.CONNECTIONS] / WINDOW,
-            "open": more[load.OPEN_SETUPS],
+            "extra_tries": others[load.EXTRA_ATTEMPTS] / WINDOW,
+            "connections": others[load.CONNECTIONS] / WINDOW,
+            "open": others[load.OPEN_SETUPS],
             "level": round(level, 3),
             "decided_by": by,
             "age_s": round((now - at) / SECOND, 1),
@@ -200,7 +230,7 @@
             "failing": {
                 a: {
                     "by": row[findings.BY],
-                    "tried_here": self.judged_here(a),
+                    "tried_here": self.may_attempt(a),
                     "failed": row[findings.FAILED],
                     "played": row[findings.PLAYED],
                 }
@@ -212,17 +242,19 @@
             "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
             "order": self.order,
             "why": self.controller.shed.why if decides else "",
-            "held": self.controller.follower.state["map"].get(HELD),
+            "held": self.controller.follower.state["map"].get(HOLD_KEY),
         }
 
-    def judged_here(self, address):
+    def may_attempt(self, address):
+        """Whether this controller may attempt a failing streamer; None: the fleet has found nothing on it."""
         return next((may for id, may in self.told[1].items() if self.address(id) == address), None)
 
 
 def hold(level, seconds, by, wall):
-    """(id, value) of an operator's word; it lapses by itself. `wall`: ms since 1970."""
-    return f"{HELD}/{wall}", {HELD: {"level": level, "until": wall + int(seconds * 1000), "by": by}}
+    """Returns (id, value) of a proposal that sets the level for `seconds`; `wall`: ms since 1970."""
+    return f"{HOLD_KEY}/{wall}", {HOLD_KEY: {"level": level, "until": wall + int(seconds * 1000), "by": by}}
 
 
 def release(wall):
-    return f"{HELD}/off/{wall}", {HELD: None}
+    """Returns (id, value) of a proposal that ends an operator's hold; `wall`: ms since 1970."""
+    return f"{HOLD_KEY}/off/{wall}", {HOLD_KEY: None}
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -6,7 +6,7 @@
 
 from terndrift.fleet import load
 from terndrift.fleet.load import REPORT_LIFETIME_NS, Loads
-from terndrift.fleet.surge import HELD, Surge, hold, release
+from terndrift.fleet.surge import HOLD_KEY, Surge, hold, release
 
 NO_BREAKS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
 
@@ -38,13 +38,13 @@
 @in_world
 async def test_a_level_sheds_the_least_important_plan_at_once_and_what_plays_goes_on(world):
     surge, fleet = surge_of(world)
-    counted, count = [], surge.own.count
+    counted, count = [], surge.counter.count
 
     def watched(now, plan, *which):
         counted.append((plan, which))
         count(now, plan, *which)
 
-    surge.own.count = watched
+    surge.counter.count = watched
     assert surge.order == ["free", "seated", "paid"]
     assert [(await world.ask(t))[0] for t in ("clip", "lesson")] == [200, 200]
     playing = len(world.service.core.held)
@@ -80,7 +80,7 @@
     assert (await world.ask("clip"))[0] == 200
     fleet.follower.state["map"] |= hold(1.0, 5, "ops", wall - 6000)[1]
     assert surge.level() == 2.0, "over"
-    assert release(wall)[1] == {HELD: None}
+    assert release(wall)[1] == {HOLD_KEY: None}
 
 
 @in_world
@@ -105,7 +105,7 @@
     told = [(await world.ask("clip"))[:2] for _ in range(12)]
     assert {code for code, _ in told} == {503} and {h["Retry-After"] for _, h in told} == {"1", "2"}
     assert (await world.ask("first"))[0] == 200, "another title of the same plan"
-    assert sum(surge.book.table(now)) > 0
+    assert sum(surge.return_times.table(now)) > 0
     assert surge._beside(world.service.clock.now() + 10**9).keys["title clip"] >= 1
 
 
