--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -23,7 +23,7 @@
 # Key in the record's map of a level set by an operator: {"level", "until" (ms since 1970), "by"}.
 HOLD_KEY = "shed/hold"
 LOOKS = SECOND // 10  # between calls of `look`: a fifth of the interval between load reports
-# The longest wait of a set-up for its connection: that much still fits into the shortest startup target.
+# The longest wait of a set-up for its connection: the shortest startup target leaves time for the rest.
 MAX_CONNECT_WAIT_NS = SECOND // 4
 MAX_KEY_LENGTH = 48  # characters: twelve keys have to fit a datagram with the rest of a load report
 FAILED_ENDINGS = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN, Ending.ERRED)
