--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -1,6 +1,6 @@
-"""Shedding at one controller: its core and front over real sockets, the fleet's word handed in by hand."""
+"""Overload handling of one controller: core and front over real sockets, fleet decisions set directly."""
 
-from types import SimpleNamespace as Made
+from types import SimpleNamespace
 
 from world import in_world
 
@@ -8,26 +8,26 @@
 from terndrift.fleet.load import REPORT_LIFETIME_NS, Loads
 from terndrift.fleet.surge import HOLD_KEY, Surge, hold, release
 
-NO_BREAKS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
+NO_VIOLATIONS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
 
 
-def surge_of(world, level=0.0):
-    """As the service makes it, with a fleet of one that has nothing but a level."""
+def add_surge(world, level=0.0):
+    """Hooks a Surge into the world's service as service.py does; returns it and a fleet of one controller."""
     service = world.service
-    fleet = Made(
+    fleet = SimpleNamespace(
         me="c0",
         loads=Loads("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
         shed=None,
         known={"c0"},
         voters=[],
-        members=Made(alive=lambda: []),
-        follower=Made(state={"map": {}}),
+        members=SimpleNamespace(alive=lambda: []),
+        follower=SimpleNamespace(state={"map": {}}),
     )
     surge = Surge(fleet, service.host, service.core.deployment.plans)
-    watched = service.core.watch
+    core_watch = service.core.watch
 
     def watch(event, carried, **facts):
-        watched(event, carried, **facts)
+        core_watch(event, carried, **facts)
         surge.watch(event, carried, **facts)
 
     service.core.watch, service.front.sheds, service.front.refused = watch, surge.sheds, surge.gate
@@ -36,33 +36,33 @@
 
 
 @in_world
-async def test_a_level_sheds_the_least_important_plan_at_once_and_what_plays_goes_on(world):
-    surge, fleet = surge_of(world)
+async def test_a_level_sheds_the_least_important_plan_at_once_and_playbacks_continue(world):
+    surge, fleet = add_surge(world)
     counted, count = [], surge.counter.count
 
-    def watched(now, plan, *which):
-        counted.append((plan, which))
-        count(now, plan, *which)
+    def record_count(now, plan, *columns):
+        counted.append((plan, columns))
+        count(now, plan, *columns)
 
-    surge.counter.count = watched
+    surge.counter.count = record_count
     assert surge.order == ["free", "seated", "paid"]
     assert [(await world.ask(t))[0] for t in ("clip", "lesson")] == [200, 200]
-    playing = len(world.service.core.held)
+    held_before = len(world.service.core.held)
     fleet.loads.decided(world.service.clock.now(), 1.0)
-    tries = len(world.notes("try"))
+    attempts_before = len(world.notes("try"))
     code, headers, *_ = await world.ask("clip")
-    assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with when to come back"
+    assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with the time to come back"
     assert (await world.ask("lesson"))[0] == 200 and (await world.ask("seat"))[0] == 200
-    assert len(world.notes("try")) == tries + 2 and len(world.service.core.held) >= playing
-    free = [which for plan, which in counted if plan == "free"]
-    assert free[0] == (load.WANTED,) and free[1][0] == load.ANSWERED
-    assert free[2:] == [(load.WANTED, load.SHED)]
-    assert world.breaks()["rules"] == NO_BREAKS
+    assert len(world.notes("try")) == attempts_before + 2 and len(world.service.core.held) >= held_before
+    free_counts = [columns for plan, columns in counted if plan == "free"]
+    assert free_counts[0] == (load.WANTED,) and free_counts[1][0] == load.ANSWERED
+    assert free_counts[2:] == [(load.WANTED, load.SHED)]
+    assert world.breaks()["rules"] == NO_VIOLATIONS
 
 
 @in_world
-async def test_without_overload_nothing_differs_and_a_level_that_nobody_tells_any_more_lapses(world):
-    surge, fleet = surge_of(world)
+async def test_without_overload_no_viewer_is_shed_and_a_level_that_is_no_longer_reported_expires(world):
+    surge, fleet = add_surge(world)
     assert not any(surge.sheds(plan, f"v{n}", "title x") for plan in surge.order for n in range(50))
     fleet.loads.level = 3.0, "c9", world.service.clock.now() - REPORT_LIFETIME_NS - 1
     assert surge.level() == 0 and not surge.sheds("free", "v1", "title x")
@@ -70,8 +70,8 @@
 
 
 @in_world
-async def test_an_operators_word_wins_until_it_lapses_and_is_agreed_like_any_entry(world):
-    surge, fleet = surge_of(world, 2.0)
+async def test_a_level_held_by_an_operator_overrides_the_fleets_until_it_expires_or_is_released(world):
+    surge, fleet = add_surge(world, 2.0)
     clock = world.service.clock
     wall = clock.wall_ns(clock.now()) // 1_000_000
     _, value = hold(0.0, 60, "ops", wall)
@@ -79,15 +79,15 @@
     assert surge.level() == 0 and surge.report()["held"]["by"] == "ops"
     assert (await world.ask("clip"))[0] == 200
     fleet.follower.state["map"] |= hold(1.0, 5, "ops", wall - 6000)[1]
-    assert surge.level() == 2.0, "over"
+    assert surge.level() == 2.0, "the hold has expired"
     assert release(wall)[1] == {HOLD_KEY: None}
 
 
 @in_world
-async def test_a_strained_controller_sends_viewers_on_and_turns_them_away_in_order_where_it_can_not(world):
-    surge, fleet = surge_of(world)
+async def test_an_overloaded_controller_redirects_viewers_or_sheds_them_in_order_where_it_can_not(world):
+    surge, fleet = add_surge(world)
     assert not surge.second(0, 0.5, 0.5) and not surge.strain.level
-    assert not surge.second(10**9, 0.5, 0.0), "once late may be the machine's own pause"
+    assert not surge.second(10**9, 0.5, 0.0), "a single delay may be a pause of the machine"
     assert surge.second(10**9, 0.5, 0.0) and not surge.second(0, 0.99, 0.0)
     assert surge.strain.level == 1.0 and surge._beside(world.service.clock.now()).strained == ["c0"]
     assert (await world.ask("clip"))[0] == 503 and (await world.ask("lesson"))[0] == 200
@@ -97,27 +97,27 @@
 
 
 @in_world
-async def test_one_crowd_is_turned_away_first_and_told_when_to_come_back_as_the_fleet_has_room(world):
-    surge, fleet = surge_of(world)
+async def test_viewers_of_a_capped_title_are_shed_and_told_to_come_back_when_the_fleet_has_capacity(world):
+    surge, fleet = add_surge(world)
     now = world.service.clock.now()
     fleet.loads.decided(now, 0.0, {"title clip": 1.0})
     surge.told = None, {}, (10**9, 2 * 10**9)
-    told = [(await world.ask("clip"))[:2] for _ in range(12)]
-    assert {code for code, _ in told} == {503} and {h["Retry-After"] for _, h in told} == {"1", "2"}
+    answers = [(await world.ask("clip"))[:2] for _ in range(12)]
+    assert {code for code, _ in answers} == {503} and {h["Retry-After"] for _, h in answers} == {"1", "2"}
     assert (await world.ask("first"))[0] == 200, "another title of the same plan"
     assert sum(surge.return_times.table(now)) > 0
     assert surge._beside(world.service.clock.now() + 10**9).keys["title clip"] >= 1
 
 
 @in_world
-async def test_new_connections_wait_their_turn_and_one_that_may_not_be_made_is_a_try_never_sent(world):
-    surge, _ = surge_of(world)
+async def test_new_connections_are_paced_and_a_refused_one_is_an_attempt_that_was_not_sent(world):
+    surge, _ = add_surge(world)
     world.service.carrier.pace = surge.connecting
     assert (await world.ask("clip"))[0] == 200, "no limit"
     world.service.carrier.pace = lambda address: None
     world.service.pool.close()
     code, *_, took = await world.ask("lesson")
-    assert code == 503, "a paid one is told so: it never ran"
+    assert code == 503, "a paid playback is refused, as it never ran"
     world.service.carrier.pace = lambda address: 50_000_000
     assert (await world.ask("lesson"))[0] == 200
-    assert world.breaks()["rules"] == NO_BREAKS
+    assert world.breaks()["rules"] == NO_VIOLATIONS
