--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -113,7 +113,7 @@
         for streamer_id, streamer in self.core.controller.streamers.items():
             line, last_success = self.listing.line_of(streamer_id), self.last_success.get(streamer_id)
             # a backoff begins with the failure, so that is when the next attempt is due less the backoff
-            failed_at = streamer.next_try - streamer.gap if streamer.gap else streamer.down or 0
+            failed_at = streamer.next_attempt_at - streamer.gap if streamer.gap else streamer.down or 0
             if line is None or last_success is None and now - failed_at > OBSERVATION_LIFETIME_NS:
                 continue
             use = min(999, int(100 * streamer.use(now)))
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -129,7 +129,7 @@
         self.failed_streamers.clear()
         # Only open set-ups are searched: running playbacks are many times as many, and this runs ten times a
         # second.
-        waiting = sum(pb.state is State.HELD and pb.tries > 0 for pb in self.core.controller.open)
+        waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.open)
         self.leases.set_demand(
             "extra", sum(n for (n,) in self.failed_attempts.of_late(now)) / WINDOW + waiting
         )
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -261,7 +261,7 @@
     for _ in range(int(seconds * 10)):
         front.now += S // 10
         pb = front.want(cells=1, left=S // 2, top=0)
-        attempts += pb is not None and pb.tries > 0
+        attempts += pb is not None and pb.attempts > 0
     return attempts
 
 
