--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet.members import Standing
 from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
 from terndrift.fleet.work import LIMIT, may_place
@@ -45,10 +45,10 @@
         self.next_save_at = host.clock.now() + MIN_SAVE_INTERVAL_NS
         self.restored_share = None  # (slow start share of the last run, until when), if that was not long ago
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Takes the core's events: an answer that starts a playback counts as a success of the streamer."""
-        if event == "answer" and facts["kind"] == Kind.PLAYS.value:
-            self.last_success[carried.streamer.id] = self.clock.now()
+        if event == "answer" and facts["kind"] == AnswerKind.PLAYS.value:
+            self.last_success[playback.streamer.id] = self.clock.now()
 
     def passed(self, streamer_id, size):
         """Notes that `size` bytes of media came from the streamer."""
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -9,7 +9,7 @@
 
 import zlib
 
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet import crowds, findings, load
 from terndrift.fleet.leases import KeyedRateLimiter, Leases
 from terndrift.fleet.load import LoadCounter
@@ -55,36 +55,36 @@
         self.connection_limiter = KeyedRateLimiter(self.leases, "connects", MAX_CONNECT_WAIT_NS)
         # A call to a source is delayed but never refused.
         self.call_limiter = KeyedRateLimiter(self.leases, "calls", 10**18)
-        controller.loads.own = lambda now: self.counter.recent(now, self.core.open)
+        controller.loads.own = lambda now: self.counter.recent(now, self.core.unanswered_count)
         controller.loads.own_beside = self._beside
         controller.shed = Level(self.order)
 
     # Events of the core and the front.
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Called by the core with each of its events."""
         now = self.clock.now()
         if event == "wanted":
-            self.counter.count(now, carried.wanted.plan, load.WANTED)
+            self.counter.count(now, playback.wanted.plan, load.WANTED)
         elif event == "answer":
-            plays, plan = facts["kind"] == Kind.PLAYS.value, carried.wanted.plan
+            plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.wanted.plan
             self.return_times.books(now, facts["come_back"])
             if plays:
-                self.findings.plays(now, self.address(carried.streamer.id))
+                self.findings.plays(now, self.address(playback.streamer.id))
             # Viewers taken under a lower level say nothing about this one, as they may have been held for two
             # seconds. Counting them would raise the level again for a cause that the last raise has removed.
-            if carried.taken_at < self.raised_at:
+            if playback.accepted_at < self.raised_at:
                 return
             column = load.IN_TARGET if facts["took"] <= self.plans[plan].startup_target else load.LATE
             self.counter.count(now, plan, load.ANSWERED, column if plays else load.TURNED_AWAY)
         elif event == "try":
-            self.findings.tries(now, self.address(carried.streamer.id))
+            self.findings.tries(now, self.address(playback.streamer.id))
             if facts["number"] > 1:
                 self.counter.count_other(now, load.EXTRA_ATTEMPTS)
                 self.leases.consume(now, "extra")
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in FAILED_ENDINGS):
             # `look` checks whether the core has set the streamer aside for it.
-            self.failed_streamers.add(carried.streamer.id)
+            self.failed_streamers.add(playback.streamer.id)
             self.failed_attempts.at(now)[0] += event == "try over"
 
     def gate(self, plan, wait):
@@ -129,7 +129,7 @@
         self.failed_streamers.clear()
         # Only open set-ups are searched: running playbacks are many times as many, and this runs ten times a
         # second.
-        waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.open)
+        waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.pending)
         self.leases.set_demand(
             "extra", sum(n for (n,) in self.failed_attempts.of_late(now)) / WINDOW + waiting
         )
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -26,9 +26,9 @@
     surge = Surge(fleet, service.host, service.core.deployment.plans)
     core_watch = service.core.watch
 
-    def watch(event, carried, **facts):
-        core_watch(event, carried, **facts)
-        surge.watch(event, carried, **facts)
+    def watch(event, playback, **facts):
+        core_watch(event, playback, **facts)
+        surge.watch(event, playback, **facts)
 
     service.core.watch, service.front.sheds, service.front.refused = watch, surge.sheds, surge.gate
     fleet.loads.decided(service.clock.now(), level)
@@ -47,13 +47,13 @@
     surge.counter.count = record_count
     assert surge.order == ["free", "seated", "paid"]
     assert [(await world.ask(t))[0] for t in ("clip", "lesson")] == [200, 200]
-    held_before = len(world.service.core.held)
+    held_before = len(world.service.core.playbacks)
     fleet.loads.decided(world.service.clock.now(), 1.0)
     attempts_before = len(world.notes("try"))
     code, headers, *_ = await world.ask("clip")
     assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with the time to come back"
     assert (await world.ask("lesson"))[0] == 200 and (await world.ask("seat"))[0] == 200
-    assert len(world.notes("try")) == attempts_before + 2 and len(world.service.core.held) >= held_before
+    assert len(world.notes("try")) == attempts_before + 2 and len(world.service.core.playbacks) >= held_before
     free_counts = [columns for plan, columns in counted if plan == "free"]
     assert free_counts[0] == (load.WANTED,) and free_counts[1][0] == load.ANSWERED
     assert free_counts[2:] == [(load.WANTED, load.SHED)]
