--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -65,9 +65,9 @@
         """Called by the core with each of its events."""
         now = self.clock.now()
         if event == "wanted":
-            self.counter.count(now, playback.wanted.plan, load.WANTED)
+            self.counter.count(now, playback.request.plan, load.WANTED)
         elif event == "answer":
-            plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.wanted.plan
+            plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.request.plan
             self.return_times.books(now, facts["come_back"])
             if plays:
                 self.findings.plays(now, self.address(playback.streamer.id))
