--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -1,6 +1,6 @@
 """Overload handling of one controller: connects its core and front to the fleet's sums and decisions.
 
-service.py creates one `Surge` per controller and hooks it into the core, the front, the carrier and the
+service.py creates one `Surge` per controller and hooks it into the core, the front, the transport and the
 sources; fleet/service.py calls `look` periodically. What core and front saw goes into load reports; what the
 fleet has decided comes back: who is shed before he gets a playback, how many attempts beyond the first may be
 made, which controller attempts a failing streamer, and when viewers are told to come back. This module does
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -112,12 +112,12 @@
 @in_world
 async def test_new_connections_are_paced_and_a_refused_one_is_an_attempt_that_was_not_sent(world):
     surge, _ = add_surge(world)
-    world.service.carrier.pace = surge.connecting
+    world.service.transport.pace = surge.connecting
     assert (await world.ask("clip"))[0] == 200, "no limit"
-    world.service.carrier.pace = lambda address: None
+    world.service.transport.pace = lambda address: None
     world.service.pool.close()
     code, *_, took = await world.ask("lesson")
     assert code == 503, "a paid playback is refused, as it never ran"
-    world.service.carrier.pace = lambda address: 50_000_000
+    world.service.transport.pace = lambda address: 50_000_000
     assert (await world.ask("lesson"))[0] == 200
     assert world.breaks()["rules"] == NO_VIOLATIONS
