--- a/terndrift/fleet/crowds.py
+++ b/terndrift/fleet/crowds.py
@@ -16,7 +16,7 @@
 from terndrift.fleet.window import SECOND, Seconds
 
 HEAVY_SHARE = 0.5  # of all requests: without overload no title reached that in the days and catalogues seen
-SHARE = 0.25  # of the capacity, left to a heavy key: as for one source at a controller's own gate (gate.py)
+SHARE = 0.25  # of the capacity, left to a heavy key: as for one source at a controller's front (admission.py)
 # Requests for other keys in the window, and their part of all: with fewer there is nobody to protect.
 MIN_OTHERS, MIN_OTHERS_PART = 10, 0.05
 KEYS = 6  # of each kind in a load report
