--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -34,15 +34,15 @@
     nothing is agreed. `is_recovering()` tells whether this controller's recovery is still under way.
     """
 
-    def __init__(self, controller, listing, host, cold_for, configured_rank, is_recovering):
-        self.store, self.controller, self.listing, self.host = controller.warm, controller, listing, host
-        self.core, self.clock, self.is_recovering = host.core, host.clock, is_recovering
+    def __init__(self, controller, listing, runner, cold_for, configured_rank, is_recovering):
+        self.store, self.controller, self.listing, self.runner = controller.warm, controller, listing, runner
+        self.core, self.clock, self.is_recovering = runner.core, runner.clock, is_recovering
         self.configured_rank = configured_rank
         self.store.cold_for, controller.ranked = cold_for, True
         self.last_success = {}  # streamer id -> when it last started a playback or sent media
         # what the core was told: (number of controllers, slow start share); ids of streamers proven warm
         self.reported, self.reported_warm = (), set()
-        self.next_save_at = host.clock.now() + MIN_SAVE_INTERVAL_NS
+        self.next_save_at = runner.clock.now() + MIN_SAVE_INTERVAL_NS
         self.restored_share = None  # (slow start share of the last run, until when), if that was not long ago
 
     def watch(self, event, playback, **facts):
@@ -79,7 +79,7 @@
         self.reported_warm |= warm.keys()
         if warm or current != self.reported:
             self.reported = current
-            self.host.do(self.core.among, *current, warm)
+            self.runner.run(self.core.among, *current, warm)
 
     def _slow_start_share(self, now):
         """Returns the share as (rank, number of ranks), None for no share.
@@ -118,7 +118,7 @@
                 continue
             use = min(999, int(100 * streamer.use(now)))
             rows.append(
-                (line.address, self.clock.wall_ns(line.started), last_success or failed_at, failed_at, use)
+                (line.address, self.clock.to_wall_ns(line.started), last_success or failed_at, failed_at, use)
             )
         return rows
 
@@ -128,10 +128,10 @@
         Only streamers in the list of this run are considered.
         """
         fresh, ids_by_address = self.listing.fresh(), self.listing.flow.numbers.of
-        started = {line.address: self.clock.wall_ns(line.started) for line in fresh}
+        started = {line.address: self.clock.to_wall_ns(line.started) for line in fresh}
 
         def local_start(wall):
-            return self.clock.wall_ns(self.clock.of_wall_ns(wall))
+            return self.clock.to_wall_ns(self.clock.from_wall_ns(wall))
 
         proven = self.store.proven_warm(now, started, local_start)
         return {ids_by_address[address]: use for address, use in proven.items() if address in ids_by_address}
@@ -143,7 +143,7 @@
         now = self.clock.now()
         if now < self.next_save_at:
             return None
-        wall = self.clock.wall_ns(now)
+        wall = self.clock.to_wall_ns(now)
         rows = self.store.export_own(now, wall)
         # a row is up to 100 bytes long
         self.next_save_at = now + max(MIN_SAVE_INTERVAL_NS, 100 * len(rows) * SECOND // SAVE_BYTES_PER_SECOND)
@@ -157,7 +157,7 @@
         where the clock was set back since.
         """
         now = self.clock.now()
-        wall = self.clock.wall_ns(now)
+        wall = self.clock.to_wall_ns(now)
         self.store.restore(now, wall, kept.rows)
         age = None if kept.age is None else kept.age + wall - kept.at
         if kept.turn and wall >= kept.at and may_place(age):
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -37,9 +37,9 @@
     another controller. Sets `leases`, `shed` and the sources of load reports on the fleet's controller.
     """
 
-    def __init__(self, controller, host, plans, limits=(), address=str, elsewhere=lambda: False):
-        self.controller, self.core, self.clock = controller, host.core, host.clock
-        self.host, self.address, self.elsewhere = host, address, elsewhere
+    def __init__(self, controller, runner, plans, limits=(), address=str, elsewhere=lambda: False):
+        self.controller, self.core, self.clock = controller, runner.core, runner.clock
+        self.runner, self.address, self.elsewhere = runner, address, elsewhere
         self.plans, self.order, self.counter = plans, importance(plans), LoadCounter()
         now = self.clock.now()
         # failed_streamers: ids with a failed set-up or playback since the last `look`
@@ -151,7 +151,7 @@
         )
         if told != self.told or None not in told:
             self.told = told
-            self.host.do(self.core.limits, *told)
+            self.runner.run(self.core.limits, *told)
 
     def _set_aside(self):
         """Returns address -> whether it is down, of the streamers that the core has set aside."""
@@ -168,7 +168,7 @@
     def level(self):
         """The level in force here: one set by an operator until it expires, else the fleet's."""
         now, held = self.clock.now(), self.controller.follower.state["map"].get(HOLD_KEY)
-        if held and self.clock.wall_ns(now) < held["until"] * 1_000_000:
+        if held and self.clock.to_wall_ns(now) < held["until"] * 1_000_000:
             return held["level"]
         return self.controller.loads.in_force(now)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -196,12 +196,12 @@
         core = Namespace(
             controller=Namespace(streamers={}, racks={}), among=lambda *args: reported.append(args)
         )
-        clock = Namespace(now=lambda: at, wall_ns=lambda now: now, of_wall_ns=lambda wall: wall)
+        clock = Namespace(now=lambda: at, to_wall_ns=lambda now: now, from_wall_ns=lambda wall: wall)
         listing = Namespace(fresh=list, flow=Namespace(numbers=Namespace(of={})))
         collector = Sight(
             fleet,
             listing,
-            Namespace(core=core, clock=clock, do=lambda call, *args: call(*args)),
+            Namespace(core=core, clock=clock, run=lambda call, *args: call(*args)),
             SECOND,
             (0, 2),
             lambda: True,
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -23,7 +23,7 @@
         members=SimpleNamespace(alive=lambda: []),
         follower=SimpleNamespace(state={"map": {}}),
     )
-    surge = Surge(fleet, service.host, service.core.deployment.plans)
+    surge = Surge(fleet, service.core_runner, service.core.deployment.plans)
     core_watch = service.core.watch
 
     def watch(event, playback, **facts):
@@ -73,7 +73,7 @@
 async def test_a_level_held_by_an_operator_overrides_the_fleets_until_it_expires_or_is_released(world):
     surge, fleet = add_surge(world, 2.0)
     clock = world.service.clock
-    wall = clock.wall_ns(clock.now()) // 1_000_000
+    wall = clock.to_wall_ns(clock.now()) // 1_000_000
     _, value = hold(0.0, 60, "ops", wall)
     fleet.follower.state["map"] |= value
     assert surge.level() == 0 and surge.report()["held"]["by"] == "ops"
