--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -79,7 +79,7 @@
         self.reported_warm |= warm.keys()
         if warm or current != self.reported:
             self.reported = current
-            self.runner.run(self.core.among, *current, warm)
+            self.runner.run(self.core.fleet_changed, *current, warm)
 
     def _slow_start_share(self, now):
         """Returns the share as (rank, number of ranks), None for no share.
@@ -113,10 +113,12 @@
         for streamer_id, streamer in self.core.controller.streamers.items():
             line, last_success = self.listing.line_of(streamer_id), self.last_success.get(streamer_id)
             # a backoff begins with the failure, so that is when the next attempt is due less the backoff
-            failed_at = streamer.next_attempt_at - streamer.gap if streamer.gap else streamer.down or 0
+            failed_at = (
+                streamer.next_attempt_at - streamer.backoff if streamer.backoff else streamer.failed_at or 0
+            )
             if line is None or last_success is None and now - failed_at > OBSERVATION_LIFETIME_NS:
                 continue
-            use = min(999, int(100 * streamer.use(now)))
+            use = min(999, int(100 * streamer.utilisation(now)))
             rows.append(
                 (line.address, self.clock.to_wall_ns(line.started), last_success or failed_at, failed_at, use)
             )
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -124,7 +124,7 @@
         self.last_level = level
         streamers = self.core.controller.streamers
         for id in self.failed_streamers:
-            if (streamer := streamers.get(id)) is not None and streamer.gap:
+            if (streamer := streamers.get(id)) is not None and streamer.backoff:
                 self.findings.failed(now, self.address(id))
         self.failed_streamers.clear()
         # Only open set-ups are searched: running playbacks are many times as many, and this runs ten times a
@@ -151,12 +151,12 @@
         )
         if told != self.told or None not in told:
             self.told = told
-            self.runner.run(self.core.limits, *told)
+            self.runner.run(self.core.fleet_limits_changed, *told)
 
     def _set_aside(self):
         """Returns address -> whether it is down, of the streamers that the core has set aside."""
         streamers = self.core.controller.streamers
-        return {self.address(id): s.down is not None for id, s in streamers.items() if s.gap}
+        return {self.address(id): s.failed_at is not None for id, s in streamers.items() if s.backoff}
 
     def _beside(self, now):
         found = self.findings.table(now, self._set_aside(), self.controller.loads.rides(now).found)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -178,8 +178,8 @@
         assert not any(report["rules"].values()), report["breaks"]
         outages[parts] = report["recovery"]["outages"][0]
         assert outages[parts]["down"] == 7
-        restarted = [f.core.controller for f in world.fronts if f.core.controller.began_empty]
-        assert len(restarted) == 7 and all(bool(c.proven) == bool(parts) for c in restarted)
+        restarted = [f.core.controller for f in world.fronts if f.core.controller.started_without_state]
+        assert len(restarted) == 7 and all(bool(c.proven_warm) == bool(parts) for c in restarted)
     assert outages["members", "kept"]["full_service_s"] is not None
 
 
@@ -194,7 +194,7 @@
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
         reported = []
         core = Namespace(
-            controller=Namespace(streamers={}, racks={}), among=lambda *args: reported.append(args)
+            controller=Namespace(streamers={}, racks={}), fleet_changed=lambda *args: reported.append(args)
         )
         clock = Namespace(now=lambda: at, to_wall_ns=lambda now: now, from_wall_ns=lambda wall: wall)
         listing = Namespace(fresh=list, flow=Namespace(numbers=Namespace(of={})))
@@ -306,6 +306,6 @@
         assert not any(report["rules"].values()), report["breaks"]
         assert report["recovery"]["outages"][0]["down"] == 7
         cold = [s.id for s in world.racks[1].streamers]
-        for c in [f.core.controller for f in world.fronts if f.core.controller.began_empty]:
+        for c in [f.core.controller for f in world.fronts if f.core.controller.started_without_state]:
             back = [c.streamers[id] for id in cold]
-            assert all(s.listed.started == world.restarted[s.listed.id] for s in back)
+            assert all(s.entry.started == world.restarted[s.entry.id] for s in back)
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -267,13 +267,13 @@
 
 def test_restarted_front_places_at_once_on_proven_warm_streamers_and_by_its_share_on_others():
     paced, proven = cold_front(), cold_front()
-    proven.c.among(proven.now, 2, (0, 2), [0])
+    proven.c.fleet_changed(proven.now, 2, (0, 2), [0])
     assert count_attempts(proven, 2) > 2 * count_attempts(paced, 2), (
         "without the proof it waits for a whole warm-up"
     )
     without_share = cold_front()
-    without_share.c.among(without_share.now, 2, None)
+    without_share.c.fleet_changed(without_share.now, 2, None)
     assert count_attempts(without_share, 6) == 0, "no share, and not proven"
     # the proof holds for the start in the list; after a new start the streamer is cold again
     proven.list([line(0, started=proven.now)])
-    assert proven.c._slot(proven.now, proven.c.streamers[0]) is not None
+    assert proven.c._cold_slot(proven.now, proven.c.streamers[0]) is not None
