--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from world import in_world
+from testbed import in_testbed
 
 from terndrift.fleet import load
 from terndrift.fleet.load import REPORT_LIFETIME_NS, Loads
@@ -11,9 +11,10 @@
 NO_VIOLATIONS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
 
 
-def add_surge(world, level=0.0):
-    """Hooks a Surge into the world's service as service.py does; returns it and a fleet of one controller."""
-    service = world.service
+def add_surge(testbed, level=0.0):
+    """Hooks a Surge into the testbed's service as service.py does; returns it and a fleet of one
+    controller."""
+    service = testbed.service
     fleet = SimpleNamespace(
         me="c0",
         loads=Loads("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
@@ -35,9 +36,9 @@
     return surge, fleet
 
 
-@in_world
-async def test_a_level_sheds_the_least_important_plan_at_once_and_playbacks_continue(world):
-    surge, fleet = add_surge(world)
+@in_testbed
+async def test_a_level_sheds_the_least_important_plan_at_once_and_playbacks_continue(testbed):
+    surge, fleet = add_surge(testbed)
     counted, count = [], surge.counter.count
 
     def record_count(now, plan, *columns):
@@ -46,78 +47,85 @@
 
     surge.counter.count = record_count
     assert surge.order == ["free", "seated", "paid"]
-    assert [(await world.ask(t))[0] for t in ("clip", "lesson")] == [200, 200]
-    held_before = len(world.service.core.playbacks)
-    fleet.loads.decided(world.service.clock.now(), 1.0)
-    attempts_before = len(world.notes("try"))
-    code, headers, *_ = await world.ask("clip")
+    assert [(await testbed.request_playback(t))[0] for t in ("clip", "lesson")] == [200, 200]
+    held_before = len(testbed.service.core.playbacks)
+    fleet.loads.decided(testbed.service.clock.now(), 1.0)
+    attempts_before = len(testbed.streamer_events("try"))
+    code, headers, *_ = await testbed.request_playback("clip")
     assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with the time to come back"
-    assert (await world.ask("lesson"))[0] == 200 and (await world.ask("seat"))[0] == 200
-    assert len(world.notes("try")) == attempts_before + 2 and len(world.service.core.playbacks) >= held_before
+    assert (await testbed.request_playback("lesson"))[0] == 200 and (await testbed.request_playback("seat"))[
+        0
+    ] == 200
+    assert (
+        len(testbed.streamer_events("try")) == attempts_before + 2
+        and len(testbed.service.core.playbacks) >= held_before
+    )
     free_counts = [columns for plan, columns in counted if plan == "free"]
     assert free_counts[0] == (load.WANTED,) and free_counts[1][0] == load.ANSWERED
     assert free_counts[2:] == [(load.WANTED, load.SHED)]
-    assert world.breaks()["rules"] == NO_VIOLATIONS
+    assert testbed.audit_report()["rules"] == NO_VIOLATIONS
 
 
-@in_world
-async def test_without_overload_no_viewer_is_shed_and_a_level_that_is_no_longer_reported_expires(world):
-    surge, fleet = add_surge(world)
+@in_testbed
+async def test_without_overload_no_viewer_is_shed_and_a_level_that_is_no_longer_reported_expires(testbed):
+    surge, fleet = add_surge(testbed)
     assert not any(surge.sheds(plan, f"v{n}", "title x") for plan in surge.order for n in range(50))
-    fleet.loads.level = 3.0, "c9", world.service.clock.now() - REPORT_LIFETIME_NS - 1
+    fleet.loads.level = 3.0, "c9", testbed.service.clock.now() - REPORT_LIFETIME_NS - 1
     assert surge.level() == 0 and not surge.sheds("free", "v1", "title x")
-    assert (await world.ask("clip"))[0] == 200
+    assert (await testbed.request_playback("clip"))[0] == 200
 
 
-@in_world
-async def test_a_level_held_by_an_operator_overrides_the_fleets_until_it_expires_or_is_released(world):
-    surge, fleet = add_surge(world, 2.0)
-    clock = world.service.clock
+@in_testbed
+async def test_a_level_held_by_an_operator_overrides_the_fleets_until_it_expires_or_is_released(testbed):
+    surge, fleet = add_surge(testbed, 2.0)
+    clock = testbed.service.clock
     wall = clock.to_wall_ns(clock.now()) // 1_000_000
     _, value = hold(0.0, 60, "ops", wall)
     fleet.follower.state["map"] |= value
     assert surge.level() == 0 and surge.report()["held"]["by"] == "ops"
-    assert (await world.ask("clip"))[0] == 200
+    assert (await testbed.request_playback("clip"))[0] == 200
     fleet.follower.state["map"] |= hold(1.0, 5, "ops", wall - 6000)[1]
     assert surge.level() == 2.0, "the hold has expired"
     assert release(wall)[1] == {HOLD_KEY: None}
 
 
-@in_world
-async def test_an_overloaded_controller_redirects_viewers_or_sheds_them_in_order_where_it_can_not(world):
-    surge, fleet = add_surge(world)
+@in_testbed
+async def test_an_overloaded_controller_redirects_viewers_or_sheds_them_in_order_where_it_can_not(testbed):
+    surge, fleet = add_surge(testbed)
     assert not surge.second(0, 0.5, 0.5) and not surge.strain.level
     assert not surge.second(10**9, 0.5, 0.0), "a single delay may be a pause of the machine"
     assert surge.second(10**9, 0.5, 0.0) and not surge.second(0, 0.99, 0.0)
-    assert surge.strain.level == 1.0 and surge._beside(world.service.clock.now()).strained == ["c0"]
-    assert (await world.ask("clip"))[0] == 503 and (await world.ask("lesson"))[0] == 200
-    surge.elsewhere, world.service.front.elsewhere = lambda: True, lambda: "http://other:80"
-    code, headers, *_ = await world.ask("clip")
+    assert surge.strain.level == 1.0 and surge._beside(testbed.service.clock.now()).strained == ["c0"]
+    assert (await testbed.request_playback("clip"))[0] == 503 and (await testbed.request_playback("lesson"))[
+        0
+    ] == 200
+    surge.elsewhere, testbed.service.front.elsewhere = lambda: True, lambda: "http://other:80"
+    code, headers, *_ = await testbed.request_playback("clip")
     assert code == 307 and headers["Location"].startswith("http://other:80/v/clip/main.m3u8")
 
 
-@in_world
-async def test_viewers_of_a_capped_title_are_shed_and_told_to_come_back_when_the_fleet_has_capacity(world):
-    surge, fleet = add_surge(world)
-    now = world.service.clock.now()
+@in_testbed
+async def test_viewers_of_a_capped_title_are_shed_and_told_to_come_back_when_the_fleet_has_capacity(testbed):
+    surge, fleet = add_surge(testbed)
+    now = testbed.service.clock.now()
     fleet.loads.decided(now, 0.0, {"title clip": 1.0})
     surge.told = None, {}, (10**9, 2 * 10**9)
-    answers = [(await world.ask("clip"))[:2] for _ in range(12)]
+    answers = [(await testbed.request_playback("clip"))[:2] for _ in range(12)]
     assert {code for code, _ in answers} == {503} and {h["Retry-After"] for _, h in answers} == {"1", "2"}
-    assert (await world.ask("first"))[0] == 200, "another title of the same plan"
+    assert (await testbed.request_playback("first"))[0] == 200, "another title of the same plan"
     assert sum(surge.return_times.table(now)) > 0
-    assert surge._beside(world.service.clock.now() + 10**9).keys["title clip"] >= 1
+    assert surge._beside(testbed.service.clock.now() + 10**9).keys["title clip"] >= 1
 
 
-@in_world
-async def test_new_connections_are_paced_and_a_refused_one_is_an_attempt_that_was_not_sent(world):
-    surge, _ = add_surge(world)
-    world.service.transport.pace = surge.connecting
-    assert (await world.ask("clip"))[0] == 200, "no limit"
-    world.service.transport.pace = lambda address: None
-    world.service.pool.close()
-    code, *_, took = await world.ask("lesson")
+@in_testbed
+async def test_new_connections_are_paced_and_a_refused_one_is_an_attempt_that_was_not_sent(testbed):
+    surge, _ = add_surge(testbed)
+    testbed.service.transport.pace = surge.connecting
+    assert (await testbed.request_playback("clip"))[0] == 200, "no limit"
+    testbed.service.transport.pace = lambda address: None
+    testbed.service.pool.close()
+    code, *_, took = await testbed.request_playback("lesson")
     assert code == 503, "a paid playback is refused, as it never ran"
-    world.service.transport.pace = lambda address: 50_000_000
-    assert (await world.ask("lesson"))[0] == 200
-    assert world.breaks()["rules"] == NO_VIOLATIONS
+    testbed.service.transport.pace = lambda address: 50_000_000
+    assert (await testbed.request_playback("lesson"))[0] == 200
+    assert testbed.audit_report()["rules"] == NO_VIOLATIONS
