--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -2,14 +2,14 @@
 
 import itertools
 
-from helpers import T0, Front, S, line
+from helpers import SECOND, START, Front, list_entry
 
 from terndrift.fleet.messages import AskKnown, Knows
 from terndrift.fleet.ranks import RECORD_KEY, TRANSITION_NS, Ranks
 from terndrift.fleet.warm import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
 from terndrift.fleet.work import LIMIT
 
-WARM_UP_NS = 8 * S
+WARM_UP_NS = 8 * SECOND
 
 
 def identity(wall):
@@ -21,7 +21,7 @@
     """Members that each observe some streamers, with one clock and a network that loses nothing."""
 
     def __init__(self, count=4):
-        self.now, self.runs = T0, {f"c{n}": 1 for n in range(count)}
+        self.now, self.runs = START, {f"c{n}": 1 for n in range(count)}
         self.stores = {n: Known(n, 1, self.now, WARM_UP_NS) for n in self.runs}
 
     def observe(self, observer, address, started=5, failed=0, use=40):
@@ -40,7 +40,7 @@
         `observations` are (observer, address, started) that are repeated in each step.
         """
         for _ in range(4 * seconds):
-            self.now += S // 4
+            self.now += SECOND // 4
             for who, address, started in observations:
                 self.observe(who, address, started)
             for who, store in self.stores.items():
@@ -73,7 +73,7 @@
         "an observation of another start doesn't count"
     )
     assert store.proven_warm(fleet.now, {"c": 5}, identity) == {}, "nobody observed it"
-    fleet.run(OBSERVATION_LIFETIME_NS // S + 1)
+    fleet.run(OBSERVATION_LIFETIME_NS // SECOND + 1)
     assert store.proven_warm(fleet.now, {"a": 5, "b": 6}, identity) == {}, "observations expire"
 
 
@@ -97,7 +97,7 @@
     assert fleet.stores["c3"].proven_warm(fleet.now, {"a": 5}, identity), "c0 saw it run after that"
     liar = fleet.stores["c1"]
     for _ in range(3):
-        fleet.now += S
+        fleet.now += SECOND
         fleet.observe("c1", "a", failed=True)
         fleet.deliver("c1", "c3", liar._make_message(fleet.now, ["a"]))
     assert fleet.stores["c3"].proven_warm(fleet.now, {"a": 5}, identity)
@@ -133,7 +133,7 @@
         else:
             fleet.restart(n)
     for _ in range(12):  # 3 s
-        fleet.now += S // 4
+        fleet.now += SECOND // 4
         for who, store in fleet.stores.items():
             if who not in old:
                 store.tick(fleet.now, [n for n in fleet.stores if n != who])
@@ -149,13 +149,13 @@
 def test_restored_observations_count_for_the_same_start_and_a_limited_time():
     fleet = SimulatedFleet()
     fleet.run(12, ("c0", "a", 5))
-    kept = fleet.stores["c0"].export_own(fleet.now, 500 * S)
+    kept = fleet.stores["c0"].export_own(fleet.now, 500 * SECOND)
     store = fleet.restart("c0")
-    store.restore(fleet.now, 504 * S, kept)
+    store.restore(fleet.now, 504 * SECOND, kept)
     assert store.proven_warm(fleet.now, {"a": 5}, identity) and not store.proven_warm(
         fleet.now, {"a": 6}, identity
     )
-    for wall in (499 * S, 500 * S + 61 * S):  # clock set back; too old
+    for wall in (499 * SECOND, 500 * SECOND + 61 * SECOND):  # clock set back; too old
         store = fleet.restart("c0")
         store.restore(fleet.now, wall, kept)
         assert not store.seen
@@ -192,15 +192,15 @@
     pairs = [("abcdef", "abcd"), ("abcd", "abcdef"), ("abcd", "abef"), ("ab", "abcdef"), ("abcde", "abf")]
     for before, names in pairs:
         old, new = state((before, before)), state((before, before), (names, before))
-        for seen_at in itertools.product((0, LIMIT - S, None, "restarted"), repeat=len(controllers)):
+        for seen_at in itertools.product((0, LIMIT - SECOND, None, "restarted"), repeat=len(controllers)):
             if seen_at.count("restarted") > 2:
                 continue
-            views, at = {n: Ranks() for n in controllers}, T0
+            views, at = {n: Ranks() for n in controllers}, START
             for n in controllers:
                 views[n].look(at - 3 * TRANSITION_NS, old)
             for passed in (
                 0,
-                S,
+                SECOND,
                 LIMIT - 1,
                 LIMIT,
                 TRANSITION_NS - 1,
@@ -221,27 +221,29 @@
                         ranks.look(at + when, new)
                         here[n] = ranks, new, 0
                 total = total_share(here, now)
-                assert total <= 1 + 1e-9, (before, names, seen_at, passed / S, total)
+                assert total <= 1 + 1e-9, (before, names, seen_at, passed / SECOND, total)
                 least = min(least, total) if passed >= 2 * TRANSITION_NS and seen_at == (0,) * 6 else least
     assert least > 1 - 1e-9, "the whole pace is used once all have seen the entry"
 
 
 def test_leader_removes_a_name_after_the_transition_time_and_starts_with_configured_names():
-    ranks, now = Ranks(), T0
+    ranks, now = Ranks(), START
     id, value = ranks.next(now, state(), set("abc"), set("abc"))
     assert id == "ranks/1" and value[RECORD_KEY]["names"] == value[RECORD_KEY]["before"] == list("abc")
     assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][RECORD_KEY]["before"] == []
     first = state(("abc", "abc"))
     ranks.look(now, first)
     for seconds in range(0, 70, 1):
-        found = ranks.next(now + seconds * S, first, set("abc"), set("ab"))
+        found = ranks.next(now + seconds * SECOND, first, set("abc"), set("ab"))
         if found:
             break
-    assert seconds >= 2 * TRANSITION_NS // S and found[1][RECORD_KEY]["names"] == list("ab")
+    assert seconds >= 2 * TRANSITION_NS // SECOND and found[1][RECORD_KEY]["names"] == list("ab")
     second = state(("abc", "abc"), ("ab", "abc"))
-    ranks.look(now + 100 * S, second)
-    assert ranks.next(now + 101 * S, second, set("abc"), set("abc")) is None, "a further entry has to wait"
-    _, back = ranks.next(now + 100 * S + 2 * TRANSITION_NS, second, set("abc"), set("abc"))
+    ranks.look(now + 100 * SECOND, second)
+    assert ranks.next(now + 101 * SECOND, second, set("abc"), set("abc")) is None, (
+        "a further entry has to wait"
+    )
+    _, back = ranks.next(now + 100 * SECOND + 2 * TRANSITION_NS, second, set("abc"), set("abc"))
     assert back[RECORD_KEY]["names"] == list("abc") and back[RECORD_KEY]["before"] == list("ab")
 
 
@@ -250,8 +252,8 @@
 
 def cold_front():
     """Returns a Front with one streamer that it takes for cold, listed as started 100 s ago."""
-    front = Front(streamers=1, warm=False, cold_for=8 * S)
-    front.list([line(0, started=T0 - 100 * S)])
+    front = Front(streamers=1, warm=False, cold_for=8 * SECOND)
+    front.change_list([list_entry(0, started=START - 100 * SECOND)])
     return front
 
 
@@ -259,15 +261,15 @@
     """Returns for how many viewers, 10 a second, the front attempted a set-up."""
     attempts = 0
     for _ in range(int(seconds * 10)):
-        front.now += S // 10
-        pb = front.want(cells=1, left=S // 2, top=0)
+        front.now += SECOND // 10
+        pb = front.request(cells=1, left=SECOND // 2, top=0)
         attempts += pb is not None and pb.attempts > 0
     return attempts
 
 
 def test_restarted_front_places_at_once_on_proven_warm_streamers_and_by_its_share_on_others():
     paced, proven = cold_front(), cold_front()
-    proven.c.fleet_changed(proven.now, 2, (0, 2), [0])
+    proven.controller.fleet_changed(proven.now, 2, (0, 2), [0])
     assert count_attempts(proven, 2) > 2 * count_attempts(paced, 2), (
         "without the proof it waits for a whole warm-up"
     )
@@ -275,5 +277,5 @@
     without_share.c.fleet_changed(without_share.now, 2, None)
     assert count_attempts(without_share, 6) == 0, "no share, and not proven"
     # the proof holds for the start in the list; after a new start the streamer is cold again
-    proven.list([line(0, started=proven.now)])
-    assert proven.c._cold_slot(proven.now, proven.c.streamers[0]) is not None
+    proven.change_list([list_entry(0, started=proven.now)])
+    assert proven.controller._cold_slot(proven.now, proven.controller.streamers[0]) is not None
