--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -274,7 +274,7 @@
         "without the proof it waits for a whole warm-up"
     )
     without_share = cold_front()
-    without_share.c.fleet_changed(without_share.now, 2, None)
+    without_share.controller.fleet_changed(without_share.now, 2, None)
     assert count_attempts(without_share, 6) == 0, "no share, and not proven"
     # the proof holds for the start in the list; after a new start the streamer is cold again
     proven.change_list([list_entry(0, started=proven.now)])
