--- a/terndrift/fleet/beside.py
+++ b/terndrift/fleet/beside.py
@@ -1,34 +1,42 @@
-"""What rides beside the sums on the words of load: findings, times told to come back, crowds, who is
-strained. Free of I/O: puts together what findings.py, returns.py and crowds.py say of their own part."""
+"""Merges and validates the supplement of the load reports between controllers (messages.Beside).
+
+The supplement carries failing streamers (findings.py), advised retries (returns.py), the heaviest keys
+(crowds.py), the names of strained controllers (strain.py) and the caps decided with the shedding level. Each
+part is handled by the functions of its own module; load.py calls the two functions here. Free of I/O.
+"""
 
 from terndrift.fleet import crowds, findings, returns
 from terndrift.fleet.messages import Beside
 
-MS = 1_000_000
-NAMES = 8  # of strained ones in a word
+MS = 1_000_000  # ns
+MAX_STRAINED = 8  # names of strained controllers in a report
 
 
 def merged(parts):
-    """One of several (Beside, ns since it was said)."""
-    parts = [(one, ago) for one, ago in parts if one is not None]
+    """Merges several (Beside or None, age in ns) into one Beside without caps; None if there is none."""
+    parts = [(one, age) for one, age in parts if one is not None]
     if not parts:
         return None
     return Beside(
-        found=findings.merged([findings.older(one.found, ago // MS) for one, ago in parts]),
-        back=returns.merged([returns.later(one.back, ago) for one, ago in parts]),
+        found=findings.merge_tables([findings.age_table(one.found, age // MS) for one, age in parts]),
+        back=returns.merge_tables([returns.age_table(one.back, age) for one, age in parts]),
         keys=crowds.merged([one.keys for one, _ in parts]),
-        strained=sorted({name for one, _ in parts for name in one.strained})[:NAMES],
+        strained=sorted({name for one, _ in parts for name in one.strained})[:MAX_STRAINED],
     )
 
 
-def sound(one, members, most):
-    """Whether it can be true at all; of that many members, each of which was asked for so much at most."""
-    return one is None or (
-        findings.sound(one.found, members)
-        and crowds.sound(one.keys, most)
-        and len(one.strained) <= NAMES
-        and len(one.back) <= returns.MOST + 1
-        and all(0 <= n <= most for n in one.back)
-        and len(one.caps) <= 2 * crowds.KEYS
-        and all(0 <= part <= 1 for part in one.caps.values())
+def sound(supplement, members, max_requests):
+    """Tells whether a received Beside, or None, is within its bounds.
+
+    `members`: how many controllers it sums up; `max_requests`: the most that all of them together can have
+    been asked for.
+    """
+    return supplement is None or (
+        findings.is_valid_table(supplement.found, members)
+        and crowds.sound(supplement.keys, max_requests)
+        and len(supplement.strained) <= MAX_STRAINED
+        and len(supplement.back) <= returns.MAX_SECONDS_AHEAD + 1
+        and all(0 <= count <= max_requests for count in supplement.back)
+        and len(supplement.caps) <= 2 * crowds.KEYS
+        and all(0 <= part <= 1 for part in supplement.caps.values())
     )
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -8,7 +8,7 @@
 
 from terndrift.fleet import beside, crowds, findings, returns
 from terndrift.fleet.crowds import Caps
-from terndrift.fleet.findings import FADES, judged, prober, turn
+from terndrift.fleet.findings import FAILURE_TTL_NS, current_turn, judged, prober_of_turn
 from terndrift.fleet.messages import Beside
 from terndrift.fleet.returns import Book
 from terndrift.fleet.strain import Standing, Strain
@@ -41,11 +41,11 @@
 
 def test_turns_double_and_go_round_so_that_a_prober_who_is_killed_or_idle_loses_one():
     begins = {0: 0, 999: 0, 1000: 1, 2999: 1, 3000: 2, 6999: 2, 7000: 3, 14_999: 3, 15_000: 4, 23_000: 5}
-    assert {ms: turn(ms * MS)[0] for ms in begins} == begins
-    probers = [prober("s1", n, NAMES) for n in range(40)]
+    assert {ms: current_turn(ms * MS)[0] for ms in begins} == begins
+    probers = [prober_of_turn("s1", n, NAMES) for n in range(40)]
     assert len(set(probers)) > 6 and all(a != b for a, b in zip(probers[:4], probers[1:5], strict=True))
     dead = probers[3]
-    assert prober("s1", 3, [n for n in NAMES if n != dead]) != dead
+    assert prober_of_turn("s1", 3, [n for n in NAMES if n != dead]) != dead
     # it has tried in this turn, so it leaves it out as all others do; in its next turn it may again
     now, since = 1000 * S, 7500
     mine = probers[3]
@@ -67,7 +67,7 @@
     late = {may(now, n, row(ill=200, well=500, failed=5, played=1)) for n in NAMES}
     assert late == {True, False}, "one was on its way"
     assert judged(now, "c00", row(ill=200, well=500, failed=5, played=2), NAMES, {}) == {}, "some play"
-    assert judged(now, "c00", row(ill=FADES // MS + 1), NAMES, {}) == {}
+    assert judged(now, "c00", row(ill=FAILURE_TTL_NS // MS + 1), NAMES, {}) == {}
 
 
 def test_what_a_controller_tells_of_its_own_tries():
@@ -84,15 +84,15 @@
     own.plays(now + 4 * S, "s1")
     assert own.table(now + 5 * S, {"s1": False}, {})["s1"] == [1, 4000, 5000, 1000, 0, 2, 1]
     assert own.table(now + 6 * S, {}, {})["s1"][:4] == [0, 5000, 0, 2000], "others have it set aside still"
-    assert own.table(now + FADES + 9 * S, {}, {}) == {}
+    assert own.table(now + FAILURE_TTL_NS + 9 * S, {}, {}) == {}
 
 
 def test_rows_are_merged_by_the_youngest_failure_the_first_and_the_last_that_played():
     a, b = row(1, 300, 4000, -1, 1, 3, 0), row(1, 900, 9000, 2000, 0, 1, 4)
-    assert findings.merged([a, b]) == {"s1": [2, 300, 9000, 2000, 1, 4, 4]}
-    assert findings.older(row(1, 300, 4000, -1, 1), 500) == {"s1": [1, 800, 4500, -1, 1, 2, 0]}
+    assert findings.merge_tables([a, b]) == {"s1": [2, 300, 9000, 2000, 1, 4, 4]}
+    assert findings.age_table(row(1, 300, 4000, -1, 1), 500) == {"s1": [1, 800, 4500, -1, 1, 2, 0]}
     many = {f"s{n}": [1, n, n, -1, 0, 1, 0] for n in range(100)}
-    assert list(findings.merged([many])) == [f"s{n}" for n in range(findings.ROWS)]
+    assert list(findings.merge_tables([many])) == [f"s{n}" for n in range(findings.MAX_ROWS)]
 
 
 @pytest.mark.parametrize(
@@ -127,7 +127,7 @@
     for beat in range(8):
         now += S // 2
         tables = [b.table(now) for b in books]
-        back = returns.merged(tables)
+        back = returns.merge_tables(tables)
         for one in books:
             one.serves(now, 20)
             advice = one.advice(back, 10 + (back[0] if back else 0))
@@ -148,7 +148,9 @@
     advice = book.advice([9] * 11, 13)
     assert min(advice) > 5 * S and max(advice) == 10 * S and len(set(advice)) == 5
     assert book.advice([], 0)[0] == S, "with room they come soon"
-    assert returns.merged([[1, 2], [1, 1, 5]]) == [2, 3, 5] and returns.later([1, 2, 3], 2 * S) == [3]
+    assert returns.merge_tables([[1, 2], [1, 1, 5]]) == [2, 3, 5] and returns.age_table([1, 2, 3], 2 * S) == [
+        3
+    ]
     book.books(S, 3 * S)
     assert book.table(S)[3] == 1 and book.table(5 * S) == [0] * 11
 
