--- a/terndrift/fleet/strain.py
+++ b/terndrift/fleet/strain.py
@@ -1,28 +1,33 @@
-"""Overload that is only one controller's own: its event loop is late, its descriptors or its memory are at
-their bound. Free of I/O.
+"""Detects overload of a single controller: a late event loop, or file descriptors or memory near the limit.
 
-It sheds by the order of all (shed.py), by a level of its own on top of the fleet's, says so to the others,
-and sends viewers on to them where it can. Guards against a controller that takes, and answers late, what its
-neighbours have room for. Could do harm where all are strained alike: then viewers are sent on once, and
-turned away there."""
+A strained controller sheds in the fleet's order of plans (shed.py), by a level of its own on top of the
+fleet's. surge.py calls `Strain.second`, reports the strain to the other controllers and redirects viewers to
+them where it can. Free of I/O; it decides only the level.
+
+This guards against a controller that accepts, and answers late, viewers for whom its neighbours have
+capacity. It could do harm where all controllers are strained alike: viewers are then redirected once and
+rejected there.
+"""
 
 from enum import Enum
 
-SECOND = 1_000_000_000
-LATE = SECOND // 5  # of a loop: twice on a set-up's way, and a startup target of 800 ms is in doubt
-FULL = 0.9  # of descriptors or memory: the rest is what ends what plays
-EASY = 0.8
-HOLDS = 3 * SECOND  # easy for so long, and a step back
-STEP = 0.5  # plans' worth a second, up; half of it back: up faster than down, as in shed.py
+SECOND = 1_000_000_000  # ns
+MAX_LOOP_DELAY_NS = SECOND // 5  # met twice during a set-up, it endangers a startup target of 800 ms
+MAX_USE = 0.9  # of descriptors or memory; the rest is needed to end running playbacks
+RECOVERED_USE = 0.8
+RECOVERY_HOLD_NS = 3 * SECOND  # without strain before the level falls
+STEP = 0.5  # plans a second on the way up, half of it on the way down: up faster than down, as in shed.py
 
 
 class Standing(Enum):
+    """State of the controller; the values are reported and logged."""
+
     EASY = "easy"
     STRAINED = "strained"
-    EASING = "easing"  # not strained any more, and still sheds
+    EASING = "easing"  # no longer strained, still sheds
 
 
-ROUTES = {
+TRANSITIONS = {
     Standing.EASY: (Standing.STRAINED,),
     Standing.STRAINED: (Standing.EASING,),
     Standing.EASING: (Standing.STRAINED, Standing.EASY),
@@ -30,43 +35,51 @@
 
 
 class Strain:
-    """`most`: highest level, the number of plans."""
+    """Shedding level of a single controller.
+
+    `level` is the number of plans shed, fractions included, 0 to `max_level`; `why` tells the reason as text
+    and is "" while nothing is shed. `max_level`: the number of plans.
+    """
+
+    def __init__(self, max_level):
+        self.max_level, self.level, self.standing, self.why = max_level, 0.0, Standing.EASY, ""
+        self.was_late, self.recovering_since = False, 0
 
-    def __init__(self, most):
-        self.most, self.level, self.standing, self.why = most, 0.0, Standing.EASY, ""
-        self.twice, self.easy_since = False, 0
+    def second(self, now, loop_delay, descriptors, memory):
+        """Updates the state from one second's figures and returns the level; called every second.
 
-    def second(self, now, late, files, memory):
-        """Each second: ns that the loop was late at most; parts of descriptors and of memory in use. Returns
-        the level."""
+        `loop_delay`: the event loop's greatest delay, in ns; `descriptors`, `memory`: the shares in use, 0 to
+        1.
+        """
         why = ", ".join(
             filter(
                 None,
                 (
-                    f"loop {late // 1_000_000} ms late" if late > LATE else "",
-                    f"{files:.0%} of its descriptors" if files > FULL else "",
-                    f"{memory:.0%} of its memory" if memory > FULL else "",
+                    f"event loop {loop_delay // 1_000_000} ms late" if loop_delay > MAX_LOOP_DELAY_NS else "",
+                    f"{descriptors:.0%} of file descriptors in use" if descriptors > MAX_USE else "",
+                    f"{memory:.0%} of memory in use" if memory > MAX_USE else "",
                 ),
             )
         )
-        # once may be a pause of the machine; what is full is full
-        strained = bool(why) and (late <= LATE or self.twice)
-        self.twice = late > LATE
+        # A single delay may be a pause of the machine, so the loop must be late twice in a row. Descriptors
+        # and memory count at once.
+        strained = bool(why) and (loop_delay <= MAX_LOOP_DELAY_NS or self.was_late)
+        self.was_late = loop_delay > MAX_LOOP_DELAY_NS
         if strained:
-            self.level, self.why = min(float(self.most), self.level + STEP), why
+            self.level, self.why = min(float(self.max_level), self.level + STEP), why
             if self.standing is not Standing.STRAINED:
-                self._turn(Standing.STRAINED)
-        elif self.standing is Standing.STRAINED and not why and max(files, memory) < EASY:
-            self.easy_since = now
-            self._turn(Standing.EASING)
-        elif self.standing is Standing.EASING and now - self.easy_since >= HOLDS:
+                self._transition(Standing.STRAINED)
+        elif self.standing is Standing.STRAINED and not why and max(descriptors, memory) < RECOVERED_USE:
+            self.recovering_since = now
+            self._transition(Standing.EASING)
+        elif self.standing is Standing.EASING and now - self.recovering_since >= RECOVERY_HOLD_NS:
             self.level = max(0.0, self.level - STEP / 2)
             if not self.level:
                 self.why = ""
-                self._turn(Standing.EASY)
+                self._transition(Standing.EASY)
         return self.level
 
-    def _turn(self, standing):
-        """Every change of its standing."""
-        assert standing in ROUTES[self.standing], f"{self.standing} to {standing}"
+    def _transition(self, standing):
+        """Changes the standing; the only place that does."""
+        assert standing in TRANSITIONS[self.standing], f"{self.standing} to {standing}"
         self.standing = standing
