--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -1,9 +1,12 @@
-"""Where viewers are sent on to while a controller takes nothing new: by what members are there, and what of
-them is agreed. Free of I/O.
+"""Selects the controller to which viewers are redirected while this one takes nothing new.
 
-Each controller that can be reached by viewers says where, once, in the record; so one that comes to drain
-need not turn anybody away. It guards against viewers turned away, and told to wait, while all others have
-room. It could do harm where many drain at once and the others are full: a viewer is sent on once at most.
+Each controller that viewers can reach publishes its URL in the record, once; so a controller that drains
+need not reject anybody. The choice follows from the membership and from what is agreed on each member. The
+service calls `choose` for each viewer that it redirects. Free of I/O.
+
+This guards against viewers who are rejected and told to wait while the other controllers have room. It could
+do harm where many controllers drain at once and the others are full; a viewer is therefore redirected once at
+most.
 """
 
 import zlib
@@ -11,47 +14,57 @@
 from terndrift.fleet.members import Standing
 from terndrift.fleet.room import CONTROLLER
 
-FRONT = "front/"  # of the record's map: name -> URL, without a path
-# One that is seen for less long may have just started, and take nobody yet (copies.py: 6 s at most).
-YOUNG = 8_000_000_000
+FRONT_KEY_PREFIX = "front/"  # keys of the record's map: prefix and name -> URL without a path
+# A member alive for a shorter time may have just started and not accept viewers yet (copies.py: 6 s at most).
+MIN_ALIVE_NS = 8_000_000_000
 
 
 class Elsewhere:
-    """`mine`: where viewers reach this controller, once that is known; "": nobody is sent to it."""
+    """Redirect targets of one controller.
+
+    `mine`: the URL at which viewers reach this controller, set by the service before it announces; "" if
+    nobody shall be redirected here. `seed`: makes the random choice repeatable.
+    """
 
     def __init__(self, controller, seed):
-        self.controller, self.mine, self.draws = controller, "", 0
-        self.seeded = zlib.crc32(b"elsewhere:%d" % seed)
+        self.controller, self.mine, self.draw_count = controller, "", 0
+        self.seed_checksum = zlib.crc32(b"elsewhere:%d" % seed)
 
     def announce(self, now):
-        """Says where this controller is, if what is agreed says otherwise or nothing; `now` and then."""
-        c = self.controller
-        key = FRONT + c.me
-        if c.follower.as_of is None or c.follower.state["map"].get(key, "") == self.mine:
+        """Proposes this controller's URL if the record has another or none; called every second."""
+        controller = self.controller
+        key = FRONT_KEY_PREFIX + controller.me
+        if controller.follower.as_of is None or controller.follower.state["map"].get(key, "") == self.mine:
             return
-        c.propose(now, f"{key}/{c.members.run}", {key: self.mine or None})
+        controller.propose(now, f"{key}/{controller.members.run}", {key: self.mine or None})
 
     def places(self, now):
-        """name -> URL of the others that are there and not told to drain themselves."""
-        c = self.controller
-        off, _ = c.off(now)
-        listed, members = c.follower.state["map"], c.members.members
+        """Returns name -> URL of the other controllers to which viewers may be redirected.
+
+        These are alive and not told to drain. Strained ones, then those alive for less than MIN_ALIVE_NS, are
+        left out unless no others are left.
+        """
+        controller = self.controller
+        draining, _ = controller.off(now)
+        agreed_map, members = controller.follower.state["map"], controller.members.members
         found = {
             name: url
-            for name in sorted(c.known)
-            if name != c.me
-            and (url := listed.get(FRONT + name))
+            for name in sorted(controller.known)
+            if name != controller.me
+            and (url := agreed_map.get(FRONT_KEY_PREFIX + name))
             and members[name].standing is Standing.ALIVE
-            and CONTROLLER + name not in off
+            and CONTROLLER + name not in draining
         }
-        strained = c.loads.rides(now).strained
-        well = {name: url for name, url in found.items() if name not in strained} or found
-        return {name: url for name, url in well.items() if now - members[name].since > YOUNG} or well
+        strained = controller.loads.rides(now).strained
+        unstrained = {name: url for name, url in found.items() if name not in strained} or found
+        return {
+            name: url for name, url in unstrained.items() if now - members[name].since > MIN_ALIVE_NS
+        } or unstrained
 
     def choose(self, now):
-        """One of them, by chance; None: there is none."""
-        places = list(self.places(now).values())
-        if not places:
+        """Returns the URL of one of `places`, drawn uniformly at random; None if there is none."""
+        urls = list(self.places(now).values())
+        if not urls:
             return None
-        self.draws += 1
-        return places[zlib.crc32(b"%d" % self.draws, self.seeded) * 2654435761 % 2**32 % len(places)]
+        self.draw_count += 1
+        return urls[zlib.crc32(b"%d" % self.draw_count, self.seed_checksum) * 2654435761 % 2**32 % len(urls)]
