--- a/terndrift/fleet/returns.py
+++ b/terndrift/fleet/returns.py
@@ -54,10 +54,10 @@
         `booked`: retries advised by all controllers, the current second first; `asked`: requests a second
         now, of viewers who retry and of new ones.
         """
-        capacity = max((rate for _, rate in self.in_target_rates), default=0)
+        capacity = max((per_second for _, per_second in self.in_target_rates), default=0)
         booked = _padded(booked, self.seconds_ahead + 1)
         new = max(0, asked - booked[0])
-        return [max(0.0, capacity - new - count) for count in booked[1 : self.seconds_ahead + 1]]
+        return [max(0.0, capacity - new - per_second) for per_second in booked[1 : self.seconds_ahead + 1]]
 
     def advice(self, booked, asked):
         """Returns DELAYS retry delays in ns, of which each viewer gets one at random; () without any data.
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -1,5 +1,10 @@
-"""Planned work at a controller: the drains it makes reach the list as one more source, and what the list and
-the core have of machines reaches the work. Decides nothing."""
+"""Connects the fleet's planned work to this controller's streamer list and core.
+
+The drains in force enter the list as one more source, and reach the fronts if this controller itself drains.
+In return the planned work learns which machines the list has, how many playbacks each holds and which
+streamers fail. Decides nothing: what drains, and when, is agreed in the record (work.py). The service creates
+one Site for each controller that takes part in planned work, and calls `look`.
+"""
 
 from collections import deque
 from dataclasses import replace
@@ -11,88 +16,113 @@
 from terndrift.listing.lines import worst
 
 SOURCE = "work"
-SECOND = 1_000_000_000
-SOON = SECOND // 5  # between looks while this controller drains itself: viewers are turned away meanwhile
-# What viewers asked for is told of so many seconds, this one included.
-OF_LATE = 10
+SECOND = 1_000_000_000  # ns
+# Between looks while this controller drains itself: viewers are rejected meanwhile.
+DRAIN_LOOK_INTERVAL_NS = SECOND // 5
+RECENT_SECONDS = 10  # over which requests are counted, the current one included
 
 
 class OfLate:
-    """How often viewers asked of late, and how often what is counted came of it (turned away, in target)."""
+    """Counts requests, and those with a given outcome (rejected, or answered in target), over recent seconds.
+
+    `seconds`: how many seconds are counted, the current one included.
+    """
 
-    def __init__(self, seconds=OF_LATE):
+    def __init__(self, seconds=RECENT_SECONDS):
         self.seconds = deque(maxlen=seconds)  # [second, asked, counted]
 
     def count(self, now, asked, counted):
+        """Adds `asked` requests and `counted` outcomes to the current second; `now` in ns."""
         if not self.seconds or self.seconds[-1][0] != now // SECOND:
             self.seconds.append([now // SECOND, 0, 0])
         self.seconds[-1][1] += asked
         self.seconds[-1][2] += counted
 
     def of_late(self, now):
-        """(asked, counted)."""
-        late = [s for s in self.seconds if s[0] > now // SECOND - self.seconds.maxlen]
-        return sum(s[1] for s in late), sum(s[2] for s in late)
+        """Returns the sums (requests, outcomes) of the recent seconds."""
+        recent = [s for s in self.seconds if s[0] > now // SECOND - self.seconds.maxlen]
+        return sum(s[1] for s in recent), sum(s[2] for s in recent)
 
 
 class Site:
-    """`draining(on)` makes the fronts take nothing new, or take what comes again; `drain`: ns that this
-    controller has for that itself where it has to turn viewers away, as on SIGTERM; `stop()` stops it so;
-    `sends_on()`: whether viewers are sent on instead, so that the plan's whole drain time costs nobody."""
+    """Planned work as it concerns one controller.
+
+    `set_draining(on)`: makes the fronts reject new viewers, or accept them again. `drain_limit`: ns that this
+    controller has for its own drain where it has to reject viewers, as on SIGTERM. `stop()`: stops this
+    controller with such a drain. `redirects()`: whether viewers are redirected instead, so that the whole
+    drain time of the plan can be used at no cost to viewers. `cold_for`: ns after its start for which a
+    machine counts as cold.
+    """
 
     def __init__(
-        self, controller, listing, versions, host, cold_for, draining, drain, stop, sends_on=lambda: False
+        self,
+        controller,
+        listing,
+        versions,
+        host,
+        cold_for,
+        set_draining,
+        drain_limit,
+        stop,
+        redirects=lambda: False,
     ):
         self.controller, self.listing, self.versions, self.host = controller, listing, versions, host
         self.core, self.clock, self.cold_for = host.core, host.clock, cold_for
-        self.draining, self.drain, self.drains, self.turned = draining, drain, False, OfLate()
-        self.stop, self.stops, self.sends_on = stop, False, sends_on
-        self.since = {}  # (machine, step) that was told off -> when this controller saw it
-        self.held, self.held_as_of = {}, None  # streamer's id -> titles that name it among their holders
-        self.listed, self.known, self.known_as_of = [], {}, None  # known: name -> (Line, Machine)
-        self.me = CONTROLLER + controller.me
+        self.set_draining, self.drain_limit, self.drains, self.rejections = (
+            set_draining,
+            drain_limit,
+            False,
+            OfLate(),
+        )
+        self.stop, self.stopping, self.redirects = stop, False, redirects
+        self.drains_seen_at = {}  # (machine, step number) of a drain -> when this controller first saw it
+        # streamer's id -> titles that name it as a holder; the catalogue version of that
+        self.titles_by_holder, self.titles_version = {}, None
+        # [(Line, standing)]; machine name -> (Line, Machine); the list and catalogue versions of both
+        self.listed_lines, self.listed_machines, self.listed_version = [], {}, None
+        self.machine_name = CONTROLLER + controller.me
         controller.machines, controller.holding = self.machines, self.holding
         controller.wall, controller.turned = (
             lambda: self.clock.wall_ns(self.clock.now()) // 1_000_000,
-            self.turned.of_late,
+            self.rejections.of_late,
         )
         controller.ill = self.ill
 
     def watch(self, event, carried, **facts):
-        """Of the core: what viewers asked for, and what was turned away."""
+        """Counts requests and rejections; called by the core for each event, with the event's facts."""
         if event == "wanted" or event == "answer" and facts["kind"] == Kind.REJECTED.value:
-            self.turned.count(self.clock.now(), event == "wanted", event == "answer")
+            self.rejections.count(self.clock.now(), event == "wanted", event == "answer")
 
     def gate(self, plan):
-        """A viewer was turned away before it was a playback."""
-        self.turned.count(self.clock.now(), 1, 1)
+        """Counts a viewer whom a front rejected before the core had a playback for it."""
+        self.rejections.count(self.clock.now(), 1, 1)
 
-    # What the list has.
+    # The list.
 
     def rows(self):
-        """[(Line, standing by every source but the work)] of what is listed; worked out when any of it
-        changed."""
-        self._machines()
-        return self.listed
+        """Returns [(Line, worst standing by all sources but planned work)] of the listed streamers."""
+        self._update_machines()
+        return self.listed_lines
 
-    def _machines(self):
+    def _update_machines(self):
+        """Rebuilds the listed lines and machines if the list or the catalogue has changed."""
         merged, version = self.listing.merged, self.versions.visible
         others = [s for s in merged.sources.values() if s.name != SOURCE]
-        as_of = sum(s.words for s in others), version
-        if as_of == self.known_as_of:
+        current_version = sum(s.words for s in others), version
+        if current_version == self.listed_version:
             return
-        if version != self.held_as_of:
-            self.held, self.held_as_of = {}, version
+        if version != self.titles_version:
+            self.titles_by_holder, self.titles_version = {}, version
             for name in self.versions.names():
-                for id in self.versions.get(name).holders or ():
-                    self.held.setdefault(id, set()).add(name)
-        self.known_as_of, self.listed, self.known = as_of, [], {}
-        of = self.listing.flow.numbers.of
+                for streamer_id in self.versions.get(name).holders or ():
+                    self.titles_by_holder.setdefault(streamer_id, set()).add(name)
+        self.listed_version, self.listed_lines, self.listed_machines = current_version, [], {}
+        id_by_address = self.listing.flow.numbers.of
         for address, line in merged.lines.items():
-            if said := [s.lines[address].standing for s in others if address in s.lines]:
-                standing = worst(said)
-                self.listed.append((line, standing))
-                self.known[line.name] = (
+            if standings := [s.lines[address].standing for s in others if address in s.lines]:
+                standing = worst(standings)
+                self.listed_lines.append((line, standing))
+                self.listed_machines[line.name] = (
                     line,
                     Machine(
                         line.name,
@@ -101,109 +131,127 @@
                         line.weight,
                         standing == "ready",
                         self.clock.wall_ns(line.started),
-                        frozenset(self.held.get(of.get(address), ())),
+                        frozenset(self.titles_by_holder.get(id_by_address.get(address), ())),
                         frozenset(line.labels),
                     ),
                 )
 
     def machines(self):
-        self._machines()
+        """Returns machine name -> room.Machine of the listed streamers, cold ones marked by their age."""
+        self._update_machines()
         now = self.clock.now()
         return {
             name: replace(m, cold=True) if line.started and now - line.started < self.cold_for else m
-            for name, (line, m) in self.known.items()
+            for name, (line, m) in self.listed_machines.items()
         }
 
-    def _id(self, name):
-        line, _ = self.known.get(name, (None, None))
+    def _streamer_id(self, name):
+        line, _ = self.listed_machines.get(name, (None, None))
         return self.listing.flow.numbers.of.get(line.address) if line else None
 
     def _streamer(self, name):
-        return self.core.controller.streamers.get(self._id(name))
+        return self.core.controller.streamers.get(self._streamer_id(name))
 
-    # What the core has.
+    # The core.
 
     def holding(self, names):
-        """name -> playbacks, set-ups included; nothing plays at what no list names."""
-        self._machines()
-        out = {n: len(s.playbacks) if (s := self._streamer(n)) else 0 for n in names}
-        if self.me in out:
-            out[self.me] = sum(c.stage is not Stage.OVER for c in self.core.held.values())
-        return out
+        """Returns name -> number of playbacks, set-ups included; 0 for machines that no list names."""
+        self._update_machines()
+        counts = {n: len(s.playbacks) if (s := self._streamer(n)) else 0 for n in names}
+        if self.machine_name in counts:
+            counts[self.machine_name] = sum(c.stage is not Stage.OVER for c in self.core.held.values())
+        return counts
 
     def ill(self, names):
-        """Those that the decisions saw fail, and tried of late: what nobody asks for is not tried, and
-        an old failure says nothing."""
-        self._machines()
-        now, some = self.clock.now(), [(n, self._streamer(n)) for n in names]
+        """Returns the names of the streamers that are down and were attempted in the last RECENT_SECONDS.
+
+        A streamer that nobody asks for is not attempted, and an old failure proves nothing.
+        """
+        self._update_machines()
+        now, streamers = self.clock.now(), [(n, self._streamer(n)) for n in names]
         return [
-            n for n, s in some if s and s.down is not None and now - (s.next_try - s.gap) < OF_LATE * SECOND
+            n
+            for n, s in streamers
+            if s and s.down is not None and now - (s.next_try - s.gap) < RECENT_SECONDS * SECOND
         ]
 
-    def permits(self, id):
-        """Whether a set-up may go out to that streamer at this moment: the list is behind by up to a second,
-        or by as long as this process stood still."""
-        line = self.listing.line_of(id)
-        off, may = self.controller.off(self.clock.now())
-        return may and (line is None or line.name not in off)
+    def permits(self, streamer_id):
+        """Tells whether a set-up may be sent to that streamer now, by the record and not by the list.
 
-    # What work makes of it.
+        The list lags by up to a second, or by as long as this process was paused.
+        """
+        line = self.listing.line_of(streamer_id)
+        draining, may_place = self.controller.off(self.clock.now())
+        return may_place and (line is None or line.name not in draining)
+
+    # Drains in force.
 
     def look_again(self):
-        """ns until the next look, if nothing is agreed before."""
-        return SOON if self.drains else SECOND
+        """Returns the ns until the next `look` is due, unless planned work is agreed on before."""
+        return DRAIN_LOOK_INTERVAL_NS if self.drains else SECOND
 
     async def look(self):
-        """The drains in force, into the list and the fronts."""
+        """Applies the drains in force to the list, the fronts and running playbacks.
+
+        Called after each change of the planned work, else at the interval of `look_again`.
+        """
         now = self.clock.now()
-        off, may = self.controller.off(now)
+        draining, may_place = self.controller.off(now)
         lines = {
             line.address: replace(line, standing="draining")
             for line, _ in self.rows()
-            if not may or line.name in off
+            if not may_place or line.name in draining
         }
         source = self.listing.merged.source(SOURCE)
-        put = [line for address, line in lines.items() if source.lines.get(address) != line]
-        gone = [address for address in source.lines if address not in lines]
-        if put or gone:
-            await self.listing.take(SOURCE, put, gone)
-            if source.doubted:  # that much comes back at once is agreed, not a source that has lost its mind
+        changed = [line for address, line in lines.items() if source.lines.get(address) != line]
+        removed = [address for address in source.lines if address not in lines]
+        if changed or removed:
+            await self.listing.take(SOURCE, changed, removed)
+            # The list doubts a source that drops many entries at once; here that was agreed.
+            if source.doubted:
                 self.listing.confirm(SOURCE)
-        if (drains := self.me in off) != self.drains:
+        if (drains := self.machine_name in draining) != self.drains:
             self.drains = drains
-            self.draining(drains)
-        self._ends(now, off)
-        if not self.stops and restarts(self.controller.follower.state, self.me, self.controller.members.run):
-            self.stops = True
+            self.set_draining(drains)
+        self._end_overdue_playbacks(now, draining)
+        if not self.stopping and restarts(
+            self.controller.follower.state, self.machine_name, self.controller.members.run
+        ):
+            self.stopping = True
             self.stop()
 
-    def _ends(self, now, off):
-        """What still plays on a machine after its plan's drain time is over: its viewers come again. At a
-        controller that goes itself they end one by one over the second half of that time, so that they do
-        not come to the others in one wave."""
+    def _end_overdue_playbacks(self, now, draining):
+        """Ends the playbacks on machines whose drain time has passed; their viewers set up again elsewhere.
+
+        If this controller itself drains, its playbacks end one by one over the second half of the time, so
+        that their viewers do not reach the other controllers in one wave.
+        """
         state = self.controller.follower.state
-        table, known = rows(state), plans(state)
-        told = {(name, table[name]["n"]) for name in off if name in table}
-        self.since = {key: self.since.get(key, now) for key in told}
-        late = set()
-        for name, n in told:
-            drain, spent = known.get(table[name]["plan"], {}).get("drain", 0), now - self.since[name, n]
-            if name == self.me:
-                self._end_some(spent, drain if self.sends_on() else min(drain, self.drain))
-            elif spent >= drain and (id := self._id(name)) is not None:
-                late.add(id)
-        if late:
-            self._end([c for c in self._playing() if c.streamer.id in late])
-
-    def _playing(self):
+        table, plans_by_name = rows(state), plans(state)
+        drains = {(name, table[name]["n"]) for name in draining if name in table}
+        self.drains_seen_at = {key: self.drains_seen_at.get(key, now) for key in drains}
+        overdue = set()
+        for name, step in drains:
+            drain, elapsed = (
+                plans_by_name.get(table[name]["plan"], {}).get("drain", 0),
+                now - self.drains_seen_at[name, step],
+            )
+            if name == self.machine_name:
+                self._end_gradually(elapsed, drain if self.redirects() else min(drain, self.drain_limit))
+            elif elapsed >= drain and (streamer_id := self._streamer_id(name)) is not None:
+                overdue.add(streamer_id)
+        if overdue:
+            self._end_playbacks([c for c in self._running_playbacks() if c.streamer.id in overdue])
+
+    def _running_playbacks(self):
         return [c for c in self.core.held.values() if c.stage is Stage.PLAYING]
 
-    def _end_some(self, spent, drain):
-        playing = self._playing()
-        looks = max(1, (drain - spent) // SOON + 1)
-        if spent >= drain // 2 and playing:
-            self._end(playing[: max(1, len(playing) // looks)] if spent < drain else playing)
+    def _end_gradually(self, elapsed, drain):
+        playing = self._running_playbacks()
+        looks_left = max(1, (drain - elapsed) // DRAIN_LOOK_INTERVAL_NS + 1)
+        if elapsed >= drain // 2 and playing:
+            self._end_playbacks(playing[: max(1, len(playing) // looks_left)] if elapsed < drain else playing)
 
-    def _end(self, carried):
-        for one in carried:
-            self.host.do(self.core.over, one, Ending.CALLED_OFF)
+    def _end_playbacks(self, playbacks):
+        for playback in playbacks:
+            self.host.do(self.core.over, playback, Ending.CALLED_OFF)
