--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -1,4 +1,9 @@
-"""A fleet's controller on an event loop: datagrams, bodies over HTTP, its store, a timer. Decides nothing."""
+"""Runs a fleet's controller (member.py) on the event loop: datagrams, HTTP bodies, its store and a timer.
+
+The service creates one `Fleet` for a front file that names a fleet, and calls it every second; the admin
+interface calls the methods for operators. All decisions lie in the modules free of I/O that it drives; this
+one must not block the loop and must not send what a voter says before its records are durable.
+"""
 
 import asyncio
 import os
@@ -14,9 +19,9 @@
 from terndrift.core.carried import Kind
 from terndrift.deployment import Amiss
 from terndrift.fleet.agreed import beginning
-from terndrift.fleet.copies import COPY as COPY_OF
+from terndrift.fleet.copies import COPY as COPY_ID_PREFIX
 from terndrift.fleet.copies import Copies
-from terndrift.fleet.copies import Standing as Copying
+from terndrift.fleet.copies import Standing as CopyStanding
 from terndrift.fleet.elsewhere import Elsewhere
 from terndrift.fleet.member import Controller
 from terndrift.fleet.messages import BODY, DATAGRAM, opened
@@ -33,58 +38,67 @@
 from terndrift.store.store import Broken as StoreBroken
 from terndrift.store.store import Damaged, Store
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # ns
 STREAM = "fleet"
-# Bodies on their way to others at once; one more is dropped, as all that matters is said again. Guards the
-# loop against a member that takes nothing.
-MOST_BODIES = 32
-# Records after which the store's state takes their place: a start then reads as many at most.
-SNAPSHOT_AFTER = 4000
-LONGEST_WAIT = 30.0  # s for which a proposal's answer may be awaited in one request
-PATH = "/fleet/message"
-# A whole catalogue of 100,000 titles is 15 MB or so, and one is handed out at a time.
-COPY, LARGEST_COPY = "/fleet/catalogue", 128 << 20
-SLICE = 500  # titles between two turns of the loop: a ms or so
-MOST_IDS = 2000  # of changes, that go with it
-COPY_WITHIN = 4.0  # s; past the 6 s of its stage a controller serves what it has
+# Bodies being sent at once. Further ones are dropped, as everything essential is sent again; this protects
+# the loop from a member that does not read.
+MAX_BODIES_IN_FLIGHT = 32
+# Records after which a snapshot replaces them; a start reads at most about as many.
+RECORDS_PER_SNAPSHOT = 4000
+MAX_PROPOSAL_WAIT_S = 30.0  # for the answer to a proposal within one request
+MESSAGE_PATH = "/fleet/message"
+# A catalogue of 100,000 titles takes about 15 MB; only one copy is sent at a time.
+CATALOGUE_PATH, MAX_CATALOGUE_BYTES = "/fleet/catalogue", 128 << 20
+TITLES_PER_SLICE = 500  # between two yields to the loop: about 1 ms
+MAX_CHANGE_IDS = 2000  # sent with a catalogue
+CATALOGUE_TIMEOUT_S = 4.0  # after the 6 s of its stage a controller serves what it has
 
 
 def settled(value):
-    """Raises Amiss if the `fleet` of a front file does not fit together."""
+    """Raises Amiss, with all faults found, if the `fleet` section of a front file is inconsistent."""
     fleet, me = value["fleet"], value["controller"]["name"]
     if not fleet["name"]:
         return
-    out, names = [], {me, *fleet["members"]}
+    faults, names = [], {me, *fleet["members"]}
     if me in fleet["members"]:
-        out.append(f"fleet.members.{me}: this controller itself; only the others are named")
-    out += [f"fleet.voters: no member '{v}'" for v in fleet["voters"] if v not in names]
+        faults.append(f"fleet.members.{me}: this controller itself; name only the others")
+    faults += [f"fleet.voters: no member '{voter}'" for voter in fleet["voters"] if voter not in names]
     if len(fleet["voters"]) not in (0, 3, 5) or len(set(fleet["voters"])) != len(fleet["voters"]):
-        out.append(f"fleet.voters: {len(fleet['voters'])} names, wanted 3 or 5 different ones, or none")
+        faults.append(f"fleet.voters: {len(fleet['voters'])} names, wanted 3 or 5 different ones, or none")
     if me in fleet["voters"] and not fleet["store"]:
-        out.append("fleet.store: a voter keeps the record, and needs a folder")
+        faults.append("fleet.store: a voter stores the record and needs a folder")
     front = urlsplit(fleet["front"])
     if fleet["front"] not in ("", "listen") and (
         front.scheme not in ("http", "https") or not front.netloc or front.path.strip("/")
     ):
-        out.append(f"fleet.front: '{fleet['front']}' is no URL without a path, as http://HOST:PORT")
-    if out:
-        raise Amiss("\n".join(out))
+        faults.append(
+            f"fleet.front: '{fleet['front']}' is not a URL without a path, such as http://HOST:PORT"
+        )
+    if faults:
+        raise Amiss("\n".join(faults))
 
 
 class Fleet:
-    """`value`: the `fleet` of a front file. Raises Held where its folder is in use."""
+    """A controller of a fleet with its sockets, store and timer.
 
-    def __init__(self, value, me, clock, seed, log, target=lambda plan: 0):
-        self.target = target  # plan's name -> its startup target, ns
+    `value`: the `fleet` section of a front file; `me`: this controller's name; `startup_target(plan)`: the
+    startup target of a plan, by its name, in ns. Raises Held if another process uses the voter's store
+    folder. The service sets `site`, `surge`, `sight` and `keep_in` after construction where configured.
+    """
+
+    def __init__(self, value, me, clock, seed, log, startup_target=lambda plan: 0):
+        self.startup_target = startup_target
         self.value, self.me, self.clock, self.log = value, me, clock, log
-        self.dropped, self.bodies, self.pool = Counter(), set(), Pool(2)
-        self.site = None  # where this controller obeys planned work
-        self.said_level = 0.0
-        self.surge = None  # where this controller sheds as the fleet has settled
-        self.catalogue, self.copying, self.copied_out = None, None, False  # see `serves`
-        self.sight, self.keep_in = None, ""  # what it sees of streamers; the file with that of its last run
-        self.back, self.served = Return(clock.now(), True), OfLate(HOLDS)
-        self.worked = asyncio.Event()  # set when any of it was agreed
+        self.dropped, self.body_tasks, self.pool = Counter(), set(), Pool(2)
+        self.site = None  # site.Site, if this controller takes part in planned work
+        self.logged_level = 0.0
+        self.surge = None  # surge.Surge, if this controller sheds by the fleet's level
+        # set by `serves`; the task that takes a copy; whether a copy is being sent
+        self.catalogue, self.copy_task, self.sending_copy = None, None, False
+        # sight.Sight; the file that keeps its observations over a restart, "" for none
+        self.sight, self.keep_in = None, ""
+        self.back, self.answers = Return(clock.now(), True), OfLate(HOLDS)
+        self.worked = asyncio.Event()  # set when planned work was agreed on; the service clears it
         self.committer, durable = None, None
         if me in value["voters"]:
             durable = self._opened(value["store"])
@@ -102,34 +116,40 @@
             seed,
         )
         self.elsewhere = Elsewhere(self.controller, seed)
-        self.server = Server(self._body, 256, body_size=BODY, fault=self._fault)
+        self.server = Server(self._request, 256, body_size=BODY, fault=self._log_fault)
         self.transport, self.addresses, self.timer, self.timer_at = None, [], None, None
-        self.writing, self.waiting, self.closing, self.said_cut = None, set(), False, False
+        self.write_task, self.waiters, self.closing, self.logged_cut_off = None, set(), False, False
 
     def _opened(self, folder):
-        """What the voter kept. A damaged folder is put aside: what it once said can't be known any more, so
-        it begins as one that has nothing."""
+        """Opens a voter's store and returns its Durable state; renames a damaged folder and starts empty.
+
+        What this voter once confirmed can't be known after damage, so it starts without any state.
+        """
         durable = Durable()
         try:
             store = Store(Files(folder), {STREAM: durable})
-        except Damaged as wrong:
-            aside = f"{folder}.damaged-{time.time_ns():x}"
-            os.rename(folder, aside)
+        except Damaged as error:
+            damaged_folder = f"{folder}.damaged-{time.time_ns():x}"
+            os.rename(folder, damaged_folder)
             self.log.error(
-                "fleet: store damaged, put aside; a new identity is asked for", what=str(wrong), folder=aside
+                "fleet: store damaged, put aside; a new identity is asked for",
+                what=str(error),
+                folder=damaged_folder,
             )
             durable = Durable()
             store = Store(Files(folder), {STREAM: durable})
         self.committer = Committer(store)
         return durable
 
-    def _fault(self, exchange, error):
+    def _log_fault(self, exchange, error):
         self.log.error("fault of the fleet", path=exchange.path, exc_info=error)
 
-    async def start(self, listens=""):
-        """`listens`: the HTTP address at which viewers come."""
+    async def start(self, viewer_address=""):
+        """Opens the sockets and starts the timer; `viewer_address`: host:port of HTTP for viewers."""
         front = self.value["front"]
-        self.elsewhere.mine = f"http://{listens}" if front == "listen" and listens else front.rstrip("/")
+        self.elsewhere.mine = (
+            f"http://{viewer_address}" if front == "listen" and viewer_address else front.rstrip("/")
+        )
         loop = asyncio.get_running_loop()
         self.controller.copies.begin(self.clock.now())
         host, _, port = self.value["datagrams"].rpartition(":")
@@ -138,207 +158,227 @@
             "{}:{}".format(*self.transport.get_extra_info("sockname")[:2]),
             self.server.listen_on(self.value["http"]),
         ]
-        self._after()
+        self._process_output()
 
-    # What comes in.
+    # Receiving.
 
     def packet(self, data):
-        found = opened(data, self.value["name"], self.me, self.controller.known)
-        if isinstance(found, str):
-            self.dropped[found] += 1
+        """Handles a received message, of a datagram or an HTTP body; counts it if it is dropped."""
+        message = opened(data, self.value["name"], self.me, self.controller.known)
+        if isinstance(message, str):
+            self.dropped[message] += 1
             return
-        self.controller.received(self.clock.now(), found)
-        self._after()
+        self.controller.received(self.clock.now(), message)
+        self._process_output()
 
-    async def _body(self, exchange):
-        if exchange.method == "GET" and exchange.path == COPY and self.catalogue is not None:
-            return await self._hand_copy(exchange)
-        if exchange.method != "POST" or exchange.path != PATH:
+    async def _request(self, exchange):
+        if exchange.method == "GET" and exchange.path == CATALOGUE_PATH and self.catalogue is not None:
+            return await self._send_catalogue(exchange)
+        if exchange.method != "POST" or exchange.path != MESSAGE_PATH:
             return await exchange.reply(404, text="nothing here")
         self.packet(bytes(exchange.body))
         return await exchange.reply(204)
 
-    def _ring(self):
+    def _on_timer(self):
         self.timer = self.timer_at = None
         self.controller.tick(self.clock.now())
-        self._after()
+        self._process_output()
 
-    # What goes out.
+    # Sending.
 
-    def _after(self):
-        c, now = self.controller, self.clock.now()
-        said, c.out = c.out, []
-        for to, data in said:
+    def _process_output(self):
+        """Sends and writes what the controller has produced, logs its changes and sets the timer anew."""
+        controller, now = self.controller, self.clock.now()
+        messages, controller.out = controller.out, []
+        for to, data in messages:
             self._send(to, data)
-        if c.writes and self.writing is None and not self.closing:
-            self.writing = asyncio.ensure_future(self._write())
-        for _, name, before, after in c.members.changes:
+        if controller.writes and self.write_task is None and not self.closing:
+            self.write_task = asyncio.ensure_future(self._write())
+        for _, name, before, after in controller.members.changes:
             self.log.info("member", name=name, was=before.name.lower(), now=after.name.lower())
-        c.members.changes.clear()
-        for index, entry in c.follower.heard:
+        controller.members.changes.clear()
+        for index, entry in controller.follower.heard:
             self.log.debug("agreed", index=index, kind=entry.kind, id=entry.id)
             if entry.kind == "value" and REV in entry.value:
                 self.worked.set()
-        c.follower.heard.clear()
-        if (cut := c.cut_off(now) > 0) != self.said_cut:
-            self.said_cut = cut
-            self.log.warning("cut off from the record" if cut else "the record is heard again")
-        for waiter in self.waiting:
+        controller.follower.heard.clear()
+        if (is_cut_off := controller.cut_off(now) > 0) != self.logged_cut_off:
+            self.logged_cut_off = is_cut_off
+            self.log.warning("cut off from the record" if is_cut_off else "the record is heard again")
+        for waiter in self.waiters:
             waiter.set()
-        at = c.next_at()
-        if self.transport is None or self.closing or self.timer_at is not None and self.timer_at <= at:
+        next_at = controller.next_at()
+        if self.transport is None or self.closing or self.timer_at is not None and self.timer_at <= next_at:
             return
         if self.timer:
             self.timer.cancel()
-        self.timer_at = at
-        self.timer = asyncio.get_running_loop().call_later(max(0, at - now) / SECOND, self._ring)
+        self.timer_at = next_at
+        self.timer = asyncio.get_running_loop().call_later(max(0, next_at - now) / SECOND, self._on_timer)
 
     def _send(self, to, data):
-        row = self.value["members"].get(to)
-        if row is None or self.transport is None:
+        addresses = self.value["members"].get(to)
+        if addresses is None or self.transport is None:
             return
         if len(data) <= DATAGRAM:
-            host, _, port = row["datagrams"].rpartition(":")
+            host, _, port = addresses["datagrams"].rpartition(":")
             self.transport.sendto(data, (host, int(port)))
-        elif len(self.bodies) < MOST_BODIES:
-            task = asyncio.ensure_future(self._post(row["http"], data))
-            self.bodies.add(task)
-            task.add_done_callback(self.bodies.discard)
+        elif len(self.body_tasks) < MAX_BODIES_IN_FLIGHT:
+            task = asyncio.ensure_future(self._post(addresses["http"], data))
+            self.body_tasks.add(task)
+            task.add_done_callback(self.body_tasks.discard)
         else:
             self.dropped["not sent"] += 1
 
     async def _post(self, address, data):
         try:
             await fetch(
-                self.pool, address, "POST", PATH, {"Content-Length": str(len(data))}, within=2.0, body=data
+                self.pool,
+                address,
+                "POST",
+                MESSAGE_PATH,
+                {"Content-Length": str(len(data))},
+                within=2.0,
+                body=data,
             )
         except (Unreached, Broken):
             self.dropped["not sent"] += 1
 
     async def _write(self):
-        """Batch by batch, in order: what is said after a record goes out once that is durable."""
-        c = self.controller
-        while c.writes:
-            batch, c.writes, wrote = c.writes, [], c.wrote
+        """Appends the voter's records batch by batch, in order.
+
+        Messages that depend on a record are sent once it is durable.
+        """
+        controller = self.controller
+        while controller.writes:
+            batch, controller.writes, written = controller.writes, [], controller.wrote
             while True:
                 try:
                     await self.committer.append([(STREAM, record) for record in batch])
                     break
-                except StoreBroken as wrong:
-                    # nothing is confirmed any more: what it holds is in doubt until the process starts again
-                    self.log.error("fleet: store broken; this voter says nothing more", what=str(wrong))
+                except StoreBroken as error:
+                    # Its content is in doubt until the process starts again, so nothing more is confirmed.
+                    self.log.error("fleet: store broken; this voter says nothing more", what=str(error))
                     return
-                except OSError as wrong:
-                    self.log.error("fleet: not kept, tried again", what=str(wrong))
+                except OSError as error:
+                    self.log.error("fleet: not kept, tried again", what=str(error))
                     await asyncio.sleep(0.5)
-            c.kept(self.clock.now(), wrote)
-            if self.committer.store.since_snapshot > SNAPSHOT_AFTER:
+            controller.kept(self.clock.now(), written)
+            if self.committer.store.since_snapshot > RECORDS_PER_SNAPSHOT:
                 async for _ in self.committer.snapshot():
                     pass
-            self._after()
-        self.writing = None
+            self._process_output()
+        self.write_task = None
 
     def tell_work(self):
-        """What is held here, said now and not with the next look at work."""
+        """Reports this controller's playbacks on draining machines now, before the next regular report."""
         now = self.clock.now()
         self.controller.work_at = now
         self.controller.tick(now)
-        self._after()
+        self._process_output()
 
     def leave(self):
+        """Tells the other members that this controller stops; `stop` follows."""
         self.controller.leave(self.clock.now())
-        self._after()
+        self._process_output()
 
     async def stop(self):
-        for _ in range(50):  # what was said as it left is on its way
-            if not self.bodies and not self.writing:
+        """Waits up to 1 s for pending messages and writes, then closes sockets and store."""
+        for _ in range(50):  # messages of `leave` are still being sent
+            if not self.body_tasks and not self.write_task:
                 break
             await asyncio.sleep(0.02)
         self.closing = True
         if self.timer:
             self.timer.cancel()
-        if self.writing:
-            self.writing.cancel()
+        if self.write_task:
+            self.write_task.cancel()
         await self.server.drain(0.5)
         if self.transport:
             self.transport.abort()
-            await asyncio.sleep(0)  # its socket is closed by then
+            await asyncio.sleep(0)  # lets the transport close its socket
         self.pool.close()
         if self.committer:
             self.committer.close()
 
-    # Coming back.
+    # Return after a start.
 
     def watch(self, event, carried, **facts):
-        """Of the core: a viewer's answer, and whether it was in target. Asked is counted with the answer, or
-        what is still awaited would count as late."""
+        """Counts a viewer's answer, and whether it was in target; called by the core for each event.
+
+        The request is counted together with its answer, as a pending one would otherwise count as late.
+        """
         if event == "answer":
-            target = self.target(carried.wanted.plan)
-            well = facts["kind"] == Kind.PLAYS.value and facts["took"] <= target
-            self.served.count(self.clock.now(), 1, well)
+            target = self.startup_target(carried.wanted.plan)
+            in_target = facts["kind"] == Kind.PLAYS.value and facts["took"] <= target
+            self.answers.count(self.clock.now(), 1, in_target)
 
     def returns(self, listed):
-        """Every second: how far this controller's return is."""
-        now, before = self.clock.now(), self.back.stage
+        """Announces the front, logs the shedding level and advances the return; called every second.
+
+        `listed`: whether the streamer list has entries.
+        """
+        now, previous_stage = self.clock.now(), self.back.stage
         self.elsewhere.announce(now)
-        if self.surge and (level := round(self.surge.level(), 1)) != self.said_level:
-            self.said_level = level
+        if self.surge and (level := round(self.surge.level(), 1)) != self.logged_level:
+            self.logged_level = level
             self.log.info("shed", at=level, why=self.controller.shed.why)
-        self._after()
-        self.back.look(now, listed, self.controller.follower.as_of is not None, *self.served.of_late(now))
-        if self.back.stage is not before:
+        self._process_output()
+        self.back.look(now, listed, self.controller.follower.as_of is not None, *self.answers.of_late(now))
+        if self.back.stage is not previous_stage:
             self.log.info("return", stage=self.back.stage.value, past=self.recovery()["past"])
 
     # The catalogue.
 
     def serves(self, catalogue):
-        """With this catalogue; before it serves any title it asks how far others are."""
-        self.catalogue, c = catalogue, self.controller
-        c.copies = Copies(self.me, self.clock.now(), lambda: catalogue.versions.ids, len(c.known) - 1)
+        """Sets the catalogue service; titles are served only once the other members' state is known."""
+        self.catalogue, controller = catalogue, self.controller
+        controller.copies = Copies(
+            self.me, self.clock.now(), lambda: catalogue.versions.ids, len(controller.known) - 1
+        )
 
     def unsure(self):
-        """Whether no title may be served yet; starts a copy where one is wanted."""
+        """Tells whether no title may be served yet; starts to copy the catalogue if a member is ahead."""
         copies = self.controller.copies
-        if copies.standing is Copying.BEHIND and (self.copying is None or self.copying.done()):
-            self.copying = asyncio.ensure_future(self._take_copy(copies))
+        if copies.standing is CopyStanding.BEHIND and (self.copy_task is None or self.copy_task.done()):
+            self.copy_task = asyncio.ensure_future(self._copy_catalogue(copies))
         return not copies.sure()
 
-    async def _hand_copy(self, exchange):
-        if self.copied_out or self.controller.copies.standing is Copying.BEHIND:
+    async def _send_catalogue(self, exchange):
+        if self.sending_copy or self.controller.copies.standing is CopyStanding.BEHIND:
             return await exchange.reply(503, text="busy")
-        self.copied_out = True
+        self.sending_copy = True
         try:
             versions = self.catalogue.versions
             version, titles = versions.pin(), {}
             try:
-                for n, (name, _, title) in enumerate(versions.items(version), 1):
+                for count, (name, _, title) in enumerate(versions.items(version), 1):
                     titles[name] = msgspec.to_builtins(title)
-                    if n % SLICE == 0:
+                    if count % TITLES_PER_SLICE == 0:
                         await asyncio.sleep(0)
             finally:
                 versions.unpin()
-            value = {"ids": self.controller.copies.ids()[-MOST_IDS:], "titles": titles}
+            value = {"ids": self.controller.copies.ids()[-MAX_CHANGE_IDS:], "titles": titles}
             body = await asyncio.get_running_loop().run_in_executor(None, msgspec.msgpack.encode, value)
             return await exchange.reply(200, body=body)
         finally:
-            self.copied_out = False
+            self.sending_copy = False
 
-    async def _take_copy(self, copies):
-        """A whole catalogue in place of this one, as one change of its own; nothing of it if that fails."""
-        source, whole, loop = copies.source, False, asyncio.get_running_loop()
+    async def _copy_catalogue(self, copies):
+        """Replaces the catalogue by a member's, as a single change; leaves it as it is on any failure."""
+        source, complete, loop = copies.source, False, asyncio.get_running_loop()
         try:
             code, _, body = await fetch(
                 self.pool,
                 self.value["members"][source]["http"],
                 "GET",
-                COPY,
-                within=COPY_WITHIN,
-                most=LARGEST_COPY,
+                CATALOGUE_PATH,
+                within=CATALOGUE_TIMEOUT_S,
+                most=MAX_CATALOGUE_BYTES,
             )
             if code == 200:
-                change = await loop.run_in_executor(None, self._copy, body)
+                change = await loop.run_in_executor(None, self._decode_catalogue, body)
                 await self.catalogue.apply(change)
-                whole = True
+                complete = True
                 self.log.warning("catalogue: copied from a member", of=source, titles=len(change.put))
         except (
             Unreached,
@@ -350,14 +390,15 @@
             TypeError,
             Fault,
             Conflict,
-        ) as wrong:
-            self.log.warning("catalogue: not copied", of=source, what=str(wrong)[:200])
-        copies.copied(whole)
+        ) as error:
+            self.log.warning("catalogue: not copied", of=source, what=str(error)[:200])
+        copies.copied(complete)
 
-    def _copy(self, body):
+    def _decode_catalogue(self, body):
+        """Returns the change that replaces the whole catalogue; runs in a thread, as a body is large."""
         value = msgspec.msgpack.decode(body)
         change = change_of(
-            {"id": f"{COPY_OF}{time.time_ns():x}", "put": value["titles"], "whole": True},
+            {"id": f"{COPY_ID_PREFIX}{time.time_ns():x}", "put": value["titles"], "whole": True},
             "fleet",
             time.time(),
         )
@@ -365,53 +406,57 @@
         return change
 
     async def sees(self):
-        """Until cancelled: what is seen of streamers, and what is known of them after a start."""
+        """Restores the observations of streamers, then updates and stores them until cancelled."""
         loop = asyncio.get_running_loop()
-        self._restore()
+        self._restore_observations()
         while True:
             try:
                 self.sight.look()
-                self._after()
-                if self.keep_in and (kept := self.sight.keeps()) is not None:
-                    await loop.run_in_executor(None, _written, self.keep_in, msgspec.json.encode(kept))
-            except OSError as wrong:
-                self.log.error("fleet: what was seen of streamers is not kept", what=str(wrong))
-            except Exception as fault:  # the next look must come all the same
+                self._process_output()
+                if self.keep_in and (observations := self.sight.keeps()) is not None:
+                    await loop.run_in_executor(
+                        None, _write_atomically, self.keep_in, msgspec.json.encode(observations)
+                    )
+            except OSError as error:
+                self.log.error("fleet: what was seen of streamers is not kept", what=str(error))
+            except Exception as fault:  # keep the loop running
                 self.log.error("fault of the fleet", exc_info=fault)
             await asyncio.sleep(0.1 if self.back.under_way() else 1.0)
 
     async def meets(self):
-        """Until cancelled: what all found and allow under load, for the decisions."""
+        """Updates what the fleet has found and allows under load, until cancelled."""
         while True:
             try:
-                before = sorted(self.surge.told[1].items())
+                previous = sorted(self.surge.told[1].items())
                 self.surge.look()
-                if (found := sorted(self.surge.told[1].items())) != before:
+                if (found := sorted(self.surge.told[1].items())) != previous:
                     self.log.debug(
                         "found",
-                        left=[id for id, may in found if not may],
-                        tried=[id for id, may in found if may],
+                        left=[id for id, allowed in found if not allowed],
+                        tried=[id for id, allowed in found if allowed],
                     )
-            except Exception as fault:  # the next look must come all the same
+            except Exception as fault:  # keep the loop running
                 self.log.error("fault of the fleet", exc_info=fault)
             await asyncio.sleep(LOOKS / SECOND)
 
-    def _restore(self):
+    def _restore_observations(self):
         if not self.keep_in or not os.path.exists(self.keep_in):
             return
         try:
             with open(self.keep_in, "rb") as file:
-                kept = msgspec.json.decode(file.read(), type=Kept)
-            self.sight.restore(kept)
-        except (OSError, msgspec.DecodeError) as wrong:  # it only saves time
-            self.log.warning("fleet: what was seen of streamers can't be read", what=str(wrong))
+                observations = msgspec.json.decode(file.read(), type=Kept)
+            self.sight.restore(observations)
+        except (OSError, msgspec.DecodeError) as error:  # the observations only speed up the return
+            self.log.warning("fleet: what was seen of streamers can't be read", what=str(error))
 
     def recovery(self):
+        """Returns the progress of this controller's return, for /fleet/recovery."""
         return {"name": self.me, **self.back.report(self.clock.now())}
 
-    # What operators see and do.
+    # Admin interface.
 
     def members(self):
+        """Returns the members as this controller sees them, for /fleet/members."""
         now = self.clock.now()
         return {
             "name": self.me,
@@ -422,62 +467,71 @@
         }
 
     def record(self):
+        """Returns the agreed state and this controller's part in it, for /fleet/record."""
         now = self.clock.now()
         state = self.controller.follower.state
         return {**self.controller.report(now), "map": state["map"], "ids": state["ids"]}
 
     def load(self):
-        """What all were asked for and gave of late, and the level of shedding."""
+        """Returns the fleet's recent load and the level of shedding, for /fleet/load."""
         return self.surge.report() if self.surge else {"error": "fleet.shed is not set in the front file"}
 
     def work(self):
-        """Planned work: its entries, machines as this controller sees them, what they wait for."""
-        c, leads, state = self.controller, self.controller.leader() == self.me, self.controller.follower.state
+        """Returns the planned work, the machines as seen here and what they wait for, for /fleet/work."""
+        controller, leads, state = (
+            self.controller,
+            self.controller.leader() == self.me,
+            self.controller.follower.state,
+        )
         machines = {
-            n: {
-                "rack": m.rack,
-                "zone": m.zone,
-                "weight": m.weight,
-                "ready": m.ready,
-                "cold": m.cold,
-                "started": m.started,
-                "titles": sorted(m.titles),
-                "labels": sorted(m.labels),
-                "voter": m.voter,
+            name: {
+                "rack": machine.rack,
+                "zone": machine.zone,
+                "weight": machine.weight,
+                "ready": machine.ready,
+                "cold": machine.cold,
+                "started": machine.started,
+                "titles": sorted(machine.titles),
+                "labels": sorted(machine.labels),
+                "voter": machine.voter,
             }
-            for n, m in c.all_machines().items()
+            for name, machine in controller.all_machines().items()
         }
-        age = c.follower.age(self.clock.now())
+        age = controller.follower.age(self.clock.now())
         return {
-            "map": {k: v for k, v in state["map"].items() if k.startswith("work/")},
+            "map": {key: row for key, row in state["map"].items() if key.startswith("work/")},
             "age_s": None if age is None else age / SECOND,
             "machines": machines,
-            "why": c.work.why if leads else {},
-            "leader": c.leader(),
+            "why": controller.work.why if leads else {},
+            "leader": controller.leader(),
             "leads": leads,
-            "likely_s": c.work.likely(self.clock.now(), state, c.seen()) if leads else {},
-            "left": sorted(c.left),
+            "likely_s": controller.work.likely(self.clock.now(), state, controller.seen()) if leads else {},
+            "left": sorted(controller.left),
         }
 
     async def propose(self, value):
-        """(code, answer): 200 with its number once it is seen agreed here, and whether it counted, as what it
-        was worked out by may have changed; 504 if that is not known yet."""
-        id, what, wait = value.get("id"), value.get("value"), value.get("wait", 5.0)
+        """Proposes an entry of the record and returns (HTTP status code, answer).
+
+        200, with its index, once it is known here to be agreed; `counted` tells whether it took effect, as
+        the state on which it was based may have changed. 504 if that is not known in time, 429 if too many
+        proposals are pending, 422 if `value` (id, value, wait in s) is malformed.
+        """
+        id, entry, wait = value.get("id"), value.get("value"), value.get("wait", 5.0)
         if not isinstance(id, str) or not 0 < len(id) <= 128:
-            return 422, {"error": "id: a text of 1 to 128 characters is wanted"}
-        if not isinstance(what, dict) or not what or len(msgspec.msgpack.encode(what)) > BODY // 8:
-            return 422, {"error": "value: an object of key and value is wanted, half a MiB at most"}
-        if not isinstance(wait, int | float) or not 0 <= wait <= LONGEST_WAIT:
-            return 422, {"error": f"wait: 0 to {LONGEST_WAIT:.0f} s is wanted"}
+            return 422, {"error": "id: must be a string of 1 to 128 characters"}
+        if not isinstance(entry, dict) or not entry or len(msgspec.msgpack.encode(entry)) > BODY // 8:
+            return 422, {"error": "value: must be a non-empty object of keys and values, half a MiB at most"}
+        if not isinstance(wait, int | float) or not 0 <= wait <= MAX_PROPOSAL_WAIT_S:
+            return 422, {"error": f"wait: must be 0 to {MAX_PROPOSAL_WAIT_S:.0f} s"}
         ids = self.controller.follower.state["ids"]
         if id not in ids:
-            if not self.controller.propose(self.clock.now(), id, what):
-                return 429, {"error": "too many proposals wait to be agreed"}
-            self._after()
+            if not self.controller.propose(self.clock.now(), id, entry):
+                return 429, {"error": "too many pending proposals"}
+            self._process_output()
             await self._until(lambda: id in self.controller.follower.state["ids"], wait)
         index = self.controller.follower.state["ids"].get(id)
         if index is None:
-            return 504, {"error": "not known to be agreed yet; send it again under the same id", "id": id}
+            return 504, {"error": "not known to be agreed yet; send it again with the same id", "id": id}
         return 200, {
             "id": id,
             "index": abs(index),
@@ -486,17 +540,22 @@
         }
 
     async def restart(self, value):
+        """Starts a new epoch of the record on an operator's request; returns (HTTP status code, answer).
+
+        `value["state"]`: the map and ids to start with, or None for an empty record. 422 if this controller
+        is no voter or the state is malformed.
+        """
         if self.controller.voter is None:
             voters = ", ".join(self.value["voters"])
-            return 422, {"error": f"{self.me} is no voter; the record begins anew at one of {voters}"}
+            return 422, {"error": f"{self.me} is not a voter; restart the record at one of {voters}"}
         state, given_up = value.get("state"), self.record()
         if state is not None:
             try:
                 state = {**beginning((0, "")), "map": dict(state["map"]), "ids": dict(state["ids"])}
             except (TypeError, KeyError, ValueError):
-                return 422, {"error": "state: an object with map and ids is wanted"}
+                return 422, {"error": "state: must be an object with map and ids"}
         self.controller.restart(self.clock.now(), state)
-        self._after()
+        self._process_output()
         await self._until(lambda: self.controller.follower.last > 0, 5.0)
         self.log.warning("fleet: the record begins anew on an operator's word", epoch=self.record()["epoch"])
         return 200, {
@@ -504,22 +563,23 @@
             "given_up": {"epoch": given_up["epoch"], "agreed": given_up["agreed"]},
         }
 
-    async def _until(self, true, seconds):
-        waiter, until = asyncio.Event(), time.monotonic() + seconds
-        self.waiting.add(waiter)
+    async def _until(self, condition, seconds):
+        """Waits until the condition holds, for `seconds` at most; it is checked after each event."""
+        waiter, deadline = asyncio.Event(), time.monotonic() + seconds
+        self.waiters.add(waiter)
         try:
-            while not true() and (left := until - time.monotonic()) > 0:
+            while not condition() and (remaining := deadline - time.monotonic()) > 0:
                 waiter.clear()
                 try:
-                    await asyncio.wait_for(waiter.wait(), left)
+                    await asyncio.wait_for(waiter.wait(), remaining)
                 except TimeoutError:
                     break
         finally:
-            self.waiting.discard(waiter)
+            self.waiters.discard(waiter)
 
 
-def _written(path, data):
-    """A file in place, whole or not at all; in a thread of its own, as a disk may be slow."""
+def _write_atomically(path, data):
+    """Replaces a file as a whole; called in a thread, as the disk may be slow."""
     with open(path + ".part", "wb") as file:
         file.write(data)
         file.flush()
@@ -528,11 +588,15 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
+    """Passes received datagrams to a Fleet."""
+
     def __init__(self, fleet):
         self.fleet = fleet
 
     def datagram_received(self, data, addr):
+        """Hands one datagram to the fleet."""
         self.fleet.packet(data)
 
     def error_received(self, exc):
-        pass  # nobody at that port: members find out by themselves
+        """Ignores ICMP errors, as failure detection is the membership's task."""
+        pass
