--- a/tests/test_return_processes.py
+++ b/tests/test_return_processes.py
@@ -1,19 +1,20 @@
-"""Coming back over processes of the program, with faults between them: each hard case causes what it names.
+"""Return of controllers after a start, over processes of the program, with faults between them.
 
-What needs streamers that play (rules, time to full service) is judged by the days herd-return and
-lost-state."""
+The rules and the time to full service need streamers that play; the days herd-return and lost-state judge
+them. Each coroutine registered with `case` causes the fault that its name describes.
+"""
 
 import asyncio
 import sys
 
 import pytest
-from process_cases import Cases
+from cases import Cases
 
 from terndrift.http.client import Broken, Unreached, fetch
 
 case = Cases()
-EIGHT = [f"c{n}" for n in range(8)]
-SIX = EIGHT[:6]
+EIGHT_CONTROLLERS = [f"c{n}" for n in range(8)]
+SIX_CONTROLLERS = EIGHT_CONTROLLERS[:6]
 
 
 @pytest.fixture(scope="module")
@@ -21,19 +22,19 @@
     return case.outcomes()
 
 
-async def change(several, id, names=None, **more):
-    """The same change, by the same id, at each of them."""
-    for name in names or several.running():
-        code, said = await several.ask(name, "POST", "/catalogue/changes", {"id": id, **more}, 30)
-        assert code == 200, (name, said)
+async def change_catalogue(controllers, id, names=None, **more):
+    """Sends the same change, under the same id, to each named controller (default: all running ones)."""
+    for name in names or controllers.running():
+        code, answer = await controllers.ask(name, "POST", "/catalogue/changes", {"id": id, **more}, 30)
+        assert code == 200, (name, answer)
 
 
-async def asks(several, name, title):
-    """The code of a viewer's request, sent on or not; 0: nobody listens."""
+async def request_title(controllers, name, title):
+    """Returns the status code of a viewer's request, redirects not followed; 0 if nobody answers."""
     try:
         code, _, _ = await fetch(
-            several.pool,
-            several.fronts[name],
+            controllers.pool,
+            controllers.fronts[name],
             "GET",
             f"/v/{title}/main.m3u8",
             {},
@@ -46,170 +47,196 @@
     return code
 
 
-async def has(several, name, title):
-    code, _ = await several.ask(name, "GET", f"/catalogue/titles/{title}")
+async def has_title(controllers, name, title):
+    """Tells whether a controller's catalogue has the title."""
+    code, _ = await controllers.ask(name, "GET", f"/catalogue/titles/{title}")
     return code == 200
 
 
-TITLE = {"plan": "recorded", "seconds": 2}
+TITLE_ENTRY = {"plan": "recorded", "seconds": 2}
 
 
-@case(EIGHT, voters=3, fleet={"front": "listen"})
-async def half_come_back_with_their_catalogues_a_quarter_with_none_a_quarter_with_yesterdays(several):
-    await change(several, "first", put={"gone": TITLE, "stays": TITLE})
+@case(EIGHT_CONTROLLERS, voters=3, fleet={"front": "listen"})
+async def all_restart_half_with_their_catalogues_a_quarter_with_old_ones_and_a_quarter_with_none(controllers):
+    await change_catalogue(controllers, "first", put={"gone": TITLE_ENTRY, "stays": TITLE_ENTRY})
     for name in ("c4", "c5"):
-        several.copy(name, "store")
-    await change(several, "second", put={"new": TITLE}, drop=["gone"])
-    await several.kill(*EIGHT)
+        controllers.copy(name, "store")
+    await change_catalogue(controllers, "second", put={"new": TITLE_ENTRY}, drop=["gone"])
+    await controllers.kill(*EIGHT_CONTROLLERS)
     for name in ("c4", "c5"):
-        several.rewind(name, "store")
+        controllers.rewind(name, "store")
     for name in ("c6", "c7"):
-        several.wipe(name, "store")
-    seen, over = {}, asyncio.Event()
+        controllers.wipe(name, "store")
+    codes_by_name, stopped = {}, asyncio.Event()
 
-    async def viewers(name):
-        while not over.is_set():
-            seen.setdefault(name, []).append(await asks(several, name, "gone"))
+    async def request_repeatedly(name):
+        while not stopped.is_set():
+            codes_by_name.setdefault(name, []).append(await request_title(controllers, name, "gone"))
             await asyncio.sleep(0.05)
 
-    tasks = [asyncio.ensure_future(viewers(name)) for name in EIGHT]
-    await several.start(*EIGHT)
+    tasks = [asyncio.ensure_future(request_repeatedly(name)) for name in EIGHT_CONTROLLERS]
+    await controllers.start(*EIGHT_CONTROLLERS)
 
-    async def the_newest_everywhere():
-        return all([await has(several, n, "new") and not await has(several, n, "gone") for n in EIGHT])
+    async def all_are_current():
+        return all(
+            [
+                await has_title(controllers, n, "new") and not await has_title(controllers, n, "gone")
+                for n in EIGHT_CONTROLLERS
+            ]
+        )
 
-    await several.until(the_newest_everywhere, 30)
+    await controllers.until(all_are_current, 30)
     await asyncio.sleep(1)
-    over.set()
+    stopped.set()
     await asyncio.gather(*tasks)
-    taken = {name: sorted(set(codes) - {0, 307, 404}) for name, codes in seen.items()}
-    assert all(set(codes) <= {503} for codes in taken.values()), taken
-    for name in EIGHT:  # turned away only while it did not know, and never taken: nothing was tried for it
-        codes = [c for c in seen[name] if c]
+    other_codes = {name: sorted(set(codes) - {0, 307, 404}) for name, codes in codes_by_name.items()}
+    assert all(set(codes) <= {503} for codes in other_codes.values()), other_codes
+    # The dropped title is rejected while the catalogue may be outdated, then unknown, and never attempted.
+    for name in EIGHT_CONTROLLERS:
+        codes = [c for c in codes_by_name[name] if c]
         assert codes[-1] == 404 and 503 not in codes[codes.index(404) :], (name, codes)
-    assert all([await has(several, n, "stays") for n in EIGHT])
-    copied = [n for n in EIGHT if any("copied from a member" in line for line in several.said[n])]
+    assert all([await has_title(controllers, n, "stays") for n in EIGHT_CONTROLLERS])
+    copied = [
+        n for n in EIGHT_CONTROLLERS if any("copied from a member" in line for line in controllers.said[n])
+    ]
     assert copied == ["c4", "c5", "c6", "c7"], copied
-    # the same change sent again, to all: it is in the copy, and counts once
-    await change(several, "second", put={"new": TITLE}, drop=["gone"])
+    # The copy contains the ids of changes, so a change that is sent again counts once.
+    await change_catalogue(controllers, "second", put={"new": TITLE_ENTRY}, drop=["gone"])
 
 
-@case(SIX, voters=3, fleet={"front": "listen"})
-async def one_that_always_dies_after_its_return_keeps_nobody_and_one_alone_serves_by_its_limit(several):
-    async def full(*names):
-        found = [(await several.ask(n, "GET", "/fleet/recovery"))[1] for n in names]
-        return all(r and r["stage"] == "full" for r in found)
+@case(SIX_CONTROLLERS, voters=3, fleet={"front": "listen"})
+async def a_crash_looping_controller_delays_no_other_and_a_partitioned_one_serves_after_its_limit(
+    controllers,
+):
+    async def are_full(*names):
+        reports = [(await controllers.ask(n, "GET", "/fleet/recovery"))[1] for n in names]
+        return all(r and r["stage"] == "full" for r in reports)
 
-    async def five():
-        return await full(*SIX[:5])
+    async def five_are_full():
+        return await are_full(*SIX_CONTROLLERS[:5])
 
-    await several.until(five, 60)
-    stages = {n: len([x for x in several.said[n] if '"event": "return"' in x]) for n in SIX[:5]}
+    await controllers.until(five_are_full, 60)
+    returns_logged = {
+        n: len([x for x in controllers.said[n] if '"event": "return"' in x]) for n in SIX_CONTROLLERS[:5]
+    }
     for _ in range(3):
-        await several.kill("c5")
-        await several.start("c5")
+        await controllers.kill("c5")
+        await controllers.start("c5")
         await asyncio.sleep(2)
-        assert await full(*SIX[:5]), "it drew others back into a return"
-    assert stages == {n: len([x for x in several.said[n] if '"event": "return"' in x]) for n in SIX[:5]}
-    # all others cut off: by its limit it serves what it has
-    await several.kill("c5")
-    pairs = several.network.cut(["c5"], SIX[:5])
-    await several.start("c5")
+        assert await are_full(*SIX_CONTROLLERS[:5]), "its start made others return again"
+    assert returns_logged == {
+        n: len([x for x in controllers.said[n] if '"event": "return"' in x]) for n in SIX_CONTROLLERS[:5]
+    }
+    # Without any other controller it serves what it has once the limit of its stage has passed.
+    await controllers.kill("c5")
+    pairs = controllers.network.cut(["c5"], SIX_CONTROLLERS[:5])
+    await controllers.start("c5")
     codes = []
 
-    async def taken():
-        codes.append(await asks(several, "c5", "clip"))
-        return (await several.ask("c5", "GET", "/fleet/recovery"))[1]["past"][1:] and codes[-1] in (503, 504)
+    async def serves_alone():
+        codes.append(await request_title(controllers, "c5", "clip"))
+        return (await controllers.ask("c5", "GET", "/fleet/recovery"))[1]["past"][1:] and codes[-1] in (
+            503,
+            504,
+        )
 
-    await several.until(taken, 30)
-    several.network.heal(pairs)
+    await controllers.until(serves_alone, 30)
+    controllers.network.heal(pairs)
 
-    async def all_full():
-        return await full(*SIX)
+    async def all_are_full():
+        return await are_full(*SIX_CONTROLLERS)
 
-    await several.until(all_full, 60)
+    await controllers.until(all_are_full, 60)
 
 
-@case(SIX, voters=3)
-async def a_return_while_cut_from_half_that_heals_in_the_middle(several):
-    await change(several, "first", put={"new": TITLE}, names=SIX)
-    await several.kill("c3", "c4", "c5")
-    several.wipe("c4", "store")
-    pairs = several.network.cut(["c3", "c4", "c5"], ["c0", "c1"])
-    await several.start("c3", "c4", "c5")
+@case(SIX_CONTROLLERS, voters=3)
+async def a_return_during_a_partition_that_heals_midway(controllers):
+    await change_catalogue(controllers, "first", put={"new": TITLE_ENTRY}, names=SIX_CONTROLLERS)
+    await controllers.kill("c3", "c4", "c5")
+    controllers.wipe("c4", "store")
+    pairs = controllers.network.cut(["c3", "c4", "c5"], ["c0", "c1"])
+    await controllers.start("c3", "c4", "c5")
     await asyncio.sleep(3)
-    several.network.heal(pairs)
+    controllers.network.heal(pairs)
 
-    async def well():
-        said = [(await several.ask(n, "GET", "/fleet/recovery"))[1] for n in SIX]
-        return all(r["stage"] == "full" for r in said) and await has(several, "c4", "new")
+    async def all_are_full_and_current():
+        reports = [(await controllers.ask(n, "GET", "/fleet/recovery"))[1] for n in SIX_CONTROLLERS]
+        return all(r["stage"] == "full" for r in reports) and await has_title(controllers, "c4", "new")
 
-    await several.until(well, 60)
-    await several.until(several.settled, 60)
+    await controllers.until(all_are_full_and_current, 60)
+    await controllers.until(controllers.settled, 60)
 
 
-@case(SIX, voters=3)
-async def a_disk_that_is_slow_or_full_holds_nobody_up_and_the_loss_is_said(several):
-    await several.kill("c5")
-    several.slow["c5"] = 5
-    await several.start("c5")
+@case(SIX_CONTROLLERS, voters=3)
+async def a_slow_or_full_disk_blocks_no_request_and_a_lost_change_is_reported(controllers):
+    await controllers.kill("c5")
+    controllers.slow["c5"] = 5
+    await controllers.start("c5")
 
-    async def sure():
-        return await asks(several, "c5", "nothing") == 404
+    async def knows_its_catalogue():
+        return await request_title(controllers, "c5", "nothing") == 404
 
-    await several.until(sure, 30)
-    changing = asyncio.ensure_future(change(several, "slow", names=["c5"], put={"new": TITLE}))
+    await controllers.until(knows_its_catalogue, 30)
+    pending_change = asyncio.ensure_future(
+        change_catalogue(controllers, "slow", names=["c5"], put={"new": TITLE_ENTRY})
+    )
     await asyncio.sleep(0.1)
     for _ in range(3):
-        assert await asks(several, "c5", "nothing") == 404
-    assert not changing.done(), "the loop was held while the disk synced"
-    await changing
-    several._limit("c5", 0)
-    more = {"id": "x", "put": {"more": TITLE}}
-    code, said = await several.ask("c5", "POST", "/catalogue/changes", more, 30)
-    assert code == 503 and "not kept" in said["error"]
-    assert await asks(several, "c5", "clip") in (503, 504) and not await has(several, "c5", "more")
-    several.empty("c5")
-
-
-@case(SIX, voters=3, fleet={"shed": True})
-async def an_operators_level_sheds_everywhere_until_it_lapses_and_sums_are_of_all(several):
-    async def load(name):
-        return (await several.ask(name, "GET", "/fleet/load"))[1]
-
-    async def all_heard():
-        return all([(await load(n))["members"] == 6 for n in SIX])
-
-    await several.until(all_heard, 30)
-    assert await command(several, "c4", "hold", "--for", "20", "1") == 0
-    assert await command(several, "c4", "hold", "9") == 2, "there are not so many plans"
-
-    async def held():
-        return all([(await load(n))["level"] == 1 for n in SIX])
-
-    await several.until(held, 30)
-    codes = await asyncio.gather(*(asks(several, name, "clip") for name in SIX for _ in range(5)))
+        assert await request_title(controllers, "c5", "nothing") == 404
+    assert not pending_change.done(), "the event loop was blocked while the disk synced"
+    await pending_change
+    controllers._limit("c5", 0)
+    lost_change = {"id": "x", "put": {"more": TITLE_ENTRY}}
+    code, answer = await controllers.ask("c5", "POST", "/catalogue/changes", lost_change, 30)
+    assert code == 503 and "not kept" in answer["error"]
+    assert await request_title(controllers, "c5", "clip") in (503, 504) and not await has_title(
+        controllers, "c5", "more"
+    )
+    controllers.empty("c5")
+
+
+@case(SIX_CONTROLLERS, voters=3, fleet={"shed": True})
+async def an_operators_level_sheds_everywhere_until_it_expires_and_load_sums_cover_all(controllers):
+    async def load_report(name):
+        return (await controllers.ask(name, "GET", "/fleet/load"))[1]
+
+    async def all_are_summed():
+        return all([(await load_report(n))["members"] == 6 for n in SIX_CONTROLLERS])
+
+    await controllers.until(all_are_summed, 30)
+    assert await shed_command(controllers, "c4", "hold", "--for", "20", "1") == 0
+    assert await shed_command(controllers, "c4", "hold", "9") == 2, (
+        "the level is limited by the number of plans"
+    )
+
+    async def level_applies():
+        return all([(await load_report(n))["level"] == 1 for n in SIX_CONTROLLERS])
+
+    await controllers.until(level_applies, 30)
+    codes = await asyncio.gather(
+        *(request_title(controllers, name, "clip") for name in SIX_CONTROLLERS for _ in range(5))
+    )
     assert set(codes) == {503}
 
-    async def summed():
-        """What c0 sheds is seen at c5."""
-        await asks(several, "c0", "clip")
-        plan = (await load("c5"))["plans"].get("recorded", {})
-        return plan.get("shed", 0) > 0 and plan["wanted"] >= plan["shed"]
+    async def shed_at_c0_reported_at_c5():
+        await request_title(controllers, "c0", "clip")
+        recorded = (await load_report("c5"))["plans"].get("recorded", {})
+        return recorded.get("shed", 0) > 0 and recorded["wanted"] >= recorded["shed"]
 
-    await several.until(summed, 30)
+    await controllers.until(shed_at_c0_reported_at_c5, 30)
 
-    async def lapsed():
-        return all([(await load(n))["level"] == 0 for n in SIX])
+    async def level_expired():
+        return all([(await load_report(n))["level"] == 0 for n in SIX_CONTROLLERS])
 
-    await several.until(lapsed, 60)
-    await command(several, "c1", "hold", "--for", "3600", "0.5")
-    await command(several, "c2", "release")
-    await several.until(lapsed, 30)
+    await controllers.until(level_expired, 60)
+    await shed_command(controllers, "c1", "hold", "--for", "3600", "0.5")
+    await shed_command(controllers, "c2", "release")
+    await controllers.until(level_expired, 30)
 
 
-async def command(several, name, *words):
-    ran = await asyncio.create_subprocess_exec(
+async def shed_command(controllers, name, *words):
+    """Runs `terndrift fleet shed` for a controller and returns its exit code."""
+    process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "terndrift",
@@ -217,13 +244,13 @@
         "shed",
         words[0],
         "--admin",
-        several.admins[name],
+        controllers.admins[name],
         *words[1:],
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
     )
-    await ran.communicate()
-    return ran.returncode
+    await process.communicate()
+    return process.returncode
 
 
 @pytest.mark.parametrize("name", list(case))
