--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -16,7 +16,7 @@
 
 from terndrift.catalogue.titles import Fault
 from terndrift.catalogue.versions import Conflict, change_of
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import Amiss
 from terndrift.fleet.agreed import beginning
 from terndrift.fleet.copies import COPY as COPY_ID_PREFIX
@@ -302,14 +302,14 @@
 
     # Return after a start.
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Counts a viewer's answer, and whether it was in target; called by the core for each event.
 
         The request is counted together with its answer, as a pending one would otherwise count as late.
         """
         if event == "answer":
-            target = self.startup_target(carried.wanted.plan)
-            in_target = facts["kind"] == Kind.PLAYS.value and facts["took"] <= target
+            target = self.startup_target(playback.wanted.plan)
+            in_target = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.answers.count(self.clock.now(), 1, in_target)
 
     def returns(self, listed):
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import replace
 
-from terndrift.core.carried import Kind, Stage
+from terndrift.core.active_playback import AnswerKind, PlaybackStage
 from terndrift.fleet.room import CONTROLLER, Machine
 from terndrift.fleet.work import plans, restarts, rows
 from terndrift.interface import Ending
@@ -88,9 +88,9 @@
         )
         controller.ill = self.ill
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Counts requests and rejections; called by the core for each event, with the event's facts."""
-        if event == "wanted" or event == "answer" and facts["kind"] == Kind.REJECTED.value:
+        if event == "wanted" or event == "answer" and facts["kind"] == AnswerKind.REJECTED.value:
             self.rejections.count(self.clock.now(), event == "wanted", event == "answer")
 
     def gate(self, plan):
@@ -159,7 +159,9 @@
         self._update_machines()
         counts = {n: len(s.playbacks) if (s := self._streamer(n)) else 0 for n in names}
         if self.machine_name in counts:
-            counts[self.machine_name] = sum(c.stage is not Stage.OVER for c in self.core.held.values())
+            counts[self.machine_name] = sum(
+                c.stage is not PlaybackStage.ENDED for c in self.core.playbacks.values()
+            )
         return counts
 
     def ill(self, names):
@@ -244,7 +246,7 @@
             self._end_playbacks([c for c in self._running_playbacks() if c.streamer.id in overdue])
 
     def _running_playbacks(self):
-        return [c for c in self.core.held.values() if c.stage is Stage.PLAYING]
+        return [c for c in self.core.playbacks.values() if c.stage is PlaybackStage.PLAYING]
 
     def _end_gradually(self, elapsed, drain):
         playing = self._running_playbacks()
@@ -254,4 +256,4 @@
 
     def _end_playbacks(self, playbacks):
         for playback in playbacks:
-            self.host.do(self.core.over, playback, Ending.CALLED_OFF)
+            self.host.do(self.core.playback_ended, playback, Ending.CALLED_OFF)
