--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -308,7 +308,7 @@
         The request is counted together with its answer, as a pending one would otherwise count as late.
         """
         if event == "answer":
-            target = self.startup_target(playback.wanted.plan)
+            target = self.startup_target(playback.request.plan)
             in_target = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.answers.count(self.clock.now(), 1, in_target)
 
