--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -66,8 +66,8 @@
         stop,
         redirects=lambda: False,
     ):
-        self.controller, self.listing, self.versions, self.host = controller, listing, versions, host
-        self.core, self.clock, self.cold_for = host.core, host.clock, cold_for
+        self.controller, self.listing, self.versions, self.runner = controller, listing, versions, runner
+        self.core, self.clock, self.cold_for = runner.core, runner.clock, cold_for
         self.set_draining, self.drain_limit, self.drains, self.rejections = (
             set_draining,
             drain_limit,
@@ -83,7 +83,7 @@
         self.machine_name = CONTROLLER + controller.me
         controller.machines, controller.holding = self.machines, self.holding
         controller.wall, controller.turned = (
-            lambda: self.clock.wall_ns(self.clock.now()) // 1_000_000,
+            lambda: self.clock.to_wall_ns(self.clock.now()) // 1_000_000,
             self.rejections.of_late,
         )
         controller.ill = self.ill
@@ -130,7 +130,7 @@
                         line.zone,
                         line.weight,
                         standing == "ready",
-                        self.clock.wall_ns(line.started),
+                        self.clock.to_wall_ns(line.started),
                         frozenset(self.titles_by_holder.get(id_by_address.get(address), ())),
                         frozenset(line.labels),
                     ),
@@ -256,4 +256,4 @@
 
     def _end_playbacks(self, playbacks):
         for playback in playbacks:
-            self.host.do(self.core.playback_ended, playback, Ending.CALLED_OFF)
+            self.runner.run(self.core.playback_ended, playback, Ending.CALLED_OFF)
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -8,10 +8,10 @@
 
 import pytest
 from click.testing import CliRunner
-from terndrift.core.host import Clock
 
 from terndrift import records
 from terndrift.cli.main import cli
+from terndrift.core.runner import Clock
 from terndrift.deployment import Amiss
 from terndrift.fleet.record import Role
 from terndrift.fleet.service import Fleet, settled
