--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -174,7 +174,9 @@
         return [
             n
             for n, s in streamers
-            if s and s.down is not None and now - (s.next_attempt_at - s.gap) < RECENT_SECONDS * SECOND
+            if s
+            and s.failed_at is not None
+            and now - (s.next_attempt_at - s.backoff) < RECENT_SECONDS * SECOND
         ]
 
     def permits(self, streamer_id):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -268,9 +268,13 @@
 def test_without_overload_the_limits_of_the_fleet_change_no_placement():
     without_limits = placements_of_a_calm_day(None)
     assert len(without_limits) > 80
-    with_limits = placements_of_a_calm_day(lambda front: front.run(front.core.limits, 3, {}, (S, 2 * S)))
+    with_limits = placements_of_a_calm_day(
+        lambda front: front.run(front.core.fleet_limits_changed, 3, {}, (S, 2 * S))
+    )
     assert with_limits == without_limits
-    one_excluded = placements_of_a_calm_day(lambda front: front.run(front.core.limits, 3, {101: False}, ()))
+    one_excluded = placements_of_a_calm_day(
+        lambda front: front.run(front.core.fleet_limits_changed, 3, {101: False}, ())
+    )
     assert {id for _, id, *_ in without_limits[40:]} - {id for _, id, *_ in one_excluded[40:]} == {101}, (
         "the limits reach the decisions"
     )
