--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -17,7 +17,7 @@
 from terndrift.catalogue.titles import Fault
 from terndrift.catalogue.versions import Conflict, change_of
 from terndrift.core.active_playback import AnswerKind
-from terndrift.deployment import Amiss
+from terndrift.deployment import InconsistentRecordError
 from terndrift.fleet.agreed import beginning
 from terndrift.fleet.copies import COPY as COPY_ID_PREFIX
 from terndrift.fleet.copies import Copies
@@ -55,7 +55,8 @@
 
 
 def settled(value):
-    """Raises Amiss, with all faults found, if the `fleet` section of a front file is inconsistent."""
+    """Raises InconsistentRecordError, with all faults found, if the `fleet` section of a front file is
+    inconsistent."""
     fleet, me = value["fleet"], value["controller"]["name"]
     if not fleet["name"]:
         return
@@ -75,7 +76,7 @@
             f"fleet.front: '{fleet['front']}' is not a URL without a path, such as http://HOST:PORT"
         )
     if faults:
-        raise Amiss("\n".join(faults))
+        raise InconsistentRecordError("\n".join(faults))
 
 
 class Fleet:
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -12,7 +12,7 @@
 from terndrift import records
 from terndrift.cli.main import cli
 from terndrift.core.runner import Clock
-from terndrift.deployment import Amiss
+from terndrift.deployment import InconsistentRecordError
 from terndrift.fleet.record import Role
 from terndrift.fleet.service import Fleet, settled
 from terndrift.rehearse import run
@@ -197,12 +197,12 @@
         'fleet: {name: "f", voters: ["c0", "c1", "c9"],\n'
         'members: c0: {datagrams: "127.0.0.1:1", http: "127.0.0.1:2"}}\n',
     )
-    with pytest.raises(Amiss) as error:
+    with pytest.raises(InconsistentRecordError) as error:
         settled(value)
     for words in ("fleet.members.c0", "fleet.voters: no member 'c9'", "fleet.store"):
         assert words in str(error.value)
     value["fleet"] |= {"voters": ["c0", "c0"], "members": {}, "store": "x"}
-    with pytest.raises(Amiss, match="2 names, wanted 3 or 5"):
+    with pytest.raises(InconsistentRecordError, match="2 names, wanted 3 or 5"):
         settled(value)
     assert settled(front_settings(tmp_path, "")) is None, "a front file without a fleet name has no fleet"
 
