--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -59,7 +59,7 @@
         controller,
         listing,
         versions,
-        host,
+        runner,
         cold_for,
         set_draining,
         drain_limit,
