--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -12,7 +12,7 @@
 
 from terndrift.fleet.arena import Arena
 from terndrift.fleet.leases import Leases
-from terndrift.fleet.messages import Beside
+from terndrift.fleet.messages import Piggyback
 
 VOTERS, SECONDS = 5, 60
 FAULTS = {15: "surge", 25: "kill", 32: "back", 40: "cut", 49: "heal"}
@@ -40,7 +40,9 @@
             c.leases = Leases(name, {"extra": self.limit}, len(self.names), True, self.arena.now)
             c.leases.wanted["extra"] = self.wants[name]
             c.loads.own = lambda now, n=name: ({"free": [10, 0, 9, 9, 0, 0]}, [0, 0, 1])
-            c.loads.own_beside = lambda now: Beside(back=[1] * 9, keys={"title a": 5, "title b": 3})
+            c.loads.own_beside = lambda now: Piggyback(
+                expected_returns=[1] * 9, request_counts={"title a": 5, "title b": 3}
+            )
 
     def want(self, some, want):
         for name in some:
--- a/terndrift/fleet/agreed.py
+++ b/terndrift/fleet/agreed.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 
-from terndrift.fleet.messages import Agreed, Pull
+from terndrift.fleet.messages import PullRequest, PullResponse
 
 # Times are in ns.
 MS = 1_000_000
@@ -109,7 +109,7 @@
         """Requests the entries that are missing here from the controller named `target`."""
         self.pull_sent_at = now
         self.asks.append(now)
-        self.out.append((target, Pull(self.epoch, self.last, now)))
+        self.out.append((target, PullRequest(self.epoch, self.last, now)))
 
     def told(self, now, sender, epoch, commit_index, age, request_sent_at=None):
         """Handles the epoch number, commit index and age (ms) that every message carries.
@@ -124,36 +124,38 @@
             self.known_at(request_sent_at - age * MS)
 
     def asked(self, now, sender, pull):
-        """Answers a `Pull` with entries, or with a snapshot if the entries are no longer here.
+        """Answers a `PullRequest` with entries, or with a snapshot if the entries are no longer here.
 
         Doesn't answer a sender that is further ahead.
         """
-        if pull.epoch > self.epoch or pull.epoch == self.epoch and pull.last > self.last:
+        if pull.epoch > self.epoch or pull.epoch == self.epoch and pull.last_index > self.last:
             return
         before_entries = self.last - len(self.entries)
         age = self.age(now)
-        if pull.epoch == self.epoch and pull.last >= before_entries:
+        if pull.epoch == self.epoch and pull.last_index >= before_entries:
             after, entries, state = (
-                pull.last,
-                self.entries[pull.last - before_entries :][:MAX_ENTRIES_PER_ANSWER],
+                pull.last_index,
+                self.entries[pull.last_index - before_entries :][:MAX_ENTRIES_PER_ANSWER],
                 None,
             )
         else:
             after, entries, state = self.last, [], copied(self.state)
-        answer = Agreed(self.epoch, after, entries, self.last, state, -1 if age is None else age, pull.at)
+        answer = PullResponse(
+            self.epoch, after, entries, self.last, state, -1 if age is None else age, pull.requested_at
+        )
         self.out.append((sender, answer))
 
     def answered(self, now, sender, answer):
-        """Handles an `Agreed` message; requests the rest if it doesn't bring the state up to date."""
+        """Handles a `PullResponse` message; requests the rest if it doesn't bring the state up to date."""
         if answer.epoch < self.epoch:
             return
         if answer.state is not None and (answer.epoch, answer.state["last"]) > (self.epoch, self.last):
             self.begin(answer.state)
-        if answer.epoch == self.epoch and answer.after <= self.last:
-            for entry in answer.entries[self.last - answer.after :]:
+        if answer.epoch == self.epoch and answer.prev_index <= self.last:
+            for entry in answer.entries[self.last - answer.prev_index :]:
                 self.take(entry)
-        if answer.epoch == self.epoch and self.last >= answer.agreed:
-            if answer.age >= 0 and answer.at in self.asks:
-                self.known_at(answer.at - answer.age)
+        if answer.epoch == self.epoch and self.last >= answer.commit_index:
+            if answer.commit_age >= 0 and answer.requested_at in self.asks:
+                self.known_at(answer.requested_at - answer.commit_age)
         elif answer.entries or answer.state:
             self.ask(now, sender)
--- a/terndrift/fleet/arena.py
+++ b/terndrift/fleet/arena.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from terndrift.fleet.member import Controller
-from terndrift.fleet.messages import DATAGRAM, opened
+from terndrift.fleet.messages import MAX_DATAGRAM_BYTES, decode
 from terndrift.fleet.record import Durable
 
 # Times are in ns.
@@ -211,7 +211,7 @@
         self.sent[name][1] += len(packet)
         if to not in self.up or self.cut(name, to):
             return
-        over_http = len(packet) > DATAGRAM  # lost in a partition only, and never duplicated
+        over_http = len(packet) > MAX_DATAGRAM_BYTES  # lost in a partition only, and never duplicated
         if not over_http and self.rng.random() < self.loss:
             return
         copies = 2 if not over_http and self.rng.random() < self.double else 1
@@ -226,7 +226,7 @@
             return
         controller = self.up.get(to)
         if controller is not None:
-            sealed = opened(packet, "arena", to, controller.known)
+            sealed = decode(packet, "arena", to, controller.known)
             assert not isinstance(sealed, str), sealed
             controller.received(self.now, sealed)
             self._after(to)
--- a/terndrift/fleet/beside.py
+++ b/terndrift/fleet/beside.py
@@ -6,7 +6,7 @@
 """
 
 from terndrift.fleet import crowds, findings, returns
-from terndrift.fleet.messages import Beside
+from terndrift.fleet.messages import Piggyback
 
 MS = 1_000_000  # ns
 MAX_STRAINED = 8  # names of strained controllers in a report
@@ -17,11 +17,13 @@
     parts = [(one, age) for one, age in parts if one is not None]
     if not parts:
         return None
-    return Beside(
-        found=findings.merge_tables([findings.age_table(one.found, age // MS) for one, age in parts]),
-        back=returns.merge_tables([returns.age_table(one.back, age) for one, age in parts]),
-        keys=crowds.merged([one.keys for one, _ in parts]),
-        strained=sorted({name for one, _ in parts for name in one.strained})[:MAX_STRAINED],
+    return Piggyback(
+        failures=findings.merge_tables([findings.age_table(one.failures, age // MS) for one, age in parts]),
+        expected_returns=returns.merge_tables(
+            [returns.age_table(one.expected_returns, age) for one, age in parts]
+        ),
+        request_counts=crowds.merged([one.request_counts for one, _ in parts]),
+        overloaded=sorted({name for one, _ in parts for name in one.overloaded})[:MAX_STRAINED],
     )
 
 
@@ -32,11 +34,11 @@
     been asked for.
     """
     return supplement is None or (
-        findings.is_valid_table(supplement.found, members)
-        and crowds.sound(supplement.keys, max_requests)
-        and len(supplement.strained) <= MAX_STRAINED
-        and len(supplement.back) <= returns.MAX_SECONDS_AHEAD + 1
-        and all(0 <= count <= max_requests for count in supplement.back)
-        and len(supplement.caps) <= 2 * crowds.KEYS
-        and all(0 <= part <= 1 for part in supplement.caps.values())
+        findings.is_valid_table(supplement.failures, members)
+        and crowds.sound(supplement.request_counts, max_requests)
+        and len(supplement.overloaded) <= MAX_STRAINED
+        and len(supplement.expected_returns) <= returns.MAX_SECONDS_AHEAD + 1
+        and all(0 <= count <= max_requests for count in supplement.expected_returns)
+        and len(supplement.shed_shares) <= 2 * crowds.KEYS
+        and all(0 <= part <= 1 for part in supplement.shed_shares.values())
     )
--- a/terndrift/fleet/copies.py
+++ b/terndrift/fleet/copies.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from terndrift.fleet.members import in_own_order
-from terndrift.fleet.messages import AskHead, Head
+from terndrift.fleet.messages import CatalogueHead, CatalogueHeadRequest
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -85,7 +85,7 @@
     def head(self):
         """Returns the end of this catalogue as a message."""
         ids = self.ids()
-        return Head(len(ids), ids[-HEAD_IDS:], self.confirmed_by_peers)
+        return CatalogueHead(len(ids), ids[-HEAD_IDS:], self.confirmed_by_peers)
 
     def asked(self, sender):
         """Responds to a request."""
@@ -105,7 +105,7 @@
             remaining = [n for n in in_own_order(alive, f"{self.me}+") if n not in self.heads_by_name]
             for to in sorted(remaining, key=lambda n: self.request_counts.get(n, 0))[:PARALLEL_REQUESTS]:
                 self.request_counts[to] = self.request_counts.get(to, 0) + 1
-                self.out.append((to, AskHead()))
+                self.out.append((to, CatalogueHeadRequest()))
             if not remaining:  # all have responded, and one that failed to provide a copy is not asked again
                 self._evaluate()
         return None
@@ -123,14 +123,18 @@
         None if the two differ: neither has the other's newest change.
         """
         own_ids = self.ids()
-        if not head.ids or head.ids[-1] in own_ids:
+        if not head.last_change_ids or head.last_change_ids[-1] in own_ids:
             return 0
         if not own_ids:
-            return head.count
+            return head.change_count
         # a controller so far behind that the head no longer has its newest change still has fewer changes
-        if own_ids[-1] in head.ids:
-            return len(head.ids) - head.ids.index(own_ids[-1]) - 1
-        return head.count - len(own_ids) if head.count > HEAD_IDS and head.count > len(own_ids) else None
+        if own_ids[-1] in head.last_change_ids:
+            return len(head.last_change_ids) - head.last_change_ids.index(own_ids[-1]) - 1
+        return (
+            head.change_count - len(own_ids)
+            if head.change_count > HEAD_IDS and head.change_count > len(own_ids)
+            else None
+        )
 
     def _evaluate(self):
         """Decides by the responses so far whether to copy, and from whom, or whether all is confirmed."""
@@ -140,14 +144,18 @@
         agreeing = [
             n
             for n in differing
-            if sum(self.heads_by_name[m].ids[-1:] == self.heads_by_name[n].ids[-1:] for m in differing) > 1
+            if sum(
+                self.heads_by_name[m].last_change_ids[-1:] == self.heads_by_name[n].last_change_ids[-1:]
+                for m in differing
+            )
+            > 1
         ]
         if further or agreeing:
             self.source = max(further, key=further.get) if further else agreeing[0]
             return self._set_state(Standing.BEHIND, f"of {self.source}")
         if any(ahead.values()):
             return None  # those ahead could provide no copy; another member may, until the timeout
-        has_confirmed = any(self.heads_by_name[n].sure for n, changes in ahead.items() if changes == 0)
+        has_confirmed = any(self.heads_by_name[n].confirmed for n, changes in ahead.items() if changes == 0)
         if has_confirmed or len(ahead) >= min(MAX_RESPONSES_NEEDED, self.peer_count // 2 + 1):
             self.confirmed_by_peers = True
             return self._set_state(
@@ -161,7 +169,7 @@
             return
         if not whole:
             self.failed_sources.add(self.source)
-        self.confirmed_by_peers = whole and self.heads_by_name[self.source].sure
+        self.confirmed_by_peers = whole and self.heads_by_name[self.source].confirmed
         self._set_state(
             Standing.CONFIRMED if self.confirmed_by_peers else Standing.COMPARING,
             "copied" if self.confirmed_by_peers else "",
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -55,7 +55,7 @@
             and members[name].standing is Standing.ALIVE
             and CONTROLLER + name not in draining
         }
-        strained = controller.loads.rides(now).strained
+        strained = controller.loads.rides(now).overloaded
         unstrained = {name: url for name, url in found.items() if name not in strained} or found
         return {
             name: url for name, url in unstrained.items() if now - members[name].since > MIN_ALIVE_NS
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -25,7 +25,7 @@
 
 from collections import Counter, deque
 
-from terndrift.fleet.messages import AskLease, Lease
+from terndrift.fleet.messages import LeaseRequest, LeaseResponse
 from terndrift.fleet.record import ELECTION
 from terndrift.fleet.window import WINDOW, Seconds
 from terndrift.fleet.work import DRIFT
@@ -159,7 +159,7 @@
         if now < self.request_at or not (self.has_voters and self.limits):
             return
         self.request_at = now + ASK
-        request = AskLease(self.me, now, {k: round(v, 3) for k, v in self.wanted.items()})
+        request = LeaseRequest(self.me, now, {k: round(v, 3) for k, v in self.wanted.items()})
         if self.leader_term:
             self.asked(now, request, sure, None)
         elif to is not None:
@@ -175,29 +175,30 @@
         self.leader_term = mark
 
     def asked(self, now, m, sure, leader):
-        """Handles an `AskLease`: grants where this controller leads, else forwards it to the leader.
+        """Handles an `LeaseRequest`: grants where this controller leads, else forwards it to the leader.
 
         `sure`: whether a quorum has answered this leader recently; `leader`: the leader's name where another
         controller leads, or None.
         """
         if self.leader_term:
             if sure and now - self.leading_since >= LEADER_WAIT_NS:
-                answer = Lease(m.at, self.table.grant(now, m.who, m.wants))
-                if m.who == self.me:
+                answer = LeaseResponse(m.requested_at, self.table.grant(now, m.requester, m.wanted_rates))
+                if m.requester == self.me:
                     self.answered(now, answer)
                 else:
-                    self.out.append((m.who, answer))
+                    self.out.append((m.requester, answer))
         elif leader not in (None, self.me) and m.hops < MAX_HOPS:
-            self.out.append((leader, AskLease(m.who, m.at, m.wants, m.hops + 1)))
+            self.out.append((leader, LeaseRequest(m.requester, m.requested_at, m.wanted_rates, m.hops + 1)))
 
     def answered(self, now, m):
-        """Handles a `Lease`, which is valid from the time of the request; ignores older and expired ones."""
-        if not now - LEASE_NS < m.at <= now or m.at < self.requested_at:
+        """Handles a `LeaseResponse`, which is valid from the time of the request; ignores older and expired
+        ones."""
+        if not now - LEASE_NS < m.requested_at <= now or m.requested_at < self.requested_at:
             return
-        self.requested_at = m.at
-        for kind, part in m.parts.items():
+        self.requested_at = m.requested_at
+        for kind, part in m.leased_rates.items():
             if kind in self.limits and 0 <= part <= self.limits[kind]:
-                self.held[kind] = part, m.at + LEASE_NS
+                self.held[kind] = part, m.requested_at + LEASE_NS
 
     def report(self, now):
         """Limit, part and demand of each kind, per second, for operators."""
--- a/terndrift/fleet/load.py
+++ b/terndrift/fleet/load.py
@@ -1,7 +1,7 @@
 """Load reports: the fleet-wide sums of requests and answers, kept by each controller without a central node.
 
-The fleet's member (member.py) owns a `Loads`, passes received `Load` messages to it and sends what it puts
-into `out`; surge.py fills in the local figures and reads the totals. This module does no I/O.
+The fleet's member (member.py) owns a `Loads`, passes received `FleetLoad` messages to it and sends what it
+puts into `out`; surge.py fills in the local figures and reads the totals. This module does no I/O.
 
 Members are sorted by name and split into groups of about sqrt(n). Twice a second each member sends its
 complete counts of the last WINDOW seconds to the two collectors of its group: the first two of the group
@@ -17,14 +17,14 @@
 import msgspec
 
 from terndrift.fleet import beside
-from terndrift.fleet.messages import Beside, Load
+from terndrift.fleet.messages import FleetLoad, Piggyback
 from terndrift.fleet.window import BEAT, SECOND, Seconds
 
 NS_PER_MS = 1_000_000
 REPORT_LIFETIME_NS = 3 * SECOND
 # Higher counts of a single member are rejected as false: no controller gets that many requests in WINDOW.
 MAX_COUNT_PER_MEMBER = 100_000
-# Values of Load.kind: the counts of one member, of a group, of the whole fleet.
+# Values of Load.scope: the counts of one member, of a group, of the whole fleet.
 MEMBER_REPORT, GROUP_REPORT, TOTAL_REPORT = range(3)
 # Columns of a plan's row: requests by viewers; shed before set-up; answered; and of the answered ones those
 # within the startup target, late, and turned away.
@@ -66,26 +66,28 @@
 
 
 def sum_reports(reports):
-    """Adds up `Load` messages; returns ({plan: row}, row of other counts, number of members)."""
+    """Adds up `FleetLoad` messages; returns ({plan: row}, row of other counts, number of members)."""
     plans, others, members = {}, [0, 0, 0], 0
     for report in reports:
-        _add_rows(plans, report.plans)
-        others = [a + b for a, b in zip(others, report.more, strict=True)]
-        members += report.members
+        _add_rows(plans, report.counts_by_plan)
+        others = [a + b for a, b in zip(others, report.other_counts, strict=True)]
+        members += report.member_count
     return plans, others, members
 
 
 def is_plausible(report):
-    """Whether a received `Load` has the right shape and figures within the bounds for its members."""
-    rows = [*report.plans.values(), report.more]
+    """Whether a received `FleetLoad` has the right shape and figures within the bounds for its members."""
+    rows = [*report.counts_by_plan.values(), report.other_counts]
     shaped = (
-        report.members > 0 and len(report.more) == 3 and all(len(row) == 6 for row in report.plans.values())
+        report.member_count > 0
+        and len(report.other_counts) == 3
+        and all(len(row) == 6 for row in report.counts_by_plan.values())
     )
     return (
         shaped
-        and all(0 <= n <= MAX_COUNT_PER_MEMBER * report.members for row in rows for n in row)
-        and 0 <= report.level < 100
-        and beside.sound(report.beside, report.members, MAX_COUNT_PER_MEMBER * report.members)
+        and all(0 <= n <= MAX_COUNT_PER_MEMBER * report.member_count for row in rows for n in row)
+        and 0 <= report.shed_level < 100
+        and beside.sound(report.piggyback, report.member_count, MAX_COUNT_PER_MEMBER * report.member_count)
     )
 
 
@@ -93,8 +95,9 @@
     """The load reports that one controller holds and sends, and the shedding level carried with them.
 
     `own(now)` returns the local ({plan: row}, row of other counts); while it is None nothing is sent or
-    accepted. `own_beside(now)` returns the local `Beside` or None. Both are set by surge.py. `out` collects
-    (recipient, message) for the member to send. All times are in ns of the controller's monotonic clock.
+    accepted. `own_beside(now)` returns the local `Piggyback` or None. Both are set by surge.py. `out`
+    collects (recipient, message) for the member to send. All times are in ns of the controller's monotonic
+    clock.
     """
 
     def __init__(self, me, names, now):
@@ -143,7 +146,7 @@
             n: x for n, x in self.member_reports.items() if now - x[1] < REPORT_LIFETIME_NS
         }
         group_beside = beside.merged(
-            [(report.beside, now - at) for report, at in self.member_reports.values()]
+            [(report.piggyback, now - at) for report, at in self.member_reports.values()]
         )
         group_report = self._report(
             GROUP_REPORT,
@@ -165,41 +168,47 @@
     def _report(self, kind, plans, others, members, group, carried):
         level, by, at = self.level
         if self.caps:
-            carried = msgspec.structs.replace(carried or Beside(), caps=self.caps)
-        return Load(
+            carried = msgspec.structs.replace(carried or Piggyback(), shed_shares=self.caps)
+        return FleetLoad(
             kind, plans, others, members, group, level, by, (self.report_at - BEAT - at) // NS_PER_MS, carried
         )
 
     def heard(self, now, sender, report):
-        """Handles a received `Load`; drops implausible ones and those of senders that may not send them."""
+        """Handles a received `FleetLoad`; drops implausible ones and those of senders that may not send
+        them."""
         if self.own is None or sender not in self.names or not is_plausible(report):
             return
-        if report.kind == MEMBER_REPORT and self.names.index(sender) // self.group_size == self.own_group:
+        if report.scope == MEMBER_REPORT and self.names.index(sender) // self.group_size == self.own_group:
             self.member_reports[sender] = report, now
-        elif report.kind == GROUP_REPORT and sender in self._group_names(report.group):
+        elif report.scope == GROUP_REPORT and sender in self._group_names(report.group):
             self._store_better(self.group_reports, report.group, report, now)
-        elif report.kind == TOTAL_REPORT:
+        elif report.scope == TOTAL_REPORT:
             best = {None: self.total_report} if self.total_report else {}
             self._store_better(best, None, report, now)
             self.total_report = best[None]
         _, by, at = self.level
         # The age counts from the decision, so that forwarding does not renew it.
-        decided_at = now - max(0, report.ago) * NS_PER_MS
+        decided_at = now - max(0, report.level_age_ms) * NS_PER_MS
         if (
-            report.by
-            and report.by != self.me
+            report.level_decided_by
+            and report.level_decided_by != self.me
             and now - decided_at <= REPORT_LIFETIME_NS
-            and (now - at > REPORT_LIFETIME_NS or report.by < by or report.by == by and decided_at > at)
+            and (
+                now - at > REPORT_LIFETIME_NS
+                or report.level_decided_by < by
+                or report.level_decided_by == by
+                and decided_at > at
+            )
         ):
             self.level, self.caps = (
-                (report.level, report.by, decided_at),
-                report.beside.caps if report.beside else {},
+                (report.shed_level, report.level_decided_by, decided_at),
+                report.piggyback.shed_shares if report.piggyback else {},
             )
 
     @staticmethod
     def _store_better(table, key, report, now):
         previous, at = table.get(key, (None, 0))
-        if previous is None or now - at > BEAT or report.members >= previous.members:
+        if previous is None or now - at > BEAT or report.member_count >= previous.member_count:
             table[key] = report, now
 
     def decided(self, now, level, caps=()):
@@ -223,7 +232,7 @@
     def _beside(self, now):
         return beside.merged(
             [
-                (report.beside, now - at)
+                (report.piggyback, now - at)
                 for report, at in self.group_reports.values()
                 if now - at < REPORT_LIFETIME_NS
             ]
@@ -233,21 +242,25 @@
         """Returns ({plan: row}, row of other counts, number of members counted) of the fleet."""
         own_sum = self._sum(now)
         received = self._received_total(now, own_sum)
-        return (received.plans, received.more, received.members) if received else own_sum
+        return (
+            (received.counts_by_plan, received.other_counts, received.member_count) if received else own_sum
+        )
 
     def rides(self, now):
-        """The fleet's `Beside` that belongs to `total`, with its ages as of now."""
+        """The fleet's `Piggyback` that belongs to `total`, with its ages as of now."""
         received = self._received_total(now, self._sum(now))
         carried = (
-            beside.merged([(received.beside, now - self.total_report[1])]) if received else self._beside(now)
+            beside.merged([(received.piggyback, now - self.total_report[1])])
+            if received
+            else self._beside(now)
         )
-        return carried or Beside()
+        return carried or Piggyback()
 
     def _received_total(self, now, own_sum):
         """The received total, where it is valid and counts more members than the sum of the groups here."""
         report, at = self.total_report or (None, 0)
         return (
             report
-            if report is not None and now - at < REPORT_LIFETIME_NS and report.members > own_sum[2]
+            if report is not None and now - at < REPORT_LIFETIME_NS and report.member_count > own_sum[2]
             else None
         )
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -13,17 +13,17 @@
 from terndrift.fleet.load import Loads
 from terndrift.fleet.members import Membership, Standing
 from terndrift.fleet.messages import (
-    Agreed,
-    AskHead,
-    AskKnown,
-    AskLease,
-    Head,
-    Holds,
-    Knows,
-    Lease,
-    Load,
+    CatalogueHead,
+    CatalogueHeadRequest,
+    FleetLoad,
+    LeaseRequest,
+    LeaseResponse,
+    Observations,
+    ObservationsRequest,
+    PlacementReport,
     Propose,
-    Pull,
+    PullRequest,
+    PullResponse,
 )
 from terndrift.fleet.record import ELECTION, Role, Voter
 from terndrift.fleet.room import CONTROLLER, Machine
@@ -66,7 +66,7 @@
         self.out, self.writes, self.wrote, self.held = [], [], 0, []
         self.pending_proposals = {}  # id -> [value, time of the next retry, retries]
         self.started_at, self.next_pull_at = now, now
-        # Planned work on machines. holds: member -> (Holds, time received)
+        # Planned work on machines. holds: member -> (PlacementReport, time received)
         self.work, self.work_at, self.holds = work.Work(), now, {}
         # Set by the host. machines(): name -> Machine of its list; holding(names): name -> playbacks and
         # set-ups there; wall(): ms since 1970; turned(now): recent (requests, turned away); ill(names): those
@@ -101,44 +101,44 @@
         return min(times + [self.voter.next_at()] if self.voter else times)
 
     def received(self, now, envelope):
-        """Handles a message that `messages.opened` has accepted."""
+        """Handles a message that `messages.decode` has accepted."""
         sender, message = envelope.sender, envelope.message
         self.follower.told(
             now,
             sender,
             envelope.epoch,
-            envelope.agreed,
-            envelope.age,
+            envelope.commit_index,
+            envelope.commit_age,
             self.members.request_sent_at(message),
         )
-        if isinstance(message, messages.Raft):
+        if isinstance(message, messages.RaftMessage):
             if self.voter:
                 self.voter.received(now, sender, message)
-        elif isinstance(message, Pull):
+        elif isinstance(message, PullRequest):
             self.follower.asked(now, sender, message)
-        elif isinstance(message, Agreed):
+        elif isinstance(message, PullResponse):
             self.follower.answered(now, sender, message)
         elif isinstance(message, Propose):
             self._submit(now, message)
-        elif isinstance(message, Holds):
+        elif isinstance(message, PlacementReport):
             if envelope.epoch == self.follower.epoch[0]:  # revisions of another epoch cannot be compared
                 self.holds[sender] = message, now
-        elif isinstance(message, AskKnown):
+        elif isinstance(message, ObservationsRequest):
             self.warm.asked(now, sender)
-        elif isinstance(message, Load):
+        elif isinstance(message, FleetLoad):
             self.loads.heard(now, sender, message)
-        elif isinstance(message, AskLease):
-            if message.who in self.known:
+        elif isinstance(message, LeaseRequest):
+            if message.requester in self.known:
                 self.leases.asked(now, message, self._leads_with_quorum(now), self.leader())
-        elif isinstance(message, Lease):
+        elif isinstance(message, LeaseResponse):
             if sender in self.voters:
                 self.leases.answered(now, message)
-        elif isinstance(message, AskHead):
+        elif isinstance(message, CatalogueHeadRequest):
             self.copies.asked(sender)
-        elif isinstance(message, Head):
+        elif isinstance(message, CatalogueHead):
             if envelope.epoch >= self.follower.epoch[0]:  # the sender may still be in an outdated epoch
                 self.copies.heard(sender, message)
-        elif isinstance(message, Knows):
+        elif isinstance(message, Observations):
             self.warm.heard(now, sender, message, {n: m.run for n, m in self.members.members.items()})
         else:
             self.members.received(now, sender, message)
@@ -242,7 +242,9 @@
                 break
             counts[name] = count
         warming = [name for name, row in table.items() if row["state"] == work.State.WARMING.value]
-        return Holds(work.rev(state), counts, self.wall(), *self.turned(now), self.ill(warming), self.left)
+        return PlacementReport(
+            work.rev(state), counts, self.wall(), *self.turned(now), self.ill(warming), self.left
+        )
 
     def _propose_ranks(self, now):
         """As the leader, proposes who shares the slow start of cold streamers, when that has changed."""
@@ -262,7 +264,7 @@
             ):  # continues from the level of the controller that decided before
                 self.shed.value = self.loads.in_force(now)
                 self.shed.caps.parts = self.loads.caps_in_force(now)
-            level = self.shed.step(now, self.loads.total(now)[0], self.loads.rides(now).keys)
+            level = self.shed.step(now, self.loads.total(now)[0], self.loads.rides(now).request_counts)
             self.loads.decided(now, level, self.shed.caps.parts)
         self.loads.tick(now, alive)
 
@@ -378,7 +380,7 @@
         follower = self.follower
         age = follower.age(now)
         for to, message in pending:
-            data = messages.sealed(
+            data = messages.encode(
                 self.fleet,
                 self.me,
                 to,
--- a/terndrift/fleet/members.py
+++ b/terndrift/fleet/members.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from terndrift.fleet.messages import Ack, AskFor, MemberUpdate, Nack, Ping, Whole
+from terndrift.fleet.messages import Ack, FullState, IndirectPing, MemberUpdate, Nack, Ping
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -125,7 +125,7 @@
         self.members = {name: Member(name, since=now) for name in names if name != me}
         # out: (recipient, message); changes: (time, name, standing before, after), consumed by the host's log
         self.out, self.changes = [], []
-        # forwards: own seq -> (requester, its seq, deadline, target) of pings sent for an AskFor
+        # forwards: own seq -> (requester, its seq, deadline, target) of pings sent for an IndirectPing
         self.seq, self.probe, self.forwards = 0, None, {}
         self.probe_order, self.health, self.own_transmissions, self.leaving = [], 0, 0, False
         self.initial_exchanges_left = INITIAL_EXCHANGES
@@ -182,7 +182,7 @@
             case Ack(seq, updates):
                 self._apply_updates(now, sender, updates)
                 self._ack_received(now, sender, seq)
-            case AskFor(seq, target, updates):
+            case IndirectPing(seq, target, updates):
                 self._apply_updates(now, sender, updates)
                 if target in self.members:
                     self.seq += 1
@@ -191,7 +191,7 @@
             case Nack(seq):
                 if self.probe and seq == self.probe.seq:
                     self.probe.nacks += 1
-            case Whole(updates, is_response):
+            case FullState(updates, is_response):
                 self._apply_updates(now, sender, updates)
                 self._ping_disputed(updates)
                 if not is_response:
@@ -199,8 +199,10 @@
         self._schedule()
 
     def full_state(self, is_response=False):
-        """Returns a `Whole` with this member and all that it has heard of."""
-        return Whole([self._own_update()] + [m.update() for m in self.members.values() if m.run], is_response)
+        """Returns a `FullState` with this member and all that it has heard of."""
+        return FullState(
+            [self._own_update()] + [m.update() for m in self.members.values() if m.run], is_response
+        )
 
     def _own_update(self):
         standing = Standing.LEFT if self.leaving else Standing.ALIVE
@@ -309,7 +311,7 @@
             helpers = self._sample(INDIRECT_PROBES, [n for n in self.alive() if n != probe.target])
             probe.helper_count = len(helpers)
             for name in helpers:
-                self.out.append((name, AskFor(probe.seq, probe.target, self._select_updates(name))))
+                self.out.append((name, IndirectPing(probe.seq, probe.target, self._select_updates(name))))
             # The direct ping is repeated: where one datagram in three is lost, loss is the usual reason for
             # the missing ack.
             self.out.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -1,23 +1,24 @@
 """Messages between controllers: msgspec structs encoded as MessagePack, one per datagram or HTTP body.
 
-Every message travels in a `Sealed` envelope with the name of the fleet, the sender and the recipient.
-`Controller` encodes with `sealed`, the host decodes with `opened`. Datagrams can come from anywhere, so
-`opened` never raises on invalid input: it returns the reason for which the packet is to be dropped.
+Every message travels in an `Envelope` with the name of the fleet, the sender and the recipient.
+`Controller` encodes with `encode`, the host decodes with `decode`. Datagrams can come from anywhere, so
+`decode` never raises on invalid input: it returns the reason for which the packet is to be dropped.
 
-The structs are encoded as arrays, tagged with their class name: the order of the fields and the names of the
-subclasses of `Message` are part of the protocol.
+The structs are encoded as arrays, tagged with their class name or the `tag` given: the order of the fields
+and the tags are part of the protocol.
 """
 
 import msgspec
 
 # Bytes. The minimum IPv6 MTU (RFC 8200, section 5) less headers, so that no network fragments a datagram.
-DATAGRAM = 1200
+MAX_DATAGRAM_BYTES = 1200
 # Bytes. Limit of an HTTP body, which carries a part of the record or all members of a large fleet.
-BODY = 4 << 20
+MAX_BODY_BYTES = 4 << 20
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True, omit_defaults=True):
-    """Base of all messages that a `Sealed` can carry; the tag is the name of the class."""
+    """Base of all messages that an `Envelope` can carry; the tag is its `tag`, or else the name of the
+    class."""
 
 
 # Membership (members.py).
@@ -44,13 +45,13 @@
 
 
 class Ack(Message):
-    """Answers the `Ping` or, through a helper, the `AskFor` with that `seq`."""
+    """Answers the `Ping` or, through a helper, the `IndirectPing` with that `seq`."""
 
     seq: int
     updates: list[MemberUpdate] = []
 
 
-class AskFor(Message):
+class IndirectPing(Message, tag="AskFor"):
     """An indirect probe: asks a helper to ping `target`.
 
     The helper answers with an `Ack`, or with a `Nack` if the target did not answer it either (Lifeguard).
@@ -62,12 +63,12 @@
 
 
 class Nack(Message):
-    """From a helper: the target of the `AskFor` with that `seq` did not answer its ping in time."""
+    """From a helper: the target of the `IndirectPing` with that `seq` did not answer its ping in time."""
 
     seq: int
 
 
-class Whole(Message):
+class FullState(Message, tag="Whole"):
     """Full state exchange: the state of every member that the sender has heard of.
 
     The recipient answers with its own full state, unless this is a response itself.
@@ -90,85 +91,87 @@
     value: object = None
 
 
-class Raft(Message):
+class RaftMessage(Message):
     """Base of the messages between voters.
 
-    `epoch`: (number, unique mark) of the record, which changes when the record is begun anew; `who`: the
+    `epoch`: (number, unique mark) of the record, which changes when the record is begun anew; `voter_id`: the
     identity of the sending voter, which is replaced when the voter has lost what it confirmed.
     """
 
     epoch: tuple[int, str]
-    who: str
+    voter_id: str
     term: int
 
 
-class AskVote(Raft):
-    """Requests a vote for the sender, whose log ends at entry `last` of `last_term`."""
+class RequestVote(RaftMessage, tag="AskVote"):
+    """Requests a vote for the sender, whose log ends at entry `last_log_index` of `last_log_term`."""
 
-    last_term: int
-    last: int
-    pre: bool  # a pre-vote: changes no state of the voter
-    planned: bool = False  # leadership transfer: not ignored for having heard the leader lately
+    last_log_term: int
+    last_log_index: int
+    pre_vote: bool  # a pre-vote: changes no state of the voter
+    leadership_transfer: bool = False  # leadership transfer: not ignored for having heard the leader lately
 
 
-class Vote(Raft):
-    """Response to `AskVote`."""
+class VoteResponse(RaftMessage, tag="Vote"):
+    """Response to `RequestVote`."""
 
     granted: bool
-    pre: bool
-    asked: int  # the term for which the vote was requested
+    pre_vote: bool
+    requested_term: int  # the term for which the vote was requested
 
 
-class Append(Raft):
-    """Log entries or a heartbeat from the leader; `entries` follow the entry `before` of `before_term`."""
+class AppendEntries(RaftMessage, tag="Append"):
+    """Log entries or a heartbeat from the leader; `entries` follow the entry `prev_log_index` of
+    `prev_log_term`."""
 
-    before_term: int
-    before: int
+    prev_log_term: int
+    prev_log_index: int
     entries: list[Entry]
-    agreed: int  # commit index of the leader
-    round: int  # counts the leader's requests: a response with it proves contact since that request
-    seen: dict[str, int] = {}  # identity -> the highest index that this voter is known to have confirmed
+    commit_index: int  # commit index of the leader
+    request_round: int  # counts the leader's requests: a response with it proves contact since that request
+    # identity -> the highest index that this voter is known to have confirmed
+    confirmed_index: dict[str, int] = {}
 
 
-class Kept(Raft):
-    """Response to `Append` and `Base`, sent once the entries are durable."""
+class AppendResponse(RaftMessage, tag="Kept"):
+    """Response to `AppendEntries` and `InstallSnapshot`, sent once the entries are durable."""
 
-    ok: bool
-    last: int  # ok: the last durable index; otherwise the index from which the leader should retry
-    round: int
+    success: bool
+    last_index: int  # success: the last durable index; otherwise the index from which the leader should retry
+    request_round: int
 
 
-class Base(Raft):
-    """A snapshot of the state up to `last`, for a voter whose next entries are no longer in the log."""
+class InstallSnapshot(RaftMessage, tag="Base"):
+    """A snapshot of the state up to `last_index`, for a voter whose next entries are no longer in the log."""
 
-    last_term: int
-    last: int
+    last_snapshot_term: int
+    last_index: int
     state: dict
-    round: int
+    request_round: int
 
 
-class Lead(Raft):
+class TimeoutNow(RaftMessage, tag="Lead"):
     """Leadership transfer: the leader is about to stop and asks the recipient to start an election now."""
 
 
-class Hello(Raft):
+class RecoveryRequest(RaftMessage, tag="Hello"):
     """From a voter that has started: asks the others how far their logs are and what it once confirmed."""
 
     nonce: str
-    last: int
+    last_log_index: int
 
 
-class Seen(Raft):
-    """Response to the `Hello` with that `nonce`: the end of the sender's log, and its voters."""
+class RecoveryResponse(RaftMessage, tag="Seen"):
+    """Response to the `RecoveryRequest` with that `nonce`: the end of the sender's log, and its voters."""
 
     nonce: str
-    last_term: int
-    last: int
-    yours: int  # the highest index that the recipient is known to have confirmed
+    last_log_term: int
+    last_log_index: int
+    confirmed_index: int  # the highest index that the recipient is known to have confirmed
     voters: dict[str, str]
 
 
-class LetIn(Raft):
+class AddVoterRequest(RaftMessage, tag="LetIn"):
     """From a voter with a new identity: asks to be added to the voters."""
 
     name: str
@@ -182,133 +185,138 @@
     hops: int = 0
 
 
-class Holds(Message):
+class PlacementReport(Message, tag="Holds"):
     """A controller's report to the voters while planned work is under way.
 
-    `rev` is the revision of the work that the controller has applied. `counts` has its playbacks and set-ups
-    on each machine that it places on no more, and on those waiting for work where it has the most.
+    `work_revision` is the revision of the work that the controller has applied. `placements` has its
+    playbacks and set-ups on each machine that it places on no more, and on those waiting for work where it
+    has the most.
     """
 
-    rev: int
-    counts: dict[str, int]
-    wall: int = 0  # the sender's wall clock, ms since 1970
-    asked: int = 0  # recent requests of viewers
-    turned: int = 0  # how many of these were turned away
-    ill: list[str] = []  # machines warming up at which the sender's set-ups fail
-    left: dict[str, dict] = {}  # rows of machines that were out for work in an earlier epoch of the record
+    work_revision: int
+    placements: dict[str, int]
+    wall_ms: int = 0  # the sender's wall clock, ms since 1970
+    requests: int = 0  # recent requests of viewers
+    turned_away: int = 0  # how many of these were turned away
+    failing_machines: list[str] = []  # machines warming up at which the sender's set-ups fail
+    # rows of machines that were out for work in an earlier epoch of the record
+    out_in_earlier_epoch: dict[str, dict] = {}
 
 
 # Observations of streamers (warm.py).
 
 
-class Fact(msgspec.Struct, array_like=True, frozen=True):
+class Observation(msgspec.Struct, array_like=True, frozen=True):
     """One controller's observation of a streamer."""
 
     address: str
-    who: str  # the controller that made the observation
+    observer: str  # the controller that made the observation
     run: int  # the run of that controller
-    started: int  # start of the streamer according to that controller's list, ns since 1970; 0: long ago
-    ran: int  # ms for which it was observed to run
-    ago: int  # ms since it was last observed to run
-    ill: int = -1  # ms since it was last observed to fail; -1: not since it ran
-    use: int = 0  # demand on its link, in hundredths of the capacity
+    # start of the streamer according to that controller's list, ns since 1970; 0: long ago
+    streamer_started: int
+    observed_ms: int  # ms for which it was observed to run
+    seen_ago_ms: int  # ms since it was last observed to run
+    failed_ago_ms: int = -1  # ms since it was last observed to fail; -1: not since it ran
+    link_demand_percent: int = 0  # demand on its link, in hundredths of the capacity
 
 
-class AskKnown(Message):
+class ObservationsRequest(Message, tag="AskKnown"):
     """From a controller that has started: asks for all observations that the recipient has."""
 
 
-class Knows(Message):
+class Observations(Message, tag="Knows"):
     """Observations of streamers, gossiped in parts."""
 
-    facts: list[Fact]
-    answers: bool = False  # responds to an `AskKnown`, with all that the sender has
+    observations: list[Observation]
+    is_response: bool = False  # responds to an `ObservationsRequest`, with all that the sender has
 
 
 # Catalogues (copies.py).
 
 
-class AskHead(Message):
+class CatalogueHeadRequest(Message, tag="AskHead"):
     """From a controller that has started: asks for the last changes in the recipient's catalogue."""
 
 
-class Head(Message):
+class CatalogueHead(Message, tag="Head"):
     """How far the sender's catalogue is: the number of its changes and the ids of the last ones."""
 
-    count: int
-    ids: list[str] = []  # newest last
-    sure: bool = False  # confirmed by the responses of other controllers that no catalogue is ahead
+    change_count: int
+    last_change_ids: list[str] = []  # newest last
+    confirmed: bool = False  # confirmed by the responses of other controllers that no catalogue is ahead
 
 
 # Load reports (load.py) and the data piggybacked on them (beside.py).
 
 
-class Beside(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
-    """Data piggybacked on a `Load`."""
+class Piggyback(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
+    """Data piggybacked on a `FleetLoad`."""
 
-    found: dict[str, list[int]] = {}  # streamer -> row of its failures (findings.py)
-    back: list[int] = []  # viewers told to come back, by second from now
-    keys: dict[str, int] = {}  # the most requested titles and addresses -> requests
-    strained: list[str] = []  # names of overloaded controllers
-    caps: dict[str, float] = {}  # key -> share of its requests to be shed; decided together with the level
+    failures: dict[str, list[int]] = {}  # streamer -> row of its failures (findings.py)
+    expected_returns: list[int] = []  # viewers told to come back, by second from now
+    request_counts: dict[str, int] = {}  # the most requested titles and addresses -> requests
+    overloaded: list[str] = []  # names of overloaded controllers
+    # key -> share of its requests to be shed; decided together with the level
+    shed_shares: dict[str, float] = {}
 
 
-class Load(Message):
+class FleetLoad(Message, tag="Load"):
     """Recent load of one member, a group of members or the whole fleet."""
 
-    kind: int  # 0: one member; 1: a group; 2: all
-    plans: dict[str, list[int]]  # plan -> counts
-    more: list[int]  # counts that belong to no plan
-    members: int  # how many members the counts cover
+    scope: int  # 0: one member; 1: a group; 2: all
+    counts_by_plan: dict[str, list[int]]  # plan -> counts
+    other_counts: list[int]  # counts that belong to no plan
+    member_count: int  # how many members the counts cover
     group: int = 0
-    level: float = 0.0  # load shedding level in force
-    by: str = ""  # the controller that decided the level
-    ago: int = 0  # ms since it was decided
-    beside: Beside | None = None
+    shed_level: float = 0.0  # load shedding level in force
+    level_decided_by: str = ""  # the controller that decided the level
+    level_age_ms: int = 0  # ms since it was decided
+    piggyback: Piggyback | None = None
 
 
 # Leases (leases.py).
 
 
-class AskLease(Message):
+class LeaseRequest(Message, tag="AskLease"):
     """Requests leases on fleet-wide limits, from the leader or by way of another voter."""
 
-    who: str  # the requester
-    at: int  # the requester's clock, returned with the response
-    wants: dict[str, float]  # kind of limit -> wanted rate per second
+    requester: str  # the requester
+    requested_at: int  # the requester's clock, returned with the response
+    wanted_rates: dict[str, float]  # kind of limit -> wanted rate per second
     hops: int = 0
 
 
-class Lease(Message):
-    """Response to `AskLease`."""
+class LeaseResponse(Message, tag="Lease"):
+    """Response to `LeaseRequest`."""
 
-    at: int  # of the request
-    parts: dict[str, float]  # kind of limit -> leased rate per second
+    requested_at: int  # of the request
+    leased_rates: dict[str, float]  # kind of limit -> leased rate per second
 
 
-class Pull(Message):
-    """From a follower: requests the committed entries after `last` of that epoch."""
+class PullRequest(Message, tag="Pull"):
+    """From a follower: requests the committed entries after `last_index` of that epoch."""
 
     epoch: tuple[int, str]
-    last: int
+    last_index: int
     # The requester's clock, returned with the response, whose content counts as of this time however long
     # either message was delayed.
-    at: int = 0
+    requested_at: int = 0
 
 
-class Agreed(Message):
-    """Response to `Pull`: the committed entries after `after`, or a snapshot if those are no longer kept."""
+class PullResponse(Message, tag="Agreed"):
+    """Response to `PullRequest`: the committed entries after `prev_index`, or a snapshot if those are no
+    longer kept."""
 
     epoch: tuple[int, str]
-    after: int
+    prev_index: int
     entries: list[Entry]
-    agreed: int  # commit index known to the sender
+    commit_index: int  # commit index known to the sender
     state: dict | None = None  # the snapshot
-    age: int = 0  # ns since the sender knew its commit index to be current; -1: it never did
-    at: int = 0  # of the request
+    commit_age: int = 0  # ns since the sender knew its commit index to be current; -1: it never did
+    requested_at: int = 0  # of the request
 
 
-class Sealed(msgspec.Struct, array_like=True, frozen=True):
+class Envelope(msgspec.Struct, array_like=True, frozen=True):
     """The envelope of every message, with how far the sender's copy of the record is."""
 
     fleet: str
@@ -317,56 +325,57 @@
     message: (
         Ping
         | Ack
-        | AskFor
+        | IndirectPing
         | Nack
-        | Whole
-        | AskVote
-        | Vote
-        | Append
-        | Kept
-        | Base
-        | Lead
-        | Hello
-        | Seen
-        | LetIn
+        | FullState
+        | RequestVote
+        | VoteResponse
+        | AppendEntries
+        | AppendResponse
+        | InstallSnapshot
+        | TimeoutNow
+        | RecoveryRequest
+        | RecoveryResponse
+        | AddVoterRequest
         | Propose
-        | Holds
-        | Pull
-        | Agreed
-        | AskKnown
-        | Knows
-        | AskHead
-        | Head
-        | Load
-        | AskLease
-        | Lease
+        | PlacementReport
+        | PullRequest
+        | PullResponse
+        | ObservationsRequest
+        | Observations
+        | CatalogueHeadRequest
+        | CatalogueHead
+        | FleetLoad
+        | LeaseRequest
+        | LeaseResponse
     )
     epoch: int = 0
-    agreed: int = 0  # the sender's commit index: a recipient that is behind pulls the rest from the sender
-    age: int = -1  # ms since the sender knew its commit index to be current; -1: it never did
+    # the sender's commit index: a recipient that is behind pulls the rest from the sender
+    commit_index: int = 0
+    commit_age: int = -1  # ms since the sender knew its commit index to be current; -1: it never did
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Sealed).decode
+_decode = msgspec.msgpack.Decoder(Envelope).decode
 
 
-def sealed(fleet, sender, to, message, epoch=0, agreed=0, age=-1):
-    """Encodes a message in its envelope; the last three arguments are described in `Sealed`."""
-    return _encode(Sealed(fleet, sender, to, message, epoch, agreed, age))
+def encode(fleet_name, sender, to, message, epoch=0, commit_index=0, commit_age=-1):
+    """Encodes a message in its envelope; the last three arguments are described in `Envelope`."""
+    return _encode(Envelope(fleet_name, sender, to, message, epoch, commit_index, commit_age))
 
 
-def opened(data, fleet, me, known):
-    """Decodes a packet; returns the `Sealed`, or the reason for which the packet must be dropped.
+def decode(data, fleet_name, own_name, configured_names):
+    """Decodes a packet; returns the `Envelope`, or the reason for which the packet must be dropped.
 
-    The reasons are "huge" (larger than BODY), "garbage" (not decodable), "astray" (for another fleet or
-    recipient) and "unknown" (the sender is not in `known`, or is `me`).
+    The reasons are "huge" (larger than MAX_BODY_BYTES), "garbage" (not decodable), "astray" (for another
+    fleet or recipient) and "unknown" (the sender is not in `configured_names`, or is `own_name`).
     """
-    if len(data) > BODY:
+    if len(data) > MAX_BODY_BYTES:
         return "huge"
     try:
         envelope = _decode(data)
     except (msgspec.DecodeError, RecursionError, OverflowError):
         return "garbage"
-    if envelope.fleet != fleet or envelope.to != me:
+    if envelope.fleet != fleet_name or envelope.to != own_name:
         return "astray"
-    return envelope if envelope.sender in known and envelope.sender != me else "unknown"
+    return envelope if envelope.sender in configured_names and envelope.sender != own_name else "unknown"
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -14,7 +14,7 @@
 
 from terndrift.fleet import work
 from terndrift.fleet.agreed import Follower, applied, beginning
-from terndrift.fleet.messages import Agreed, Entry, Holds
+from terndrift.fleet.messages import Entry, PlacementReport, PullResponse
 from terndrift.fleet.room import Machine
 from terndrift.fleet.worlds import Violated, forked, searched
 
@@ -44,7 +44,7 @@
 )
 
 
-decode_message = msgspec.msgpack.Decoder(Holds | Agreed).decode
+decode_message = msgspec.msgpack.Decoder(PlacementReport | PullResponse).decode
 
 
 class FaultyWork(work.Work):
@@ -69,8 +69,8 @@
     def answered(self, now, sender, got):
         """Apply an answer to a pull; see Follower."""
         super().answered(now, sender, got)
-        if self.age_from_arrival and self.last >= got.agreed:
-            self.known_at(now - got.age)
+        if self.age_from_arrival and self.last >= got.commit_index:
+            self.known_at(now - got.commit_age)
 
 
 @dataclass
@@ -85,7 +85,7 @@
     true_time: int = 1000 * SECOND  # ns
     placement_reports: dict = field(
         default_factory=dict
-    )  # controller -> (Holds, time received), at the leader
+    )  # controller -> (PlacementReport, time received), at the leader
     playing: frozenset = frozenset()  # controllers with a playback on the machine
     in_flight: frozenset = frozenset()  # (receiver, sender, bytes)
     time_steps_left: tuple = (3, 1)  # of each of TIME_STEPS_NS
@@ -192,7 +192,7 @@
         drained, may_place = work.told_off(follower.state), work.may_place(follower.age(now))
         if drained and world.reports_left:
             counts = {m: int(name in world.playing) for m in drained}
-            data = msgspec.msgpack.encode(Holds(work.rev(follower.state), counts))
+            data = msgspec.msgpack.encode(PlacementReport(work.rev(follower.state), counts))
             yield (
                 f"{name} reports",
                 lambda: [
@@ -276,7 +276,7 @@
         receiver, sender, data = message
         decoded, now = decode_message(data), world.now(receiver)
         world = replace(world, in_flight=world.in_flight - {message})
-        if isinstance(decoded, Holds):
+        if isinstance(decoded, PlacementReport):
             return [
                 ("", replace(world, placement_reports={**world.placement_reports, sender: (decoded, now)}))
             ]
--- a/terndrift/fleet/record.py
+++ b/terndrift/fleet/record.py
@@ -19,16 +19,16 @@
 
 from terndrift.fleet.agreed import beginning, copied
 from terndrift.fleet.messages import (
-    Append,
-    AskVote,
-    Base,
+    AddVoterRequest,
+    AppendEntries,
+    AppendResponse,
     Entry,
-    Hello,
-    Kept,
-    Lead,
-    LetIn,
-    Seen,
-    Vote,
+    InstallSnapshot,
+    RecoveryRequest,
+    RecoveryResponse,
+    RequestVote,
+    TimeoutNow,
+    VoteResponse,
 )
 
 # Times are in ns.
@@ -42,8 +42,8 @@
 # A candidate gives up after this long by its own clock. A voter that restarted and can't tell how it voted
 # waits twice this long before it votes.
 CANDIDACY_TIMEOUT = ELECTION
-ANNOUNCE_INTERVAL = SECOND // 2  # between repeats of Hello and LetIn
-MOST = 64  # entries per Append message
+ANNOUNCE_INTERVAL = SECOND // 2  # between repeats of RecoveryRequest and AddVoterRequest
+MOST = 64  # entries per AppendEntries message
 LONGEST = 1024  # log entries before a snapshot replaces them
 
 
@@ -151,7 +151,7 @@
 
 
 def required_answers(voters):
-    """Number of other voters that have to answer a Hello.
+    """Number of other voters that have to answer a RecoveryRequest.
 
     Whichever majority confirmed an entry together with this voter, at least one other member of it is then
     among those that answered.
@@ -186,7 +186,8 @@
         self.role, self.leader, self.now = Role.DOUBTING, None, now
         self.leader_heard_at, self.leaderless_since = 0, now
         self.votes, self.role_started_at, self.may_vote_from = set(), 0, 0
-        # Answers to Hello by identity; the log position that this voter may have reached before it restarted.
+        # Answers to RecoveryRequest by identity; the log position that this voter may have reached before it
+        # restarted.
         self.hello_answers, self.min_position = {}, (0, 0)
         self.next_index, self.match = {}, {}  # identity -> log index
         # Number of records handed out in `writes` so far; of each log record that is not durable yet, (this
@@ -245,28 +246,28 @@
     # Events.
 
     def received(self, now, sender, message):
-        """Handles a `messages.Raft` message from the controller named `sender`."""
+        """Handles a `messages.RaftMessage` message from the controller named `sender`."""
         self._update_time(now)
         if message.epoch != self.d.epoch:
-            return  # another epoch; `Sealed` carries it, so that the side with the earlier one learns it
-        if isinstance(message, Hello):
+            return  # another epoch; `Envelope` carries it, so that the side with the earlier one learns it
+        if isinstance(message, RecoveryRequest):
             return self._handle_hello(sender, message)
-        if isinstance(message, Seen):
+        if isinstance(message, RecoveryResponse):
             return self._handle_seen(now, sender, message)
-        if isinstance(message, LetIn):
+        if isinstance(message, AddVoterRequest):
             return self._handle_let_in(now, sender, message)
-        if message.term > self.d.term and not (isinstance(message, AskVote) and message.pre):
+        if message.term > self.d.term and not (isinstance(message, RequestVote) and message.pre_vote):
             leader_alive = self.role is Role.LEADER or now - self.leader_heard_at < ELECTION
-            if isinstance(message, AskVote) and leader_alive and not message.planned:
+            if isinstance(message, RequestVote) and leader_alive and not message.leadership_transfer:
                 return None  # a voter back from a partition with a high term must not depose a working leader
             self._adopt_term(now, message.term)
         handler = {
-            AskVote: self._handle_ask_vote,
-            Vote: self._handle_vote,
-            Append: self._handle_append,
-            Kept: self._handle_kept,
-            Base: self._handle_base,
-            Lead: self._handle_lead,
+            RequestVote: self._handle_ask_vote,
+            VoteResponse: self._handle_vote,
+            AppendEntries: self._handle_append,
+            AppendResponse: self._handle_kept,
+            InstallSnapshot: self._handle_base,
+            TimeoutNow: self._handle_lead,
         }.get(type(message))
         return handler(now, sender, message) if handler else None
 
@@ -285,9 +286,9 @@
                 self._take_new_identity()  # the voters were changed meanwhile, and this one was removed
                 self._change_role(now, Role.OUT)
             elif self.role is Role.DOUBTING:
-                self._broadcast(Hello, self.nonce, self.d.last)
+                self._broadcast(RecoveryRequest, self.nonce, self.d.last)
             elif self.d.epoch[0]:
-                self._broadcast(LetIn, self.name)
+                self._broadcast(AddVoterRequest, self.name)
         elif self.role is Role.LEADER and now >= self.send_at:
             self._send_heartbeats(now)
         elif self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE) and now >= self.election_at:
@@ -328,7 +329,7 @@
             }
             if others:
                 successor = max(others, key=lambda voter_name: self.match.get(others[voter_name], 0))
-                self.out.append((successor, self._message(Lead)))
+                self.out.append((successor, self._message(TimeoutNow)))
 
     def restart(self, now, state=None):
         """Begins a new epoch on the operator's request.
@@ -444,21 +445,26 @@
 
     def _handle_hello(self, sender, message):
         term, last = self.d.last_position()
-        confirmed = max(self.d.confirmed.get(message.who, 0), self.match.get(message.who, 0))
-        self.out.append((sender, self._message(Seen, message.nonce, term, last, confirmed, self.d.voters())))
+        confirmed = max(self.d.confirmed.get(message.voter_id, 0), self.match.get(message.voter_id, 0))
+        self.out.append(
+            (sender, self._message(RecoveryResponse, message.nonce, term, last, confirmed, self.d.voters()))
+        )
 
     def _handle_seen(self, now, sender, message):
         if self.role is not Role.DOUBTING or message.nonce != self.nonce:
             return
-        if message.yours > self.d.last:  # entries that this voter confirmed are lost
+        if message.confirmed_index > self.d.last:  # entries that this voter confirmed are lost
             self._take_new_identity()
             return self._change_role(now, Role.OUT)
-        self.hello_answers[message.who] = message
+        self.hello_answers[message.voter_id] = message
         # Counts by the voters of the most up-to-date log: this voter's own log may predate a membership
         # change.
         voters = max(
             [(self.d.last_position(), self.d.voters())]
-            + [((answer.last_term, answer.last), answer.voters) for answer in self.hello_answers.values()],
+            + [
+                ((answer.last_log_term, answer.last_log_index), answer.voters)
+                for answer in self.hello_answers.values()
+            ],
             key=lambda log: log[0],
         )[1]
         voter_answers = [
@@ -468,7 +474,7 @@
             self._take_new_identity()
             return self._change_role(now, Role.OUT)
         if len(voter_answers) >= required_answers(voters):
-            self.min_position = max((answer.last_term, answer.last) for answer in voter_answers)
+            self.min_position = max((answer.last_log_term, answer.last_log_index) for answer in voter_answers)
             term = max(answer.term for answer in voter_answers)
             if term > self.d.term:  # it may have voted in any of these terms
                 self._store_term(term, "?")
@@ -482,13 +488,13 @@
         if self.role is not Role.LEADER or sender != message.name or sender not in self.voter_names:
             return
         voters = self.d.voters()
-        if message.who in voters.values():
+        if message.voter_id in voters.values():
             return
         # Only the newest identity of each name may join.
         self.joining = {identity: name for identity, name in self.joining.items() if name != sender} | {
-            message.who: sender
+            message.voter_id: sender
         }
-        self.next_index.setdefault(message.who, self.d.last + 1)
+        self.next_index.setdefault(message.voter_id, self.d.last + 1)
         self._change_voters(now)
 
     def _change_voters(self, now):
@@ -522,7 +528,7 @@
 
     # Elections.
 
-    def _start_election(self, now, planned=False):
+    def _start_election(self, now, leadership_transfer=False):
         """Starts with pre-votes, or at once in a new term if the leader has transferred leadership."""
         voters = self.d.voters()
         if self.identity not in voters.values() or self.d.last_position() < self.min_position:
@@ -531,51 +537,53 @@
         if self.leader:
             self.leader, self.leaderless_since = None, now
         self.votes, self.role_started_at = {self.identity}, now
-        if planned:
+        if leadership_transfer:
             self._store_term(self.d.term + 1, self.identity)
-        self._change_role(now, Role.CANDIDATE if planned else Role.PRE_CANDIDATE)
-        self._request_votes(now, pre_vote=not planned, planned=planned)
+        self._change_role(now, Role.CANDIDATE if leadership_transfer else Role.PRE_CANDIDATE)
+        self._request_votes(now, pre_vote=not leadership_transfer, leadership_transfer=leadership_transfer)
         return None
 
-    def _request_votes(self, now, pre_vote, planned=False):
+    def _request_votes(self, now, pre_vote, leadership_transfer=False):
         """Asks the voters that have not granted their vote yet."""
         last_term, last_index = self.d.last_position()
         self.send_at = now + 2 * HEARTBEAT_INTERVAL
         for name, identity in self.d.voters().items():
             if identity not in self.votes:
-                self.out.append((name, self._message(AskVote, last_term, last_index, pre_vote, planned)))
+                self.out.append(
+                    (name, self._message(RequestVote, last_term, last_index, pre_vote, leadership_transfer))
+                )
         self._count_votes(now)
 
     def _handle_ask_vote(self, now, sender, message):
         if self.role in (Role.OUT, Role.DOUBTING):
             return
-        requested_term = message.term + 1 if message.pre else message.term
-        eligible = (message.last_term, message.last) >= max(
+        requested_term = message.term + 1 if message.pre_vote else message.term
+        eligible = (message.last_log_term, message.last_log_index) >= max(
             self.d.last_position(), self.min_position
         ) and now >= self.may_vote_from
-        if message.pre:
+        if message.pre_vote:
             granted = (
                 eligible
                 and requested_term > self.d.term
                 and (now - self.leader_heard_at >= ELECTION and self.role is not Role.LEADER)
             )
         else:
-            granted = eligible and message.term == self.d.term and self.d.voted_for in ("", message.who)
+            granted = eligible and message.term == self.d.term and self.d.voted_for in ("", message.voter_id)
             if granted and not self.d.voted_for:
-                self._store_term(message.term, message.who)
+                self._store_term(message.term, message.voter_id)
                 self._reset_election_timer(now)
-        self.out.append((sender, self._message(Vote, granted, message.pre, requested_term)))
+        self.out.append((sender, self._message(VoteResponse, granted, message.pre_vote, requested_term)))
 
     def _handle_vote(self, now, sender, message):
-        expected_role = Role.PRE_CANDIDATE if message.pre else Role.CANDIDATE
-        requested_term = self.d.term + 1 if message.pre else self.d.term
+        expected_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
+        requested_term = self.d.term + 1 if message.pre_vote else self.d.term
         if (
             self.role is expected_role
             and message.granted
-            and message.asked == requested_term
-            and message.who in self.d.voters().values()
+            and message.requested_term == requested_term
+            and message.voter_id in self.d.voters().values()
         ):
-            self.votes.add(message.who)
+            self.votes.add(message.voter_id)
             self._count_votes(now)
 
     def _count_votes(self, now):
@@ -596,7 +604,7 @@
             and self.role is Role.FOLLOWER
             and now >= self.may_vote_from
         ):
-            self._start_election(now, planned=True)
+            self._start_election(now, leadership_transfer=True)
 
     # Log replication.
 
@@ -633,7 +641,10 @@
         if previous_term is None:
             state = self.d.base
             self.out.append(
-                (name, self._message(Base, state["term"], state["last"], copied(state), self.round))
+                (
+                    name,
+                    self._message(InstallSnapshot, state["term"], state["last"], copied(state), self.round),
+                )
             )
             return
         entries = self.d.entries[next_index - 1 - self.d.base["last"] :][:MOST]
@@ -641,7 +652,7 @@
             (
                 name,
                 self._message(
-                    Append,
+                    AppendEntries,
                     previous_term,
                     next_index - 1,
                     entries,
@@ -658,7 +669,9 @@
         A voter that is still checking its stored state notes the leader but confirms nothing.
         """
         if message.term < self.d.term:
-            self.out.append((sender, self._message(Kept, False, self.d.last, message.round)))
+            self.out.append(
+                (sender, self._message(AppendResponse, False, self.d.last, message.request_round))
+            )
             return False
         if self.role in (Role.CANDIDATE, Role.PRE_CANDIDATE):
             self._change_role(now, Role.FOLLOWER)
@@ -669,40 +682,49 @@
     def _handle_append(self, now, sender, message):
         if not self._accept_leader(now, sender, message):
             return
-        local_term = self.d.term_at(message.before)
-        if local_term != message.before_term:
+        local_term = self.d.term_at(message.prev_log_index)
+        if local_term != message.prev_log_term:
             # Entries before the snapshot are committed, so they match the leader's.
             retry_after = (
-                self.d.last if message.before > self.d.last else max(self.d.base["last"], message.before - 1)
+                self.d.last
+                if message.prev_log_index > self.d.last
+                else max(self.d.base["last"], message.prev_log_index - 1)
             )
-            if message.before >= self.d.base["last"]:
-                return self.out.append((sender, self._message(Kept, False, retry_after, message.round)))
+            if message.prev_log_index >= self.d.base["last"]:
+                return self.out.append(
+                    (sender, self._message(AppendResponse, False, retry_after, message.request_round))
+                )
         self.d.confirmed.update(
             {
                 identity: index
-                for identity, index in message.seen.items()
+                for identity, index in message.confirmed_index.items()
                 if index > self.d.confirmed.get(identity, 0)
             }
         )
-        entries, after = message.entries, message.before
+        entries, after = message.entries, message.prev_log_index
         while entries and (after < self.d.base["last"] or self.d.term_at(after + 1) == entries[0].term):
             entries, after = entries[1:], after + 1
         if entries:
             self._append_to_log(after, entries)
-        last_index = message.before + len(message.entries)
-        self._commit_up_to(now, min(message.agreed, last_index))
+        last_index = message.prev_log_index + len(message.entries)
+        self._commit_up_to(now, min(message.commit_index, last_index))
         self._apply_membership(now)
-        self.out.append((sender, self._message(Kept, True, last_index, message.round)))
+        self.out.append((sender, self._message(AppendResponse, True, last_index, message.request_round)))
 
     def _handle_base(self, now, sender, message):
         if not self._accept_leader(now, sender, message):
             return
-        if message.last > self.d.base["last"] and self.d.term_at(message.last) != message.last_term:
+        if (
+            message.last_index > self.d.base["last"]
+            and self.d.term_at(message.last_index) != message.last_snapshot_term
+        ):
             self._store({"what": "base", "state": message.state, "keep": False})
-            if message.last > self.follower.last:
+            if message.last_index > self.follower.last:
                 self.follower.begin(message.state)
         self._apply_membership(now)
-        self.out.append((sender, self._message(Kept, True, message.last, message.round)))
+        self.out.append(
+            (sender, self._message(AppendResponse, True, message.last_index, message.request_round))
+        )
 
     def _apply_membership(self, now):
         """Becomes a voter, or stops being one, as the newest configuration in its own log says."""
@@ -715,25 +737,29 @@
     def _handle_kept(self, now, sender, message):
         if self.role is not Role.LEADER or message.term != self.d.term:
             return
-        self.answered_at[message.who] = max(
-            self.answered_at.get(message.who, 0), self.round_sent_at.get(message.round, 0)
+        self.answered_at[message.voter_id] = max(
+            self.answered_at.get(message.voter_id, 0), self.round_sent_at.get(message.request_round, 0)
+        )
+        if not message.success:
+            self.next_index[message.voter_id] = min(
+                self.next_index.get(message.voter_id, 1), message.last_index + 1
+            )
+            return self._send_entries(sender, message.voter_id)
+        if message.last_index > self.match.get(message.voter_id, 0):
+            self.match[message.voter_id] = self.d.confirmed[message.voter_id] = message.last_index
+        self.next_index[message.voter_id] = max(
+            self.next_index.get(message.voter_id, 1), message.last_index + 1
         )
-        if not message.ok:
-            self.next_index[message.who] = min(self.next_index.get(message.who, 1), message.last + 1)
-            return self._send_entries(sender, message.who)
-        if message.last > self.match.get(message.who, 0):
-            self.match[message.who] = self.d.confirmed[message.who] = message.last
-        self.next_index[message.who] = max(self.next_index.get(message.who, 1), message.last + 1)
         self._advance_commit(now)
-        if message.who in self.joining:
+        if message.voter_id in self.joining:
             self._change_voters(now)
         if (
             self.role is Role.LEADER
-            and self.d.last >= self.next_index[message.who]
-            and self.batch_after.get(message.who) != message.last
+            and self.d.last >= self.next_index[message.voter_id]
+            and self.batch_after.get(message.voter_id) != message.last_index
         ):
-            self.batch_after[message.who] = message.last
-            self._send_entries(sender, message.who)
+            self.batch_after[message.voter_id] = message.last_index
+            self._send_entries(sender, message.voter_id)
         return None
 
     def _advance_commit(self, now):
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -24,7 +24,7 @@
 from terndrift.fleet.copies import Standing as CopyStanding
 from terndrift.fleet.elsewhere import Elsewhere
 from terndrift.fleet.member import Controller
-from terndrift.fleet.messages import BODY, DATAGRAM, opened
+from terndrift.fleet.messages import MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, decode
 from terndrift.fleet.record import Durable
 from terndrift.fleet.sight import Kept
 from terndrift.fleet.site import OfLate
@@ -117,7 +117,7 @@
             seed,
         )
         self.elsewhere = Elsewhere(self.controller, seed)
-        self.server = Server(self._request, 256, body_size=BODY, fault=self._log_fault)
+        self.server = Server(self._request, 256, body_size=MAX_BODY_BYTES, fault=self._log_fault)
         self.transport, self.addresses, self.timer, self.timer_at = None, [], None, None
         self.write_task, self.waiters, self.closing, self.logged_cut_off = None, set(), False, False
 
@@ -165,7 +165,7 @@
 
     def packet(self, data):
         """Handles a received message, of a datagram or an HTTP body; counts it if it is dropped."""
-        message = opened(data, self.value["name"], self.me, self.controller.known)
+        message = decode(data, self.value["name"], self.me, self.controller.known)
         if isinstance(message, str):
             self.dropped[message] += 1
             return
@@ -220,7 +220,7 @@
         addresses = self.value["members"].get(to)
         if addresses is None or self.transport is None:
             return
-        if len(data) <= DATAGRAM:
+        if len(data) <= MAX_DATAGRAM_BYTES:
             host, _, port = addresses["datagrams"].rpartition(":")
             self.transport.sendto(data, (host, int(port)))
         elif len(self.body_tasks) < MAX_BODIES_IN_FLIGHT:
@@ -520,7 +520,11 @@
         id, entry, wait = value.get("id"), value.get("value"), value.get("wait", 5.0)
         if not isinstance(id, str) or not 0 < len(id) <= 128:
             return 422, {"error": "id: must be a string of 1 to 128 characters"}
-        if not isinstance(entry, dict) or not entry or len(msgspec.msgpack.encode(entry)) > BODY // 8:
+        if (
+            not isinstance(entry, dict)
+            or not entry
+            or len(msgspec.msgpack.encode(entry)) > MAX_BODY_BYTES // 8
+        ):
             return 422, {"error": "value: must be a non-empty object of keys and values, half a MiB at most"}
         if not isinstance(wait, int | float) or not 0 <= wait <= MAX_PROPOSAL_WAIT_S:
             return 422, {"error": f"wait: must be 0 to {MAX_PROPOSAL_WAIT_S:.0f} s"}
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -13,7 +13,7 @@
 from terndrift.fleet import crowds, findings, load
 from terndrift.fleet.leases import KeyedRateLimiter, Leases
 from terndrift.fleet.load import LoadCounter
-from terndrift.fleet.messages import Beside
+from terndrift.fleet.messages import Piggyback
 from terndrift.fleet.returns import Book
 from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
 from terndrift.fleet.strain import Strain
@@ -137,7 +137,7 @@
         self.call_limiter.update_demand(now)
         rides = self.controller.loads.rides(now)
         alive = {self.controller.me, *self.controller.members.alive()}
-        judged = findings.judged(now, self.controller.me, rides.found, alive, self.findings.tried)
+        judged = findings.judged(now, self.controller.me, rides.failures, alive, self.findings.tried)
         may_attempt = (
             {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
         )
@@ -147,7 +147,7 @@
         told = (
             self.leases.available(now, "extra"),
             may_attempt,
-            self.return_times.advice(rides.back, wanted_rate),
+            self.return_times.advice(rides.expected_returns, wanted_rate),
         )
         if told != self.told or None not in told:
             self.told = told
@@ -159,9 +159,9 @@
         return {self.address(id): s.failed_at is not None for id, s in streamers.items() if s.backoff}
 
     def _beside(self, now):
-        found = self.findings.table(now, self._set_aside(), self.controller.loads.rides(now).found)
+        found = self.findings.table(now, self._set_aside(), self.controller.loads.rides(now).failures)
         strained = [self.controller.me] if self.strain.level else []
-        return Beside(found, self.return_times.table(now), self.key_counter.table(now), strained)
+        return Piggyback(found, self.return_times.table(now), self.key_counter.table(now), strained)
 
     # Shedding of viewers.
 
@@ -226,7 +226,7 @@
             "age_s": round((now - at) / SECOND, 1),
             "sheds": {n: round(p, 3) for n, p in shed_parts(level, self.order).items() if p},
             "crowds": self.controller.loads.caps_in_force(now),
-            "come_back": rides.back,
+            "come_back": rides.expected_returns,
             "failing": {
                 a: {
                     "by": row[findings.BY],
@@ -234,11 +234,11 @@
                     "failed": row[findings.FAILED],
                     "played": row[findings.PLAYED],
                 }
-                for a, row in rides.found.items()
+                for a, row in rides.failures.items()
                 if row[findings.BY]
             },
             "leases": self.leases.report(now),
-            "strained": rides.strained,
+            "strained": rides.overloaded,
             "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
             "order": self.order,
             "why": self.controller.shed.why if decides else "",
--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 from terndrift.fleet.members import in_own_order
-from terndrift.fleet.messages import AskKnown, Fact, Knows
+from terndrift.fleet.messages import Observation, Observations, ObservationsRequest
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -45,13 +45,13 @@
 class StreamerObservation:
     """One observer's observation of a streamer; times are in ns by this controller's clock."""
 
-    who: str  # name of the observer; "" for an earlier run of this controller
+    observer: str  # name of the observer; "" for an earlier run of this controller
     observer_run: int  # an observation of an earlier run of the observer ends with that run
     started: int  # the streamer's start as its list says, in ns since 1970; 0: long ago
     seen_from: int
     seen_until: int
     failed_at: int  # when it was seen to fail; 0: not since it was last seen to run
-    use: int  # demand on its link, in hundredths of the link's capacity
+    link_demand_percent: int  # demand on its link, in hundredths of the link's capacity
 
 
 class Known:
@@ -117,7 +117,7 @@
                 observation.started,
                 observation.seen_until - observation.seen_from,
                 wall - (now - observation.seen_until),
-                observation.use,
+                observation.link_demand_percent,
             ]
             for address, observation in own
             if observation.observer_run == self.run and not observation.failed_at
@@ -135,7 +135,7 @@
 
     def _put(self, address, observation):
         by_observer = self.seen.setdefault(address, {})
-        by_observer[observation.who] = observation
+        by_observer[observation.observer] = observation
         while len(by_observer) > MAX_OBSERVERS:
             del by_observer[
                 min(by_observer, key=lambda who: max(by_observer[who].seen_until, by_observer[who].failed_at))
@@ -187,7 +187,7 @@
         ]
         if remaining:
             self.requested_at[remaining[0]] = now
-            self.out.append((remaining[0], AskKnown()))
+            self.out.append((remaining[0], ObservationsRequest()))
 
     def asked(self, now, sender):
         """Responds to a request, unless the limit of this second is reached.
@@ -214,20 +214,20 @@
                 else [max(by_observer.values(), key=lambda s: max(s.seen_until, s.failed_at))]
             )
             facts += [
-                Fact(
+                Observation(
                     address,
-                    s.who,
+                    s.observer,
                     s.observer_run,
                     s.started,
                     (s.seen_until - s.seen_from) // MS,
                     (now - s.seen_until) // MS,
                     (now - s.failed_at) // MS if s.failed_at else -1,
-                    s.use,
+                    s.link_demand_percent,
                 )
                 for s in chosen
-                if s.who
+                if s.observer
             ]
-        return Knows(facts, answers)
+        return Observations(facts, answers)
 
     def heard(self, now, sender, message, runs):
         """Takes over the observations in a message; `runs`: member -> its present run.
@@ -238,35 +238,39 @@
         members, of earlier runs or with times in the future.
         """
         reference_time = now
-        if message.answers:
+        if message.is_response:
             if sender not in self.requested_at or sender in self.responders:
                 return
             reference_time = self.requested_at[sender]
             self.responders.add(sender)
             self.requesting = len(self.responders) < SUFFICIENT_RESPONSES
-        for fact in message.facts:
-            if fact.who == self.me or runs.get(fact.who) != fact.run or min(fact.ran, fact.ago) < 0:
+        for fact in message.observations:
+            if (
+                fact.observer == self.me
+                or runs.get(fact.observer) != fact.run
+                or min(fact.observed_ms, fact.seen_ago_ms) < 0
+            ):
                 continue
-            seen_until = reference_time - fact.ago * MS
-            previous = self.seen.get(fact.address, {}).get(fact.who)
+            seen_until = reference_time - fact.seen_ago_ms * MS
+            previous = self.seen.get(fact.address, {}).get(fact.observer)
             if (
                 previous
                 and previous.observer_run == fact.run
                 and max(previous.seen_until, previous.failed_at) >= seen_until
             ):
                 continue
-            failed_at = reference_time - fact.ill * MS if fact.ill >= 0 else 0
+            failed_at = reference_time - fact.failed_ago_ms * MS if fact.failed_ago_ms >= 0 else 0
             if now - max(seen_until, failed_at) <= OBSERVATION_LIFETIME_NS:
                 self._put(
                     fact.address,
                     StreamerObservation(
-                        fact.who,
+                        fact.observer,
                         fact.run,
-                        fact.started,
-                        seen_until - fact.ran * MS,
+                        fact.streamer_started,
+                        seen_until - fact.observed_ms * MS,
                         seen_until,
                         failed_at,
-                        fact.use,
+                        fact.link_demand_percent,
                     ),
                 )
 
@@ -293,5 +297,5 @@
                 continue
             latest = max(valid, key=lambda s: s.seen_until)
             if sum(s.failed_at > latest.seen_until for s in by_observer) < MIN_FAILURE_OBSERVERS:
-                proven[address] = latest.use
+                proven[address] = latest.link_demand_percent
         return proven
--- a/terndrift/fleet/work.py
+++ b/terndrift/fleet/work.py
@@ -75,7 +75,7 @@
 
     machines: dict  # name -> room.Machine
     members: frozenset  # all controllers that may place, as configured
-    holds: dict = field(default_factory=dict)  # controller -> (messages.Holds, time received)
+    holds: dict = field(default_factory=dict)  # controller -> (messages.PlacementReport, time received)
     wall_ms: int = 0  # ms since 1970 by this controller's clock
 
     def recent_reports(self, now):
@@ -87,7 +87,7 @@
         return median_low(self._reported_clocks(now) or [self.wall_ms])
 
     def _reported_clocks(self, now):
-        return [report.wall for report in self.recent_reports(now) if report.wall]
+        return [report.wall_ms for report in self.recent_reports(now) if report.wall_ms]
 
     def has_majority_of_clocks(self, now):
         """Whether a majority has reported its clock; the leader's clock alone decides nothing."""
@@ -96,8 +96,8 @@
     def rejected_share(self, now):
         """Share of recent viewer requests that were rejected, over all controllers."""
         reports = self.recent_reports(now)
-        asked = sum(s.asked for s in reports)
-        return sum(s.turned for s in reports) / asked if asked >= MIN_REQUESTS_FOR_SHARE else 0.0
+        asked = sum(s.requests for s in reports)
+        return sum(s.turned_away for s in reports) / asked if asked >= MIN_REQUESTS_FOR_SHARE else 0.0
 
 
 def step(revision, name, row, new_state, author="leader", wall_ms=0, extra_fields=()):
@@ -222,7 +222,7 @@
         self.why = {name: self.why.get(name, "") for name in rows_by_name}
         left = {}
         for report in observed.recent_reports(now):
-            left.update(report.left)
+            left.update(report.out_in_earlier_epoch)
         if proposal := found_out(state, left, observed.median_wall_ms(now)):
             return [proposal]
         budget = WorkBudget(observed.machines, names_in_budget(rows_by_name))
@@ -284,7 +284,7 @@
             failing = [
                 controller
                 for controller, (report, at) in sorted(observed.holds.items())
-                if now - at < REPORT_LIFETIME_NS and name in report.ill
+                if now - at < REPORT_LIFETIME_NS and name in report.failing_machines
             ]
             if waited >= plan["warm"] and not failing:
                 return State.DONE
@@ -308,8 +308,8 @@
         own_controller = controller_named(name)
         for controller in sorted(observed.members) if own_controller is None else [own_controller]:
             report, _ = observed.holds.get(controller, (None, 0))
-            if report is not None and name in report.counts and report.rev >= row["rev"]:
-                holding += report.counts[name]
+            if report is not None and name in report.placements and report.work_revision >= row["rev"]:
+                holding += report.placements[name]
             else:
                 placing.append(controller)
         if not placing and not holding:
@@ -383,7 +383,7 @@
     def _playbacks_by_machine(observed):
         playbacks = {}
         for report, _ in observed.holds.values():
-            for name, count in report.counts.items():
+            for name, count in report.placements.items():
                 playbacks[name] = playbacks.get(name, 0) + count
         return playbacks
 
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/worlds.py
@@ -14,12 +14,12 @@
 import msgspec
 
 from terndrift.fleet.agreed import Follower, beginning, copied
-from terndrift.fleet.messages import Sealed
+from terndrift.fleet.messages import Envelope
 from terndrift.fleet.record import ELECTION, Durable, Role, Voter, entry_fields
 
 EPOCH = (1, "e")
 encode = msgspec.msgpack.Encoder().encode
-decode = lru_cache(100_000)(msgspec.msgpack.Decoder(Sealed).decode)
+decode = lru_cache(100_000)(msgspec.msgpack.Decoder(Envelope).decode)
 
 
 def forked(original):
@@ -82,9 +82,9 @@
     def _random_fraction(self):
         return 0.0
 
-    def _start_election(self, now, planned=False):
+    def _start_election(self, now, leadership_transfer=False):
         # An election that may depose a working leader makes more states reachable.
-        super()._start_election(now, planned or not self.pre_vote)
+        super()._start_election(now, leadership_transfer or not self.pre_vote)
 
     def _advance_commit(self, now):
         if self.fault == "older term counted" and self.role is Role.LEADER:
@@ -100,7 +100,7 @@
 
     def _handle_append(self, now, sender, message):
         super()._handle_append(now, sender, message)
-        last_index = message.before + len(message.entries)
+        last_index = message.prev_log_index + len(message.entries)
         if self.fault == "cut too far" and self.leader == sender and last_index < self.d.last:
             self._append_to_log(last_index, [])
 
@@ -123,7 +123,7 @@
 
     nodes: dict  # name -> Voter, None while it is down
     disks: dict  # name -> Durable, the state that is on its disk
-    flying: frozenset = frozenset()  # messages in flight: encoded Sealed
+    flying: frozenset = frozenset()  # messages in flight: encoded Envelope
     now: int = 1000 * ELECTION
     remaining: Budget = field(default_factory=Budget)
     committed: tuple = ()  # (encoded entry, term of the voter that first had it committed)
@@ -177,8 +177,9 @@
 class Checker:
     """Searches the states that are reachable from the world `start`, at most `most` of them.
 
-    `fault` is one of FAULTS to plant. The exchange of Hello after a restart masks some of the faults; with a
-    fault planted, voters restart without it. After `run`, `states` is the number of states visited.
+    `fault` is one of FAULTS to plant. The exchange of RecoveryRequest after a restart masks some of the
+    faults; with a fault planted, voters restart without it. After `run`, `states` is the number of states
+    visited.
     """
 
     def __init__(self, start, fault=None, most=200_000):
@@ -303,7 +304,7 @@
         writes, voter.writes = voter.writes, []
         out, voter.out = voter.out, []
         voter.follower.out.clear()
-        flying = world.flying | {encode(Sealed("f", name, to, message)) for to, message in out}
+        flying = world.flying | {encode(Envelope("f", name, to, message)) for to, message in out}
         successors, next_id = [], world.next_id + 1
         if writes:
             disk = forked(world.disks[name])
@@ -336,7 +337,7 @@
             for record in writes:
                 disk.replay(record)
             more, voter.out = voter.out, []
-            flying |= {encode(Sealed("f", name, to, message)) for to, message in more}
+            flying |= {encode(Envelope("f", name, to, message)) for to, message in more}
             world = replace(world, disks={**world.disks, name: disk})
         world = replace(world, nodes={**world.nodes, name: voter}, flying=flying, next_id=next_id)
         successors.append(("", self.check(world, name)))
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -3,7 +3,7 @@
 import pytest
 
 from terndrift.fleet.copies import MAX_RESPONSES_NEEDED, SYNC_TIMEOUT_NS, Copies, Standing
-from terndrift.fleet.messages import AskHead, Head
+from terndrift.fleet.messages import CatalogueHead, CatalogueHeadRequest
 
 S = 1_000_000_000
 OLD, NEW = ["a", "b"], ["a", "b", "c", "d"]
@@ -33,8 +33,10 @@
                     [] if n in self.isolated else [m for m in self.copies if m not in self.isolated | {n}],
                 )
                 for to, m in sync.out:
-                    requests += isinstance(m, AskHead)
-                    self.copies[to].asked(n) if isinstance(m, AskHead) else self.copies[to].heard(n, m)
+                    requests += isinstance(m, CatalogueHeadRequest)
+                    self.copies[to].asked(n) if isinstance(m, CatalogueHeadRequest) else self.copies[
+                        to
+                    ].heard(n, m)
                 sync.out.clear()
                 if sync.standing is Standing.BEHIND and self.now % (3 * S // 10) < S // 10:
                     whole = sync.source not in self.broken
@@ -74,7 +76,7 @@
     assert alone.run(5).get("c0") is None
     at, what = alone.run(2)["c0"]
     assert SYNC_TIMEOUT_NS / S <= at < SYNC_TIMEOUT_NS / S + 0.2 and what == "b"
-    assert not alone.copies["c0"].head().sure, "a timeout confirms nothing to others"
+    assert not alone.copies["c0"].head().confirmed, "a timeout confirms nothing to others"
 
 
 def test_differing_catalogue_is_copied_if_two_have_it_and_only_reported_if_one_has():
@@ -100,10 +102,10 @@
 
 def test_unrequested_responses_are_ignored_and_invalid_transitions_fail():
     sync = Copies("c0", 0, lambda: OLD, 3)
-    sync.heard("c1", Head(9, NEW, True))
+    sync.heard("c1", CatalogueHead(9, NEW, True))
     assert sync.standing is Standing.COMPARING and not sync.heads_by_name
     sync.tick(0, ["c1"])
-    sync.heard("c1", Head(9, NEW, True))
+    sync.heard("c1", CatalogueHead(9, NEW, True))
     assert sync.standing is Standing.BEHIND
     sync.copied(True)
     with pytest.raises(AssertionError):
@@ -118,12 +120,12 @@
     sync = Copies("c0", 0, lambda: OLD, 19)
     for n in range(1, 10):
         sync.request_counts[f"c{n}"] = 1
-        sync.heard(f"c{n}", Head(2, OLD, False))
+        sync.heard(f"c{n}", CatalogueHead(2, OLD, False))
     assert sync.standing is Standing.COMPARING, (
         "nine of nineteen responded; the ten others may have a newer one"
     )
     sync.request_counts["c10"] = 1
-    sync.heard("c10", Head(2, OLD, False))
+    sync.heard("c10", CatalogueHead(2, OLD, False))
     assert sync.standing is Standing.CONFIRMED
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,17 +13,17 @@
 from terndrift.fleet.arena import Arena
 from terndrift.fleet.members import Membership, Standing
 from terndrift.fleet.messages import (
-    DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     Ack,
-    Append,
+    AppendEntries,
     Entry,
+    Envelope,
+    FullState,
     MemberUpdate,
     Ping,
     Propose,
-    Sealed,
-    Whole,
-    opened,
-    sealed,
+    decode,
+    encode,
 )
 from terndrift.fleet.worlds import Budget, Checker, small
 
@@ -279,16 +279,16 @@
 
 
 def test_packets_are_accepted_only_from_configured_members_of_the_same_fleet():
-    packet = sealed("one", "a", "b", Ping(1))
-    assert opened(packet, "one", "b", {"a", "b"}).message == Ping(1)
-    assert opened(packet, "two", "b", {"a", "b"}) == "astray", "of another fleet at a crossed address"
-    assert opened(packet, "one", "c", {"a", "c"}) == "astray"
-    assert opened(packet, "one", "b", {"c", "b"}) == "unknown"
-    assert opened(packet[:-1], "one", "b", {"a", "b"}) == "garbage"
-    assert opened(b"\x00" * 70_000, "one", "b", {"a", "b"}) == "garbage"
-    assert opened(b"x" * (5 << 20), "one", "b", {"a", "b"}) == "huge"
-    deeply_nested = sealed("one", "a", "b", Propose("p", {"k": 1})).replace(b"\x81\xa1k\x01", b"\x91" * 2000)
-    assert opened(deeply_nested, "one", "b", {"a", "b"}) == "garbage"
+    packet = encode("one", "a", "b", Ping(1))
+    assert decode(packet, "one", "b", {"a", "b"}).message == Ping(1)
+    assert decode(packet, "two", "b", {"a", "b"}) == "astray", "of another fleet at a crossed address"
+    assert decode(packet, "one", "c", {"a", "c"}) == "astray"
+    assert decode(packet, "one", "b", {"c", "b"}) == "unknown"
+    assert decode(packet[:-1], "one", "b", {"a", "b"}) == "garbage"
+    assert decode(b"\x00" * 70_000, "one", "b", {"a", "b"}) == "garbage"
+    assert decode(b"x" * (5 << 20), "one", "b", {"a", "b"}) == "huge"
+    deeply_nested = encode("one", "a", "b", Propose("p", {"k": 1})).replace(b"\x81\xa1k\x01", b"\x91" * 2000)
+    assert decode(deeply_nested, "one", "b", {"a", "b"}) == "garbage"
 
 
 def test_datagrams_per_member_do_not_grow_with_the_number_of_members():
@@ -364,10 +364,10 @@
     logs = {n: [value_entry(1, "x"), value_entry(1, "y")] for n in "ab"}
     budget = Budget(crashes=0, proposals=0, standers=frozenset("b"))
     start = small(logs, {n: (1, "a/1") for n in "abc"}, budget, agreed=2)
-    duplicate = Append((1, "e"), "a/1", 1, 0, 0, [value_entry(1, "x")], 1, 1)
-    start.flying = frozenset({msgspec.msgpack.encode(Sealed("f", "a", "b", duplicate))})
+    duplicate = AppendEntries((1, "e"), "a/1", 1, 0, 0, [value_entry(1, "x")], 1, 1)
+    start.flying = frozenset({msgspec.msgpack.encode(Envelope("f", "a", "b", duplicate))})
     steps, violation = Checker(start, "cut too far", 20_000).run()
-    assert steps[0] == "a to b: Append" and "leads without entry 2" in violation
+    assert steps[0] == "a to b: AppendEntries" and "leads without entry 2" in violation
     assert Checker(start, None, 8000).run() is None, "the same world without the planted fault"
 
 
@@ -384,13 +384,13 @@
 def test_a_ping_with_the_longest_names_and_most_updates_fits_a_datagram():
     names = [f"{n:040d}" for n in range(120)]
     membership = Membership(names[0], names, 1 << 42, 0)
-    membership.received(0, names[1], Whole([MemberUpdate(n, 1 << 42, 1000, 1) for n in names[1:]], True))
+    membership.received(0, names[1], FullState([MemberUpdate(n, 1 << 42, 1000, 1) for n in names[1:]], True))
     membership.out.clear()
     for _ in range(9):
         membership.tick(membership.next_at())
     pings = [m for _, m in membership.out if isinstance(m, Ping)]
-    sizes = [len(sealed("f" * 40, names[0], names[1], m, 9, 1 << 40, 1 << 20)) for m in pings]
-    assert pings and len(pings[0].updates) > 15 and max(sizes) <= DATAGRAM
+    sizes = [len(encode("f" * 40, names[0], names[1], m, 9, 1 << 40, 1 << 20)) for m in pings]
+    assert pings and len(pings[0].updates) > 15 and max(sizes) <= MAX_DATAGRAM_BYTES
 
 
 def test_a_suspect_is_warned_before_its_death_even_if_its_timeout_shrinks_suddenly():
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -15,7 +15,7 @@
     TokenBucket,
     max_min_shares,
 )
-from terndrift.fleet.messages import Lease
+from terndrift.fleet.messages import LeaseResponse
 
 LIMIT = 40.0
 
@@ -164,13 +164,13 @@
 
 def test_leases_that_are_expired_beyond_the_limit_or_older_than_the_current_one_are_ignored():
     leases, now = Leases("a", {"extra": 10.0}, 2, True, 1000 * SECOND), 1000 * SECOND
-    leases.answered(now, Lease(now - LEASE_NS - 1, {"extra": 5.0}))
-    leases.answered(now, Lease(now + 1, {"extra": 5.0}))  # requested in the future
-    leases.answered(now, Lease(now, {"extra": 500.0, "what": 1.0}))
+    leases.answered(now, LeaseResponse(now - LEASE_NS - 1, {"extra": 5.0}))
+    leases.answered(now, LeaseResponse(now + 1, {"extra": 5.0}))  # requested in the future
+    leases.answered(now, LeaseResponse(now, {"extra": 500.0, "what": 1.0}))
     assert leases.part(now, "extra") == 1.0 and leases.part(now, "calls") is None
-    leases.answered(now, Lease(now - SECOND, {"extra": 5.0}))
+    leases.answered(now, LeaseResponse(now - SECOND, {"extra": 5.0}))
     assert leases.part(now, "extra") == 1.0, "requested before the current lease"
-    leases.answered(now + 1, Lease(now + 1, {"extra": 5.0}))
+    leases.answered(now + 1, LeaseResponse(now + 1, {"extra": 5.0}))
     assert leases.part(now + 1, "extra") == 6.0 and leases.part(now + 1 + LEASE_NS, "extra") == 1.0
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,7 +7,7 @@
 
 from terndrift.fleet import load, shed
 from terndrift.fleet.load import REPORT_LIFETIME_NS, LoadCounter, Loads
-from terndrift.fleet.messages import Load
+from terndrift.fleet.messages import FleetLoad
 from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
 from terndrift.fleet.window import WINDOW
 
@@ -108,10 +108,10 @@
     assert {fleet.total_requests(n) for n in fleet.running if n not in ("c002", "c003")} == {90}
     member = fleet.running["c009"]
     for report in (
-        Load(0, {"free": [1]}, [0, 0, 0], 1),
-        Load(0, {"free": [-1] * 6}, [0, 0, 0], 1),
-        Load(1, {"free": [5] * 6}, [0, 0, 0], 4, 0),
-        Load(0, {}, [0, 0, 0], 0),
+        FleetLoad(0, {"free": [1]}, [0, 0, 0], 1),
+        FleetLoad(0, {"free": [-1] * 6}, [0, 0, 0], 1),
+        FleetLoad(1, {"free": [5] * 6}, [0, 0, 0], 4, 0),
+        FleetLoad(0, {}, [0, 0, 0], 0),
     ):
         before = member.total(fleet.now)
         member.heard(fleet.now, "c010", report)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,7 +9,7 @@
 from terndrift.fleet import beside, crowds, findings, returns
 from terndrift.fleet.crowds import Caps
 from terndrift.fleet.findings import FAILURE_TTL_NS, current_turn, judged, prober_of_turn
-from terndrift.fleet.messages import Beside
+from terndrift.fleet.messages import Piggyback
 from terndrift.fleet.returns import Book
 from terndrift.fleet.strain import Standing, Strain
 from terndrift.rehearse import run, virtual
@@ -111,22 +111,22 @@
 @pytest.mark.parametrize(
     "supplement",
     [
-        Beside(found=table_with_row(by=9)),
-        Beside(found=table_with_row(ill=-2)),
-        Beside(found={"s": [1, 1]}),
-        Beside(found=table_with_row(played=999)),
-        Beside(found={f"s{n}": [1, 1, 1, 1, 0, 1, 0] for n in range(99)}),
-        Beside(back=[-1]),
-        Beside(back=[0] * 99),
-        Beside(keys={"a": 10**9}),
-        Beside(strained=["x"] * 99),
-        Beside(caps={"a": 2.0}),
-        Beside(found=table_with_row(dead=3)),
+        Piggyback(failures=table_with_row(by=9)),
+        Piggyback(failures=table_with_row(ill=-2)),
+        Piggyback(failures={"s": [1, 1]}),
+        Piggyback(failures=table_with_row(played=999)),
+        Piggyback(failures={f"s{n}": [1, 1, 1, 1, 0, 1, 0] for n in range(99)}),
+        Piggyback(expected_returns=[-1]),
+        Piggyback(expected_returns=[0] * 99),
+        Piggyback(request_counts={"a": 10**9}),
+        Piggyback(overloaded=["x"] * 99),
+        Piggyback(shed_shares={"a": 2.0}),
+        Piggyback(failures=table_with_row(dead=3)),
     ],
 )
 def test_a_supplement_out_of_bounds_is_rejected(supplement):
     assert not beside.sound(supplement, 2, 1000)
-    assert beside.sound(Beside(), 2, 1000) and beside.sound(None, 2, 1000)
+    assert beside.sound(Piggyback(), 2, 1000) and beside.sound(None, 2, 1000)
 
 
 # Retry advice (returns.py).
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -273,7 +273,7 @@
     Two of the three controllers left claim that all streamers have run for long, though a rack has just
     restarted; one of them also claims that all fail. A tenth of the messages is lost.
     """
-    from terndrift.fleet.messages import Fact, Knows
+    from terndrift.fleet.messages import Observation, Observations
     from terndrift.rehearse import run
     from terndrift.rehearse.virtual_return import World
 
@@ -290,9 +290,9 @@
 
                 def false_message(now, addresses, answers=False, front=front, n=n):
                     run_of, ill = front.controller.members.run, 0 if n else -1
-                    return Knows(
+                    return Observations(
                         [
-                            Fact(a, front.name, run_of, 0, 60_000, 0, ill)
+                            Observation(a, front.name, run_of, 0, 60_000, 0, ill)
                             for a in sorted(world.listing.flow.numbers.of)
                         ],
                         answers,
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -95,7 +95,7 @@
     assert not surge.second(0, 0.5, 0.5) and not surge.strain.level
     assert not surge.second(10**9, 0.5, 0.0), "a single delay may be a pause of the machine"
     assert surge.second(10**9, 0.5, 0.0) and not surge.second(0, 0.99, 0.0)
-    assert surge.strain.level == 1.0 and surge._beside(testbed.service.clock.now()).strained == ["c0"]
+    assert surge.strain.level == 1.0 and surge._beside(testbed.service.clock.now()).overloaded == ["c0"]
     assert (await testbed.request_playback("clip"))[0] == 503 and (await testbed.request_playback("lesson"))[
         0
     ] == 200
@@ -114,7 +114,7 @@
     assert {code for code, _ in answers} == {503} and {h["Retry-After"] for _, h in answers} == {"1", "2"}
     assert (await testbed.request_playback("first"))[0] == 200, "another title of the same plan"
     assert sum(surge.return_times.table(now)) > 0
-    assert surge._beside(testbed.service.clock.now() + 10**9).keys["title clip"] >= 1
+    assert surge._beside(testbed.service.clock.now() + 10**9).request_counts["title clip"] >= 1
 
 
 @in_testbed
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -4,7 +4,7 @@
 
 from helpers import SECOND, START, Front, list_entry
 
-from terndrift.fleet.messages import AskKnown, Knows
+from terndrift.fleet.messages import Observations, ObservationsRequest
 from terndrift.fleet.ranks import RECORD_KEY, TRANSITION_NS, Ranks
 from terndrift.fleet.warm import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
 from terndrift.fleet.work import LIMIT
@@ -51,9 +51,9 @@
         """Delivers all messages that wait, until no more come."""
         while moved := [(who, *store.out.pop(0)) for who, store in self.stores.items() if store.out]:
             for who, to, message in moved:
-                if isinstance(message, AskKnown):
+                if isinstance(message, ObservationsRequest):
                     self.stores[to].asked(self.now, who)
-                elif isinstance(message, Knows):
+                elif isinstance(message, Observations):
                     self.deliver(who, to, message)
 
     def restart(self, who):
@@ -107,18 +107,22 @@
 
 
 def test_observations_from_the_future_old_runs_or_unrequested_responses_are_ignored():
-    from terndrift.fleet.messages import Fact
+    from terndrift.fleet.messages import Observation
 
     fleet = SimulatedFleet()
     store = fleet.stores["c3"]
-    ahead = Fact("a", "c0", 1, 5, 20_000, -60_000)
+    ahead = Observation("a", "c0", 1, 5, 20_000, -60_000)
     fleet.deliver(
-        "c0", "c3", Knows([ahead, Fact("a", "c9", 1, 5, 20_000, 0), Fact("a", "c1", 9, 5, 20_000, 0)])
+        "c0",
+        "c3",
+        Observations(
+            [ahead, Observation("a", "c9", 1, 5, 20_000, 0), Observation("a", "c1", 9, 5, 20_000, 0)]
+        ),
     )
     assert not store.seen, "time in the future, unknown member, another run of a member"
-    fleet.deliver("c0", "c3", Knows([Fact("a", "c0", 1, 5, 20_000, 0)], answers=True))
+    fleet.deliver("c0", "c3", Observations([Observation("a", "c0", 1, 5, 20_000, 0)], is_response=True))
     assert not store.seen, "a response that was not requested"
-    fleet.deliver("c0", "c3", Knows([Fact("a", "c0", 1, 5, 20_000, 0)]))
+    fleet.deliver("c0", "c3", Observations([Observation("a", "c0", 1, 5, 20_000, 0)]))
     assert store.seen
 
 
@@ -138,7 +142,7 @@
             if who not in old:
                 store.tick(fleet.now, [n for n in fleet.stores if n != who])
                 for to, m in store.out:
-                    asked[to] += isinstance(m, AskKnown)
+                    asked[to] += isinstance(m, ObservationsRequest)
         before = {n: fleet.stores[n].responses_sent for n in old}
         fleet.deliver_all()
         assert all(fleet.stores[n].responses_sent - before[n] <= MAX_RESPONSES_PER_SECOND for n in old)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -7,7 +7,7 @@
 import pytest
 
 from terndrift.fleet import messages, work
-from terndrift.fleet.messages import Holds
+from terndrift.fleet.messages import PlacementReport
 from terndrift.fleet.record import Role
 from terndrift.fleet.room import Machine, WorkBudget
 from terndrift.fleet.work import Seen, State, Work
@@ -165,12 +165,13 @@
     site = Site(seed=8)
     lead, arena = site.arena.up["c0"], site.arena
     site.add("kernel", plan(["s0"]))
-    assert site.go(60, site.done) and lead.holds["c5"][0].rev > 1
-    lead.holds["c5"] = Holds(50, {"s0": 0}), arena.now  # its last report, from a drain that ended long ago
+    assert site.go(60, site.done) and lead.holds["c5"][0].work_revision > 1
+    # its last report, from a drain that ended long ago
+    lead.holds["c5"] = PlacementReport(50, {"s0": 0}), arena.now
     arena.cut = lambda a, b: "c5" in (a, b)
     arena.call("c0", "restart", None)
     assert arena.until(lambda: arena.up["c4"].follower.epoch[0] == 2, 20) is not None
-    late = messages.sealed("arena", "c5", "c0", Holds(50, {"s0": 0}), 1, 20, 0)
+    late = messages.encode("arena", "c5", "c0", PlacementReport(50, {"s0": 0}), 1, 20, 0)
     arena._arrive("c0", late)
     assert "c5" not in lead.holds
     site.taken_down_at.clear()
@@ -229,7 +230,7 @@
         }
     }
     observed = make_observations()
-    observed.holds = {"c0": (Holds(1, {"s0": 9, "s1": 2}), 0)}
+    observed.holds = {"c0": (PlacementReport(1, {"s0": 9, "s1": 2}), 0)}
     scheduler = Work()
     [(id, _)] = scheduler.steps(0, state, observed)
     assert id == "work/s1/p/1/1" and scheduler.why["s0"] == "s1 goes first"
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -5,7 +5,7 @@
 from test_work import make_observations
 
 from terndrift.fleet import permits, work
-from terndrift.fleet.messages import Holds
+from terndrift.fleet.messages import PlacementReport
 from terndrift.fleet.room import Machine, WorkBudget
 from terndrift.fleet.work import State, Work
 from terndrift.fleet.yard import CONTROLLER_NAMES, SECOND, VOTER_NAMES, Site, plan
@@ -64,9 +64,9 @@
     value = plan(["s0"], **{"from": day_s + 8 * 3600, "until": ends}, quiet=["11:30-13:00", "23:00-01:00"])
     observed = with_reports(
         make_observations(),
-        c0=Holds(5, {}, wall_ms),
-        c1=Holds(5, {}, wall_ms + 20),
-        c2=Holds(5, {}, wall_ms + 3_600_000),
+        c0=PlacementReport(5, {}, wall_ms),
+        c1=PlacementReport(5, {}, wall_ms + 20),
+        c2=PlacementReport(5, {}, wall_ms + 3_600_000),
     )
     observed.wall_ms = wall_ms + 3_600_000  # the leader's own clock is the one an hour ahead
     scheduler = Work()
@@ -80,7 +80,7 @@
 
 
 def test_overload_holds_waiting_machines_and_begun_drains_continue_or_are_cancelled_as_planned():
-    load = {"c0": Holds(5, {"s0": 1}, 0, 40, 0), "c1": Holds(5, {"s0": 0}, 0, 10, 20)}
+    load = {"c0": PlacementReport(5, {"s0": 1}, 0, 40, 0), "c1": PlacementReport(5, {"s0": 0}, 0, 10, 20)}
     rows = {"s0": (State.TOLD, {}), "s1": (State.WAITING, {})}
     for begun, changes in (("go on", {}), ("back", {"s0": State.WAITING.value})):
         scheduler, observed = Work(), with_reports(make_observations(), **load)
@@ -93,16 +93,16 @@
                 scheduler,
                 10 * SECOND,
                 make_state(rows, {"p": value}),
-                with_reports(observed, 10 * SECOND, c0=Holds(5, {"s0": 1}, 0, 40, 1)),
+                with_reports(observed, 10 * SECOND, c0=PlacementReport(5, {"s0": 1}, 0, 40, 1)),
             ) == {"s1": State.TOLD.value}
-    few = with_reports(make_observations(), c0=Holds(5, {}, 0, 4, 4))
+    few = with_reports(make_observations(), c0=PlacementReport(5, {}, 0, 4, 4))
     assert few.rejected_share(0) == 0, "four requests are too few for a share"
 
 
 def test_machine_that_reports_ready_but_fails_set_ups_stays_warming_up_and_becomes_overdue():
     rows = {"s0": (State.WARMING, {})}
     scheduler, state = Work(), make_state(rows)
-    failing = Holds(5, {}, ill=["s0"])
+    failing = PlacementReport(5, {}, failing_machines=["s0"])
     assert next_states(scheduler, 0, state, with_reports(make_observations(), c1=failing)) == {}
     assert (
         next_states(scheduler, 3 * SECOND, state, with_reports(make_observations(), 3 * SECOND, c1=failing))
@@ -110,7 +110,7 @@
     )
     assert scheduler.why["s0"] == "it reports ready, but set-ups from c1 fail"
     assert next_states(
-        scheduler, 4 * SECOND, state, with_reports(make_observations(), 4 * SECOND, c1=Holds(5, {}))
+        scheduler, 4 * SECOND, state, with_reports(make_observations(), 4 * SECOND, c1=PlacementReport(5, {}))
     ) == {"s0": "done"}
     assert next_states(
         scheduler, 9 * SECOND, state, with_reports(make_observations(), 9 * SECOND, c1=failing)
@@ -144,7 +144,7 @@
         "an old start that a clock ahead had reported as long ago"
     )
     assert next_states(Work(), 0, unknown_start, after_drain) == {"s0": "coming back"}
-    early, scheduler = with_reports(restarted, c0=Holds(5, {"s0": 2})), Work()
+    early, scheduler = with_reports(restarted, c0=PlacementReport(5, {"s0": 2})), Work()
     early.members = frozenset({"c0"})
     assert next_states(scheduler, 0, make_state({"s0": (State.TOLD, {"was": 5})}), early) == {}
     assert "restarted without a permit" in scheduler.why["s0"]
@@ -173,10 +173,12 @@
 def test_drain_is_cancelled_when_the_other_holder_of_a_title_fails():
     holders = {"titles": frozenset({"lesson"})}
     rows, scheduler = {"s0": (State.TOLD, {})}, Work()
-    both = with_reports(make_observations(s0=holders, s1=holders), c0=Holds(5, {"s0": 1}))
+    both = with_reports(make_observations(s0=holders, s1=holders), c0=PlacementReport(5, {"s0": 1}))
     both.members = frozenset({"c0"})
     assert next_states(scheduler, 0, make_state(rows), both) == {}
-    left = with_reports(make_observations(s0=holders, s1={**holders, "ready": False}), c0=Holds(5, {"s0": 1}))
+    left = with_reports(
+        make_observations(s0=holders, s1={**holders, "ready": False}), c0=PlacementReport(5, {"s0": 1})
+    )
     assert next_states(scheduler, 0, make_state(rows), left) == {"s0": "waiting"}
     assert next_states(scheduler, 0, make_state({"s0": (State.OUT, {})}), left) == {}, (
         "a machine that is out is not recalled"
@@ -187,7 +189,9 @@
     row = {"plan": "old", "state": "out", "n": 3, "by": "leader", "rev": 2, "was": 0, "log": []}
     empty = {"map": {}}
     [(_, value)] = Work().steps(
-        0, empty, with_reports(make_observations(), c1=Holds(0, {}, left={"s2": row}))
+        0,
+        empty,
+        with_reports(make_observations(), c1=PlacementReport(0, {}, out_in_earlier_epoch={"s2": row})),
     )
     assert value["work/m/s2"]["state"] == "found out" and value["work/m/s2"]["plan"] == "old"
     state = {"map": {k: v for k, v in value.items() if k != "?"}}
