--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -11,7 +11,7 @@
 from statistics import quantiles
 
 from terndrift.fleet.arena import Arena
-from terndrift.fleet.members import Standing
+from terndrift.fleet.membership import Standing
 
 SIZES, LOSSES = (50, 200, 300, 1000), (0.0, 0.05, 0.2)
 
--- a/terndrift/fleet/arena.py
+++ b/terndrift/fleet/arena.py
@@ -149,16 +149,19 @@
 
     def seen(self, member, standing="alive"):
         """Names of the controllers in whose view `member` has that standing."""
-        others = {name: controller.members for name, controller in self.up.items() if name != member}
+        others = {name: controller.membership for name, controller in self.up.items() if name != member}
         return [
-            name for name, members in others.items() if members.view(self.now)[member]["standing"] == standing
+            name
+            for name, membership in others.items()
+            if membership.describe_members(self.now)[member]["standing"] == standing
         ]
 
     def settled(self):
         """Whether each running controller sees all the others, and nobody else, as alive."""
         running = set(self.up)
         return all(
-            set(controller.members.alive()) == running - {name} for name, controller in self.up.items()
+            set(controller.membership.alive_names()) == running - {name}
+            for name, controller in self.up.items()
         )
 
     # Simulated network, timers and disks.
@@ -233,9 +236,9 @@
 
     def _record_changes(self, name, controller):
         """Collects membership changes and committed entries; notes an entry that differs from another's."""
-        for when, member, before, after in controller.members.changes:
+        for when, member, before, after in controller.membership.standing_changes:
             self.changes.append((when, name, member, before, after))
-        controller.members.changes.clear()
+        controller.membership.standing_changes.clear()
         for index, entry in controller.follower.heard:
             first = self.agreed.setdefault((controller.follower.epoch, index), entry)
             if first != entry:
--- a/terndrift/fleet/copies.py
+++ b/terndrift/fleet/copies.py
@@ -13,7 +13,7 @@
 
 from enum import Enum
 
-from terndrift.fleet.members import in_own_order
+from terndrift.fleet.membership import shuffled_by_salt
 from terndrift.fleet.messages import CatalogueHead, CatalogueHeadRequest
 
 MS = 1_000_000
@@ -102,7 +102,7 @@
                 "timed out without confirmation" if alive else "no other controller is there",
             )
         if self.standing is Standing.COMPARING:
-            remaining = [n for n in in_own_order(alive, f"{self.me}+") if n not in self.heads_by_name]
+            remaining = [n for n in shuffled_by_salt(alive, f"{self.me}+") if n not in self.heads_by_name]
             for to in sorted(remaining, key=lambda n: self.request_counts.get(n, 0))[:PARALLEL_REQUESTS]:
                 self.request_counts[to] = self.request_counts.get(to, 0) + 1
                 self.out.append((to, CatalogueHeadRequest()))
--- a/terndrift/fleet/crowds.py
+++ b/terndrift/fleet/crowds.py
@@ -13,7 +13,7 @@
 
 from collections import Counter
 
-from terndrift.fleet.window import SECOND, Seconds
+from terndrift.fleet.recent_counts import SECOND, CountsBySecond
 
 HEAVY_SHARE = 0.5  # of all requests: without overload no title reached that in the days and catalogues seen
 SHARE = 0.25  # of the capacity, left to a heavy key: as for one source at a controller's front (admission.py)
@@ -27,16 +27,16 @@
     """Requests by key at this controller, per second."""
 
     def __init__(self):
-        self.seconds = Seconds(Counter)
+        self.seconds = CountsBySecond(Counter)
 
     def count(self, now, keys):
         """Adds one request to each of the keys; `now` in ns."""
-        self.seconds.at(now).update(keys)
+        self.seconds.current(now).update(keys)
 
     def table(self, now):
         """Returns key -> requests of the last whole seconds, for the most requested keys."""
         out = Counter()
-        for keys in self.seconds.of_late(now):
+        for keys in self.seconds.recent(now):
             out.update(keys)
         return most_requested(out)
 
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -11,7 +11,7 @@
 
 import zlib
 
-from terndrift.fleet.members import Standing
+from terndrift.fleet.membership import Standing
 from terndrift.fleet.room import CONTROLLER
 
 FRONT_KEY_PREFIX = "front/"  # keys of the record's map: prefix and name -> URL without a path
@@ -36,7 +36,7 @@
         key = FRONT_KEY_PREFIX + controller.me
         if controller.follower.as_of is None or controller.follower.state["map"].get(key, "") == self.mine:
             return
-        controller.propose(now, f"{key}/{controller.members.run}", {key: self.mine or None})
+        controller.propose(now, f"{key}/{controller.membership.run}", {key: self.mine or None})
 
     def places(self, now):
         """Returns name -> URL of the other controllers to which viewers may be redirected.
@@ -46,7 +46,7 @@
         """
         controller = self.controller
         draining, _ = controller.off(now)
-        agreed_map, members = controller.follower.state["map"], controller.members.members
+        agreed_map, members = controller.follower.state["map"], controller.membership.members
         found = {
             name: url
             for name in sorted(controller.known)
@@ -58,7 +58,7 @@
         strained = controller.loads.rides(now).overloaded
         unstrained = {name: url for name, url in found.items() if name not in strained} or found
         return {
-            name: url for name, url in unstrained.items() if now - members[name].since > MIN_ALIVE_NS
+            name: url for name, url in unstrained.items() if now - members[name].standing_since > MIN_ALIVE_NS
         } or unstrained
 
     def choose(self, now):
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -26,8 +26,8 @@
 from collections import Counter, deque
 
 from terndrift.fleet.messages import LeaseRequest, LeaseResponse
+from terndrift.fleet.recent_counts import WINDOW_SECONDS, CountsBySecond
 from terndrift.fleet.record import ELECTION
-from terndrift.fleet.window import WINDOW, Seconds
 from terndrift.fleet.work import DRIFT
 
 NS_PER_MS = 1_000_000
@@ -250,14 +250,14 @@
 
     def __init__(self, leases, kind, max_wait):
         self.leases, self.kind, self.max_wait = leases, kind, max_wait
-        self.buckets, self.requests = {}, Seconds(Counter)
+        self.buckets, self.requests = {}, CountsBySecond(Counter)
 
     def reserve(self, now, key):
         """Reserves one action for a key; returns its wait in ns, or None where it must not be performed."""
         part = self.leases.part(now, self.kind)
         if part is None:
             return 0
-        self.requests.at(now)[key] += 1
+        self.requests.current(now)[key] += 1
         bucket = self.buckets.setdefault(key, TokenBucket(now))
         wait = bucket.wait_time(now, part)
         if wait > self.max_wait:
@@ -267,8 +267,8 @@
 
     def update_demand(self, now):
         """Called periodically: the demand is that of the busiest key; drops full buckets of idle keys."""
-        recent = sum(self.requests.of_late(now), Counter())
-        self.leases.set_demand(self.kind, max(recent.values(), default=0) / WINDOW)
+        recent = sum(self.requests.recent(now), Counter())
+        self.leases.set_demand(self.kind, max(recent.values(), default=0) / WINDOW_SECONDS)
         part = self.leases.part(now, self.kind) or 0.0
         self.buckets = {
             key: bucket for key, bucket in self.buckets.items() if bucket.wait_time(now, part) or recent[key]
--- a/terndrift/fleet/load.py
+++ b/terndrift/fleet/load.py
@@ -4,12 +4,12 @@
 puts into `out`; surge.py fills in the local figures and reads the totals. This module does no I/O.
 
 Members are sorted by name and split into groups of about sqrt(n). Twice a second each member sends its
-complete counts of the last WINDOW seconds to the two collectors of its group: the first two of the group
-that are alive. A collector adds up its group, sends the sum to the collectors of the other groups, and sends
-the total to its own group. Each member is thus counted once, in the sum of one group. Of two sums of the same
-group, the one over more members is used, then the newer one. A report is valid for REPORT_LIFETIME_NS; after
-a partition, a restart or a false report a sum is wrong for at most that long. A member sends 4 datagrams a
-second, a collector up to 6 * sqrt(n).
+complete counts of the last WINDOW_SECONDS seconds to the two collectors of its group: the first two of the
+group that are alive. A collector adds up its group, sends the sum to the collectors of the other groups, and
+sends the total to its own group. Each member is thus counted once, in the sum of one group. Of two sums of
+the same group, the one over more members is used, then the newer one. A report is valid for
+REPORT_LIFETIME_NS; after a partition, a restart or a false report a sum is wrong for at most that long. A
+member sends 4 datagrams a second, a collector up to 6 * sqrt(n).
 """
 
 from math import isqrt
@@ -18,11 +18,12 @@
 
 from terndrift.fleet import beside
 from terndrift.fleet.messages import FleetLoad, Piggyback
-from terndrift.fleet.window import BEAT, SECOND, Seconds
+from terndrift.fleet.recent_counts import LOAD_REPORT_INTERVAL, SECOND, CountsBySecond
 
 NS_PER_MS = 1_000_000
 REPORT_LIFETIME_NS = 3 * SECOND
-# Higher counts of a single member are rejected as false: no controller gets that many requests in WINDOW.
+# Higher counts of a single member are rejected as false: no controller gets that many requests in
+# WINDOW_SECONDS.
 MAX_COUNT_PER_MEMBER = 100_000
 # Values of Load.scope: the counts of one member, of a group, of the whole fleet.
 MEMBER_REPORT, GROUP_REPORT, TOTAL_REPORT = range(3)
@@ -39,22 +40,22 @@
 
     def __init__(self):
         # per second: ({plan: row}, [extra attempts, connections])
-        self.seconds = Seconds(lambda: ({}, [0, 0]))
+        self.seconds = CountsBySecond(lambda: ({}, [0, 0]))
 
     def count(self, now, plan, *columns):
         """Adds one to each of the columns (WANTED to TURNED_AWAY) of a plan; `now` in ns."""
-        row = self.seconds.at(now)[0].setdefault(plan, [0] * 6)
+        row = self.seconds.current(now)[0].setdefault(plan, [0] * 6)
         for column in columns:
             row[column] += 1
 
     def count_other(self, now, column):
         """Adds one to EXTRA_ATTEMPTS or CONNECTIONS; `now` in ns."""
-        self.seconds.at(now)[1][column] += 1
+        self.seconds.current(now)[1][column] += 1
 
     def recent(self, now, open_setups):
-        """Returns ({plan: row}, row of other counts) of the last WINDOW whole seconds."""
+        """Returns ({plan: row}, row of other counts) of the last WINDOW_SECONDS whole seconds."""
         plans, others = {}, [0, 0, open_setups]
-        for second_plans, second_others in self.seconds.of_late(now):
+        for second_plans, second_others in self.seconds.recent(now):
             _add_rows(plans, second_plans)
             others = [a + b for a, b in zip(others, [*second_others, 0], strict=True)]
         return plans, others
@@ -133,7 +134,7 @@
         """Sends the due reports to `out`; `alive` names the other members that are alive."""
         if self.own is None or now < self.report_at:
             return
-        self.report_at, alive = now + BEAT, set(alive)
+        self.report_at, alive = now + LOAD_REPORT_INTERVAL, set(alive)
         own_report = self._report(MEMBER_REPORT, *self.own(now), 1, 0, self.own_beside(now))
         self.member_reports[self.me] = own_report, now
         own_collectors = self.collectors(self.own_group, alive | {self.me})
@@ -170,7 +171,15 @@
         if self.caps:
             carried = msgspec.structs.replace(carried or Piggyback(), shed_shares=self.caps)
         return FleetLoad(
-            kind, plans, others, members, group, level, by, (self.report_at - BEAT - at) // NS_PER_MS, carried
+            kind,
+            plans,
+            others,
+            members,
+            group,
+            level,
+            by,
+            (self.report_at - LOAD_REPORT_INTERVAL - at) // NS_PER_MS,
+            carried,
         )
 
     def heard(self, now, sender, report):
@@ -208,7 +217,11 @@
     @staticmethod
     def _store_better(table, key, report, now):
         previous, at = table.get(key, (None, 0))
-        if previous is None or now - at > BEAT or report.member_count >= previous.member_count:
+        if (
+            previous is None
+            or now - at > LOAD_REPORT_INTERVAL
+            or report.member_count >= previous.member_count
+        ):
             table[key] = report, now
 
     def decided(self, now, level, caps=()):
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -11,7 +11,7 @@
 from terndrift.fleet.copies import Copies
 from terndrift.fleet.leases import ASK, Leases
 from terndrift.fleet.load import Loads
-from terndrift.fleet.members import Membership, Standing
+from terndrift.fleet.membership import Membership, Standing
 from terndrift.fleet.messages import (
     CatalogueHead,
     CatalogueHeadRequest,
@@ -56,7 +56,7 @@
 
     def __init__(self, fleet, me, known, voters, durable, run, now, mint, seed=0):
         self.fleet, self.me, self.known, self.voters = fleet, me, set(known), list(voters)
-        self.members = Membership(me, known, run, now, seed)
+        self.membership = Membership(me, known, run, now, seed)
         self.follower = Follower(now)
         self.voter = None
         if durable is not None:
@@ -88,7 +88,7 @@
 
     def next_at(self):
         """When `tick` has to be called next."""
-        times = [self.members.next_at()] + [p[1] for p in self.pending_proposals.values()]
+        times = [self.membership.next_at()] + [p[1] for p in self.pending_proposals.values()]
         times += [self.next_pull_at] if self.voters else []
         times += [self.work_at] if self._has_work() else []
         times += [self.next_rank_at] if self.ranked else []
@@ -109,7 +109,7 @@
             envelope.epoch,
             envelope.commit_index,
             envelope.commit_age,
-            self.members.request_sent_at(message),
+            self.membership.request_sent_at(message),
         )
         if isinstance(message, messages.RaftMessage):
             if self.voter:
@@ -139,15 +139,15 @@
             if envelope.epoch >= self.follower.epoch[0]:  # the sender may still be in an outdated epoch
                 self.copies.heard(sender, message)
         elif isinstance(message, Observations):
-            self.warm.heard(now, sender, message, {n: m.run for n, m in self.members.members.items()})
+            self.warm.heard(now, sender, message, {n: m.run for n, m in self.membership.members.items()})
         else:
-            self.members.received(now, sender, message)
+            self.membership.received(now, sender, message)
         self._collect_output(now)
 
     def tick(self, now):
         """Runs all timers that are due."""
-        if self.members.next_at() <= now:
-            self.members.tick(now)
+        if self.membership.next_at() <= now:
+            self.membership.tick(now)
         if self.voter and self.voter.next_at() <= now:
             self.voter.tick(now)
         if now >= self.work_at and self._has_work():
@@ -161,7 +161,7 @@
                 now, self._choose_voter(now, self.leader(), now // ASK), self._leads_with_quorum(now)
             )
         # After a start no member is known to be alive yet: all of the configuration are tried, some answer.
-        candidates = self.members.alive() or sorted(self.known - {self.me})
+        candidates = self.membership.alive_names() or sorted(self.known - {self.me})
         self.copies.tick(now, candidates)
         if (self.ranked or self.warm.seen) and self.warm.next_at() <= now:
             self.warm.tick(now, candidates)
@@ -200,7 +200,7 @@
         """Announces a planned stop; a leader transfers its leadership first."""
         if self.voter:
             self.voter.stop(now)
-        self.members.leave(now)
+        self.membership.leave(now)
         self._collect_output(now)
 
     def restart(self, now, state):
@@ -251,13 +251,13 @@
         self.next_rank_at = now + SECOND
         self.ranks.look(now, self.follower.state)
         if self.voter and self.voter.role is Role.LEADER:
-            alive = {self.me, *self.members.alive()}
+            alive = {self.me, *self.membership.alive_names()}
             if proposal := self.ranks.next(now, self.follower.state, self.known, alive):
                 self.voter.propose(now, *proposal)
 
     def _report_load(self, now):
         """Reports the recent load; at the controller that decides, also steps the load shedding level."""
-        alive = self.members.alive()
+        alive = self.membership.alive_names()
         if self.shed and self.loads.decides(now, alive):
             if (
                 self.loads.level[1] != self.me
@@ -283,11 +283,11 @@
 
     def all_machines(self):
         """Returns name -> Machine: streamers from the host's list, and controllers from the membership."""
-        out, state, alive = dict(self.machines()), self.follower.state, set(self.members.alive())
+        out, state, alive = dict(self.machines()), self.follower.state, set(self.membership.alive_names())
         for name in self.known:
             is_voter = name in self.voters
-            is_alive = name == self.me and not self.members.leaving or name in alive
-            run = self.members.run if name == self.me else self.members.members[name].run
+            is_alive = name == self.me and not self.membership.leaving or name in alive
+            run = self.membership.run if name == self.me else self.membership.members[name].run
             ready = is_alive and (not is_voter or name in state["voters"])
             machine = Machine(CONTROLLER + name, -1, "", 0.0, ready, run, voter=is_voter)
             out[machine.name] = machine
@@ -325,9 +325,9 @@
         if leader not in (None, self.me):
             return leader
         others = [v for v in self.voters if v != self.me]
-        candidates = [v for v in others if v in self.members.alive()] or others
+        candidates = [v for v in others if v in self.membership.alive_names()] or others
         # A suspect may be cut off, so that what is sent to it is lost.
-        unsuspected = [v for v in candidates if self.members.members[v].standing is Standing.ALIVE]
+        unsuspected = [v for v in candidates if self.membership.members[v].standing is Standing.ALIVE]
         candidates = unsuspected or candidates
         return candidates[(now // MS + rotation) % len(candidates)] if candidates else None
 
@@ -371,7 +371,7 @@
             voter.writes, self.wrote = [], voter.wrote
             pending, voter.out = voter.out, []
             self._enqueue(now, pending, voter.wrote if self.writes or self.held else 0)
-        for part in (follower, self.members, self.warm, self.copies, self.loads, self.leases):
+        for part in (follower, self.membership, self.warm, self.copies, self.loads, self.leases):
             pending, part.out = part.out, []
             self._enqueue(now, pending)
 
--- a/terndrift/fleet/members.py
+++ b/terndrift/fleet/membership.py
@@ -68,7 +68,7 @@
 }
 
 
-def in_own_order(names, salt):
+def shuffled_by_salt(names, salt):
     """Returns the names in a pseudo-random order that depends on the salt.
 
     With a salt of its own each requester asks in another order, so that many members that start together
@@ -85,7 +85,7 @@
     run: int = 0  # 0: never heard of
     incarnation: int = 0
     standing: Standing = Standing.DEAD
-    since: int = 0  # time of the last change of its standing
+    standing_since: int = 0  # time of the last change of its standing
     suspected_by: set = field(default_factory=set)  # members that reported the suspicion
     transmissions: int = 0  # how often its current update was gossiped
     warnings_sent: int = 0  # of SUSPECT_WARNINGS, during the present suspicion
@@ -122,12 +122,13 @@
     def __init__(self, me, names, run, now, seed=0):
         self.me, self.run, self.incarnation, self.now = me, run, 0, now
         self.seed, self.draw_count = zlib.crc32(f"{seed}:{me}".encode()), 0
-        self.members = {name: Member(name, since=now) for name in names if name != me}
-        # out: (recipient, message); changes: (time, name, standing before, after), consumed by the host's log
-        self.out, self.changes = [], []
+        self.members = {name: Member(name, standing_since=now) for name in names if name != me}
+        # out: (recipient, message); standing_changes: (time, name, standing before, after), consumed by the
+        # host's log
+        self.out, self.standing_changes = [], []
         # forwards: own seq -> (requester, its seq, deadline, target) of pings sent for an IndirectPing
         self.seq, self.probe, self.forwards = 0, None, {}
-        self.probe_order, self.health, self.own_transmissions, self.leaving = [], 0, 0, False
+        self.probe_order, self.health_score, self.own_transmissions, self.leaving = [], 0, 0, False
         self.initial_exchanges_left = INITIAL_EXCHANGES
         self.false_deaths = 0  # how often others declared this running member dead
         # jitter, so that members that start together do not send in step
@@ -137,11 +138,11 @@
 
     # Queries.
 
-    def alive(self):
+    def alive_names(self):
         """Names of the other members that are alive, suspects included: a suspect counts until it is dead."""
         return [n for n, m in self.members.items() if m.run and m.standing <= Standing.SUSPECT]
 
-    def view(self, now):
+    def describe_members(self, now):
         """Returns the state of all members for operators, by name; `for_s` is seconds in that standing."""
         rows = {
             self.me: {
@@ -157,7 +158,7 @@
                 "standing": standing,
                 "run": member.run,
                 "incarnation": member.incarnation,
-                "for_s": round((now - member.since) / SECOND, 1),
+                "for_s": round((now - member.standing_since) / SECOND, 1),
             }
         return rows
 
@@ -212,7 +213,7 @@
         """Announces a planned stop to a few members, which gossip it, so that nobody has to detect it."""
         self.leaving, self.own_transmissions = True, 0
         for name in self._sample(
-            max(INDIRECT_PROBES, int(2 * math.log2(len(self.members) + 1))), self.alive()
+            max(INDIRECT_PROBES, int(2 * math.log2(len(self.members) + 1))), self.alive_names()
         ):
             self.seq += 1
             self.out.append((name, Ping(self.seq, self._select_updates(name))))
@@ -232,7 +233,7 @@
             if member.standing is Standing.SUSPECT:
                 self._advance_suspicion(now, member)
         if now >= self.next_exchange_at:
-            alone = not self.alive()
+            alone = not self.alive_names()
             self.initial_exchanges_left -= not alone and self.initial_exchanges_left > 0
             interval = (
                 SECOND
@@ -257,12 +258,12 @@
         """
         late_by = now - max(self.now, self.wake_at)
         if late_by > PAUSE_THRESHOLD:
-            self.health = MAX_HEALTH_SCORE
+            self.health_score = MAX_HEALTH_SCORE
             self.probe = None
             self.forwards.clear()
             for member in self.members.values():
                 if member.standing is Standing.SUSPECT:
-                    member.since += late_by
+                    member.standing_since += late_by
             self.next_ping_at = now + int(PROTOCOL_PERIOD * self._random())
             self.next_exchange_at = now
         self.now = now
@@ -289,10 +290,10 @@
     # Probing.
 
     def _start_probe(self, now):
-        self.next_ping_at = now + PROTOCOL_PERIOD * (1 + self.health)
+        self.next_ping_at = now + PROTOCOL_PERIOD * (1 + self.health_score)
         while True:
             if not self.probe_order:
-                self.probe_order = self._sample(len(self.members), self.alive())
+                self.probe_order = self._sample(len(self.members), self.alive_names())
                 if not self.probe_order:
                     return
             target = self.probe_order.pop()
@@ -300,7 +301,7 @@
                 break
         self.seq += 1
         self.probe = Probe(
-            target, self.seq, now, now + DIRECT_ACK_TIMEOUT * (1 + self.health), self.next_ping_at
+            target, self.seq, now, now + DIRECT_ACK_TIMEOUT * (1 + self.health_score), self.next_ping_at
         )
         self.out.append((target, Ping(self.seq, self._select_updates(target))))
 
@@ -308,7 +309,7 @@
         probe = self.probe
         if now >= probe.indirect_at and not probe.indirect_sent:
             probe.indirect_sent, probe.retry_at = True, (now + probe.deadline) // 2
-            helpers = self._sample(INDIRECT_PROBES, [n for n in self.alive() if n != probe.target])
+            helpers = self._sample(INDIRECT_PROBES, [n for n in self.alive_names() if n != probe.target])
             probe.helper_count = len(helpers)
             for name in helpers:
                 self.out.append((name, IndirectPing(probe.seq, probe.target, self._select_updates(name))))
@@ -321,9 +322,11 @@
         if now >= probe.deadline:
             self.probe = None
             # Helpers that send not even a nack point to a fault of this member's own link or event loop.
-            self.health = min(
+            self.health_score = min(
                 MAX_HEALTH_SCORE,
-                self.health + max(0, probe.helper_count - probe.nacks) + (0 if probe.helper_count else 1),
+                self.health_score
+                + max(0, probe.helper_count - probe.nacks)
+                + (0 if probe.helper_count else 1),
             )
             member = self.members[probe.target]
             if member.standing is Standing.ALIVE:
@@ -356,7 +359,9 @@
         return (
             member.next_warning_at
             if member.warnings_sent
-            else member.since + self._suspicion_timeout(member) - SUSPECT_WARNINGS * PROTOCOL_PERIOD // 2
+            else member.standing_since
+            + self._suspicion_timeout(member)
+            - SUSPECT_WARNINGS * PROTOCOL_PERIOD // 2
         )
 
     def _ack_received(self, now, sender, seq):
@@ -369,7 +374,7 @@
         if probe and probe.seq == seq:
             self.probe = None
             # Halved: in steps of one this member would ping rarely for most of a minute after a partition.
-            self.health //= 2
+            self.health_score //= 2
 
     def _suspicion_timeout(self, member):
         """Returns how long a suspicion lasts: long while one member reports it, short once several do."""
@@ -381,7 +386,7 @@
                 shortest,
                 MAX_SUSPICION_MULTIPLIER * shortest - (MAX_SUSPICION_MULTIPLIER - 1) * shortest * confirmed,
             )
-        ) * (1 + self.health // 2)
+        ) * (1 + self.health_score // 2)
 
     # Gossip.
 
@@ -461,7 +466,7 @@
             and update.incarnation >= self.incarnation
         ):
             self.incarnation, self.own_transmissions = update.incarnation + 1, 0
-            self.health = min(MAX_HEALTH_SCORE, self.health + 1)
+            self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
             self.false_deaths += update.standing == Standing.DEAD
 
     def _apply_update(self, now, sender, update):
@@ -497,5 +502,10 @@
         self._set_standing(now, member, member.standing, standing)
 
     def _set_standing(self, now, member, before, standing):
-        member.standing, member.since, member.transmissions, member.warnings_sent = standing, now, 0, 0
-        self.changes.append((now, member.name, before, standing))
+        member.standing, member.standing_since, member.transmissions, member.warnings_sent = (
+            standing,
+            now,
+            0,
+            0,
+        )
+        self.standing_changes.append((now, member.name, before, standing))
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -21,7 +21,7 @@
     class."""
 
 
-# Membership (members.py).
+# Membership (membership.py).
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
@@ -34,7 +34,7 @@
     name: str
     run: int
     incarnation: int
-    standing: int  # members.Standing
+    standing: int  # membership.Standing
 
 
 class Ping(Message):
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -195,9 +195,9 @@
             self._send(to, data)
         if controller.writes and self.write_task is None and not self.closing:
             self.write_task = asyncio.ensure_future(self._write())
-        for _, name, before, after in controller.members.changes:
+        for _, name, before, after in controller.membership.standing_changes:
             self.log.info("member", name=name, was=before.name.lower(), now=after.name.lower())
-        controller.members.changes.clear()
+        controller.membership.standing_changes.clear()
         for index, entry in controller.follower.heard:
             self.log.debug("agreed", index=index, kind=entry.kind, id=entry.id)
             if entry.kind == "value" and REV in entry.value:
@@ -324,7 +324,7 @@
             self.logged_level = level
             self.log.info("shed", at=level, why=self.controller.shed.why)
         self._process_output()
-        self.back.look(now, listed, self.controller.follower.as_of is not None, *self.answers.of_late(now))
+        self.back.look(now, listed, self.controller.follower.as_of is not None, *self.answers.recent(now))
         if self.back.stage is not previous_stage:
             self.log.info("return", stage=self.back.stage.value, past=self.recovery()["past"])
 
@@ -462,8 +462,8 @@
         return {
             "name": self.me,
             "fleet": self.value["name"],
-            "members": self.controller.members.view(now),
-            "health": self.controller.members.health,
+            "members": self.controller.membership.describe_members(now),
+            "health": self.controller.membership.health_score,
             "dropped": dict(self.dropped),
         }
 
--- a/terndrift/fleet/shed.py
+++ b/terndrift/fleet/shed.py
@@ -33,10 +33,10 @@
 
 from terndrift.fleet.crowds import Caps
 from terndrift.fleet.load import ANSWERED, IN_TARGET, SHED, WANTED
-from terndrift.fleet.window import BEAT, SECOND, WINDOW
+from terndrift.fleet.recent_counts import LOAD_REPORT_INTERVAL, SECOND, WINDOW_SECONDS
 
 HIGH_BAD_RATIO, LOW_BAD_RATIO, ALLOWED_BAD = 0.15, 0.05, 2
-HOLD_NS, SETTLING_NS = 2 * SECOND, WINDOW * SECOND + BEAT
+HOLD_NS, SETTLING_NS = 2 * SECOND, WINDOW_SECONDS * SECOND + LOAD_REPORT_INTERVAL
 GROWTH = 0.2
 BEST_MEMORY_NS = 30 * SECOND
 # With fewer answers in the window the ratio says nothing.
@@ -83,8 +83,8 @@
     def step(self, now, plans, keys=()):
         """Updates the level and the caps, and returns the level.
 
-        `plans`: plan -> row of the fleet's sums of the last WINDOW seconds (load.py); `keys`: requests of the
-        most requested keys (crowds.py).
+        `plans`: plan -> row of the fleet's sums of the last WINDOW_SECONDS seconds (load.py); `keys`:
+        requests of the most requested keys (crowds.py).
         """
         wanted, answered, in_target = (
             sum(row[n] for row in plans.values()) for n in (WANTED, ANSWERED, IN_TARGET)
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from terndrift.core.active_playback import AnswerKind
-from terndrift.fleet.members import Standing
+from terndrift.fleet.membership import Standing
 from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
 from terndrift.fleet.work import LIMIT, may_place
 
@@ -103,7 +103,7 @@
         Each controller's part of the free room depends on it, and no rule does. With the configured number,
         the few controllers that are left would leave unused the parts of all others.
         """
-        members = self.controller.members.members
+        members = self.controller.membership.members
         if not any(m.run for m in members.values()):
             return self.configured_rank[1]  # just started: no member has been met yet
         return 1 + sum(bool(m.run) and m.standing is Standing.ALIVE for m in members.values())
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -38,7 +38,7 @@
         self.seconds[-1][1] += asked
         self.seconds[-1][2] += counted
 
-    def of_late(self, now):
+    def recent(self, now):
         """Returns the sums (requests, outcomes) of the recent seconds."""
         recent = [s for s in self.seconds if s[0] > now // SECOND - self.seconds.maxlen]
         return sum(s[1] for s in recent), sum(s[2] for s in recent)
@@ -84,7 +84,7 @@
         controller.machines, controller.holding = self.machines, self.holding
         controller.wall, controller.turned = (
             lambda: self.clock.to_wall_ns(self.clock.now()) // 1_000_000,
-            self.rejections.of_late,
+            self.rejections.recent,
         )
         controller.ill = self.ill
 
@@ -219,7 +219,7 @@
             self.set_draining(drains)
         self._end_overdue_playbacks(now, draining)
         if not self.stopping and restarts(
-            self.controller.follower.state, self.machine_name, self.controller.members.run
+            self.controller.follower.state, self.machine_name, self.controller.membership.run
         ):
             self.stopping = True
             self.stop()
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -14,10 +14,10 @@
 from terndrift.fleet.leases import KeyedRateLimiter, Leases
 from terndrift.fleet.load import LoadCounter
 from terndrift.fleet.messages import Piggyback
+from terndrift.fleet.recent_counts import SECOND, WINDOW_SECONDS, CountsBySecond
 from terndrift.fleet.returns import Book
 from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
 from terndrift.fleet.strain import Strain
-from terndrift.fleet.window import SECOND, WINDOW, Seconds
 from terndrift.interface import Ending, State
 
 # Key in the record's map of a level set by an operator: {"level", "until" (ms since 1970), "by"}.
@@ -44,7 +44,7 @@
         now = self.clock.now()
         # failed_streamers: ids with a failed set-up or playback since the last `look`
         self.findings, self.failed_streamers = findings.Own(), set()
-        self.key_counter, self.failed_attempts = crowds.Own(), Seconds(lambda: [0])
+        self.key_counter, self.failed_attempts = crowds.Own(), CountsBySecond(lambda: [0])
         self.return_times, self.draw_count = Book(self.core.deployment.rules.longest_advice), 0
         # told: what the core was last told: (extra attempts, streamer id -> may attempt, return times in ns)
         self.strain, self.told = Strain(len(plans)), (None, {}, ())
@@ -85,7 +85,7 @@
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in FAILED_ENDINGS):
             # `look` checks whether the core has set the streamer aside for it.
             self.failed_streamers.add(playback.streamer.id)
-            self.failed_attempts.at(now)[0] += event == "try over"
+            self.failed_attempts.current(now)[0] += event == "try over"
 
     def gate(self, plan, wait):
         """Called when this controller's own bounds turned a viewer away, to come back after `wait` ns."""
@@ -131,19 +131,19 @@
         # second.
         waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.pending)
         self.leases.set_demand(
-            "extra", sum(n for (n,) in self.failed_attempts.of_late(now)) / WINDOW + waiting
+            "extra", sum(n for (n,) in self.failed_attempts.recent(now)) / WINDOW_SECONDS + waiting
         )
         self.connection_limiter.update_demand(now)
         self.call_limiter.update_demand(now)
         rides = self.controller.loads.rides(now)
-        alive = {self.controller.me, *self.controller.members.alive()}
+        alive = {self.controller.me, *self.controller.membership.alive_names()}
         judged = findings.judged(now, self.controller.me, rides.failures, alive, self.findings.tried)
         may_attempt = (
             {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
         )
         plans, _, _ = self.controller.loads.total(now)
-        wanted_rate = sum(row[load.WANTED] for row in plans.values()) / WINDOW
-        self.return_times.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW)
+        wanted_rate = sum(row[load.WANTED] for row in plans.values()) / WINDOW_SECONDS
+        self.return_times.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW_SECONDS)
         told = (
             self.leases.available(now, "extra"),
             may_attempt,
@@ -212,14 +212,16 @@
         rides = self.controller.loads.rides(now)
         value, by, at = self.controller.loads.level
         names = ("wanted", "shed", "answered", "in_target", "late", "turned_away")
-        rows = {n: dict(zip(names, [x / WINDOW for x in row], strict=True)) for n, row in plans.items()}
+        rows = {
+            n: dict(zip(names, [x / WINDOW_SECONDS for x in row], strict=True)) for n, row in plans.items()
+        }
         decides = by == self.controller.me
         return {
             "name": self.controller.me,
             "members": members,
             "plans": rows,
-            "extra_tries": others[load.EXTRA_ATTEMPTS] / WINDOW,
-            "connections": others[load.CONNECTIONS] / WINDOW,
+            "extra_tries": others[load.EXTRA_ATTEMPTS] / WINDOW_SECONDS,
+            "connections": others[load.CONNECTIONS] / WINDOW_SECONDS,
             "open": others[load.OPEN_SETUPS],
             "level": round(level, 3),
             "decided_by": by,
--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -18,7 +18,7 @@
 import zlib
 from dataclasses import dataclass
 
-from terndrift.fleet.members import in_own_order
+from terndrift.fleet.membership import shuffled_by_salt
 from terndrift.fleet.messages import Observation, Observations, ObservationsRequest
 
 MS = 1_000_000
@@ -181,7 +181,7 @@
     def _request(self, now, alive):
         """Asks one member; those already asked come again only when all others have been asked."""
         self.next_request_at = now + REQUEST_INTERVAL_NS
-        order = in_own_order(alive, f"{self.me}/")
+        order = shuffled_by_salt(alive, f"{self.me}/")
         remaining = [n for n in order if n not in self.requested_at] or [
             n for n in order if n not in self.responders
         ]
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -94,7 +94,7 @@
             return
         now = self.world.now
         heard = self.controller.follower.as_of is not None
-        self.back.look(now, True, heard, *self.served.of_late(now))
+        self.back.look(now, True, heard, *self.served.recent(now))
         self.sight.look()
         if (kept := self.sight.keeps()) is not None:
             self.kept = kept
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 
 from terndrift.fleet import record
 from terndrift.fleet.arena import Arena
-from terndrift.fleet.members import Membership, Standing
+from terndrift.fleet.membership import Membership, Standing
 from terndrift.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     Ack,
@@ -229,7 +229,9 @@
     arena.cut = lambda a, b: False
     settled_after = arena.until(arena.settled, 30)
     assert settled_after is not None and all(
-        c.members.members["c7"].run == arena.up["c7"].members.run for n, c in arena.up.items() if n != "c7"
+        c.membership.members["c7"].run == arena.up["c7"].membership.run
+        for n, c in arena.up.items()
+        if n != "c7"
     )
 
 
@@ -247,11 +249,11 @@
 
 def test_a_restart_is_a_new_run_and_a_planned_stop_is_announced():
     arena = started_arena()
-    old_run = arena.up["c8"].members.run
+    old_run = arena.up["c8"].membership.run
     arena.kill("c8")
     arena.run(0.5)
     arena.start("c8")
-    others = [c.members.members for n, c in arena.up.items() if n != "c8"]
+    others = [c.membership.members for n, c in arena.up.items() if n != "c8"]
     assert arena.until(lambda: all(m["c8"].run > old_run for m in others), 20) is not None
     old_leader = wait_for_leader(arena)
     arena.call(old_leader, "leave")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -8,8 +8,8 @@
 from terndrift.fleet import load, shed
 from terndrift.fleet.load import REPORT_LIFETIME_NS, LoadCounter, Loads
 from terndrift.fleet.messages import FleetLoad
+from terndrift.fleet.recent_counts import WINDOW_SECONDS
 from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
-from terndrift.fleet.window import WINDOW
 
 SECOND = 1_000_000_000
 
@@ -223,8 +223,8 @@
             if n + 2 < request[2]:
                 self.retries.setdefault(n + self.random.choice((2, 3)), []).append(request)
         self.rows.append((len(requests), len(taken), in_time))
-        self.sums = (self.sums + [row])[-WINDOW - 1 :]
-        window = self.sums[:WINDOW]  # a second old, as the fleet's sums are
+        self.sums = (self.sums + [row])[-WINDOW_SECONDS - 1 :]
+        window = self.sums[:WINDOW_SECONDS]  # a second old, as the fleet's sums are
         for _ in range(2):  # the level is stepped twice a second
             self.now += SECOND // 2
             if self.level:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -289,7 +289,7 @@
             for n, front in enumerate(liars):
 
                 def false_message(now, addresses, answers=False, front=front, n=n):
-                    run_of, ill = front.controller.members.run, 0 if n else -1
+                    run_of, ill = front.controller.membership.run, 0 if n else -1
                     return Observations(
                         [
                             Observation(a, front.name, run_of, 0, 60_000, 0, ill)
