--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -28,7 +28,8 @@
         self.arena.call(self.names[0], "restart", None)
         assert (
             self.arena.until(
-                lambda: all(len(c.follower.state["voters"]) == VOTERS for c in self.arena.up.values()), 120
+                lambda: all(len(c.committed_log.state["voters"]) == VOTERS for c in self.arena.up.values()),
+                120,
             )
             is not None
         )
--- a/terndrift/cli/fleet.py
+++ b/terndrift/cli/fleet.py
@@ -9,7 +9,7 @@
 
 from terndrift.cli.stored import address, ask, fail, kept_in, shown
 from terndrift.fleet import surge
-from terndrift.fleet.record import Durable
+from terndrift.fleet.raft import PersistentState
 from terndrift.fleet.service import STREAM
 
 AS_JSON = click.option("--json", "plain", is_flag=True, help="As JSON.")
@@ -282,7 +282,7 @@
 
 def kept(folder):
     """The state in a voter's folder as far as it is known to be agreed, and what lies beyond."""
-    return kept_in(folder, {STREAM: Durable()})[STREAM]
+    return kept_in(folder, {STREAM: PersistentState()})[STREAM]
 
 
 @fleet.command("restart-record")
@@ -299,12 +299,12 @@
         raise click.UsageError("one of --from FOLDER and --empty is wanted")
     now, state = got(admin, "/fleet/record"), None
     if folder:
-        from terndrift.fleet.agreed import applied, copied
+        from terndrift.fleet.committed_state import apply_entry, copy_state
 
         durable = kept(folder)
-        state = copied(durable.base)
-        for n, entry in enumerate(durable.entries, durable.base["last"] + 1):
-            applied(state, n, entry)
+        state = copy_state(durable.snapshot)
+        for n, entry in enumerate(durable.entries, durable.snapshot["last"] + 1):
+            apply_entry(state, n, entry)
         click.echo(
             f"{os.path.basename(folder)}: epoch {durable.epoch[0]}, {state['last']} entries; the last "
             f"{len(durable.entries)} may never have been agreed, and count from now on",
--- a/terndrift/fleet/arena.py
+++ b/terndrift/fleet/arena.py
@@ -12,7 +12,7 @@
 
 from terndrift.fleet.member import Controller
 from terndrift.fleet.messages import MAX_DATAGRAM_BYTES, decode
-from terndrift.fleet.record import Durable
+from terndrift.fleet.raft import PersistentState
 
 # Times are in ns.
 MS = 1_000_000
@@ -57,7 +57,7 @@
     def start(self, *names):
         """Starts these controllers, or all, with what is on their disks."""
         for name in names or self.names:
-            durable = Durable()
+            durable = PersistentState()
             for record in self.disks[name].records:
                 durable.replay(record)
             voter_state = durable if name in self.voters else None
@@ -239,8 +239,8 @@
         for when, member, before, after in controller.membership.standing_changes:
             self.changes.append((when, name, member, before, after))
         controller.membership.standing_changes.clear()
-        for index, entry in controller.follower.heard:
-            first = self.agreed.setdefault((controller.follower.epoch, index), entry)
+        for index, entry in controller.committed_log.newly_committed:
+            first = self.agreed.setdefault((controller.committed_log.epoch, index), entry)
             if first != entry:
                 self.wrong.append(f"entry {index}: {first} and, at {name}, {entry}")
-        controller.follower.heard.clear()
+        controller.committed_log.newly_committed.clear()
--- a/terndrift/fleet/agreed.py
+++ b/terndrift/fleet/committed_state.py
@@ -1,7 +1,7 @@
 """Committed state of the replicated log, as every controller holds it, and how recent it is.
 
-`member.Controller` owns a `Follower`, whether or not the controller is a voter. A voter feeds it committed
-entries; all others pull them from whoever is further ahead. Only committed entries may reach it.
+`member.Controller` owns a `CommittedLog`, whether or not the controller is a voter. A voter feeds it
+committed entries; all others pull them from whoever is further ahead. Only committed entries may reach it.
 
 The age of the state counts from a controller's own requests alone. A message that answers none of them may
 have been delayed on its way, or in the socket of a process that was paused, for longer than anybody can
@@ -21,12 +21,12 @@
 MAX_ENTRIES_PER_ANSWER = 500
 
 
-def beginning(epoch, voters=()):
+def initial_state(epoch, voters=()):
     """Initial state of an epoch (number, mark); `voters`: name -> identity."""
     return {"epoch": list(epoch), "last": 0, "term": 0, "voters": dict(voters), "map": {}, "ids": {}}
 
 
-def applied(state, index, entry):
+def apply_entry(state, index, entry):
     """Applies the entry at `index`, the next one, to `state` in place.
 
     A value is {key: value}; None deletes a key. Under "?" it may hold the values that keys are required to
@@ -53,23 +53,24 @@
                 state["map"][key] = value
 
 
-def copied(state):
+def copy_state(state):
     """Copies a state; values are shared, as none is ever changed in place."""
     return {**state, "voters": dict(state["voters"]), "map": dict(state["map"]), "ids": dict(state["ids"])}
 
 
-class Follower:
+class CommittedLog:
     """The committed state at one controller, and the requests for what it lacks.
 
     The owner sends what is in `out` (name, message) and takes the newly committed (index, entry) from
-    `heard`. Times are in ns by the controller's own clock.
+    `newly_committed`. Times are in ns by the controller's own clock.
     """
 
     def __init__(self, now):
-        self.state, self.entries = beginning((0, "")), []  # entries: the latest ones, to answer requests from
-        self.as_of = None  # latest time at which the state is known to have been complete
-        self.out, self.pull_sent_at, self.heard = [], 0, []
-        self.asks = deque(maxlen=8)  # send times of the latest requests
+        # entries: the latest ones, to answer requests from
+        self.state, self.entries = initial_state((0, "")), []
+        self.complete_as_of = None  # latest time at which the state is known to have been complete
+        self.out, self.pull_sent_at, self.newly_committed = [], 0, []
+        self.pull_times = deque(maxlen=8)  # send times of the latest requests
 
     @property
     def epoch(self):
@@ -77,60 +78,64 @@
         return tuple(self.state["epoch"])
 
     @property
-    def last(self):
+    def last_index(self):
         """Index of the last committed entry that is applied here."""
         return self.state["last"]
 
     def age(self, now):
         """Time (ns) since the state was last known to be complete; None if it never was."""
-        return None if self.as_of is None else max(0, now - self.as_of)
+        return None if self.complete_as_of is None else max(0, now - self.complete_as_of)
 
-    def known_at(self, time):
+    def mark_complete(self, time):
         """Notes that the state was complete at `time`."""
-        self.as_of = time if self.as_of is None else max(self.as_of, time)
+        self.complete_as_of = time if self.complete_as_of is None else max(self.complete_as_of, time)
 
-    def take(self, entry):
+    def apply_committed(self, entry):
         """Applies the next committed entry."""
-        index = self.last + 1
-        applied(self.state, index, entry)
+        index = self.last_index + 1
+        apply_entry(self.state, index, entry)
         self.entries.append(entry)
         if len(self.entries) > 2 * MAX_ENTRIES_PER_ANSWER:
             del self.entries[:MAX_ENTRIES_PER_ANSWER]
-        self.heard.append((index, entry))
+        self.newly_committed.append((index, entry))
 
-    def begin(self, state):
+    def load_snapshot(self, state):
         """Replaces the state with a snapshot of a later epoch, or of a later index in this one."""
         epoch_changed = tuple(state["epoch"]) != self.epoch
-        self.state, self.entries = copied(state), []
+        self.state, self.entries = copy_state(state), []
         if epoch_changed:
-            self.as_of = None
+            self.complete_as_of = None
 
-    def ask(self, now, target):
+    def send_pull(self, now, target):
         """Requests the entries that are missing here from the controller named `target`."""
         self.pull_sent_at = now
-        self.asks.append(now)
-        self.out.append((target, PullRequest(self.epoch, self.last, now)))
+        self.pull_times.append(now)
+        self.out.append((target, PullRequest(self.epoch, self.last_index, now)))
 
-    def told(self, now, sender, epoch, commit_index, age, request_sent_at=None):
+    def handle_progress(self, now, sender, epoch, commit_index, age, request_sent_at=None):
         """Handles the epoch number, commit index and age (ms) that every message carries.
 
         `request_sent_at` is the time (ns) at which this controller sent the request that the message
         answers, None if it answers none; only an answer can make the state here more recent.
         """
-        if (epoch, commit_index) > (self.epoch[0], self.last):
+        if (epoch, commit_index) > (self.epoch[0], self.last_index):
             if now - self.pull_sent_at > 100 * MS:
-                self.ask(now, sender)
-        elif (epoch, commit_index) == (self.epoch[0], self.last) and age >= 0 and request_sent_at is not None:
-            self.known_at(request_sent_at - age * MS)
-
-    def asked(self, now, sender, pull):
+                self.send_pull(now, sender)
+        elif (
+            (epoch, commit_index) == (self.epoch[0], self.last_index)
+            and age >= 0
+            and request_sent_at is not None
+        ):
+            self.mark_complete(request_sent_at - age * MS)
+
+    def handle_pull(self, now, sender, pull):
         """Answers a `PullRequest` with entries, or with a snapshot if the entries are no longer here.
 
         Doesn't answer a sender that is further ahead.
         """
-        if pull.epoch > self.epoch or pull.epoch == self.epoch and pull.last_index > self.last:
+        if pull.epoch > self.epoch or pull.epoch == self.epoch and pull.last_index > self.last_index:
             return
-        before_entries = self.last - len(self.entries)
+        before_entries = self.last_index - len(self.entries)
         age = self.age(now)
         if pull.epoch == self.epoch and pull.last_index >= before_entries:
             after, entries, state = (
@@ -139,23 +144,23 @@
                 None,
             )
         else:
-            after, entries, state = self.last, [], copied(self.state)
+            after, entries, state = self.last_index, [], copy_state(self.state)
         answer = PullResponse(
-            self.epoch, after, entries, self.last, state, -1 if age is None else age, pull.requested_at
+            self.epoch, after, entries, self.last_index, state, -1 if age is None else age, pull.requested_at
         )
         self.out.append((sender, answer))
 
-    def answered(self, now, sender, answer):
+    def handle_pull_answer(self, now, sender, answer):
         """Handles a `PullResponse` message; requests the rest if it doesn't bring the state up to date."""
         if answer.epoch < self.epoch:
             return
-        if answer.state is not None and (answer.epoch, answer.state["last"]) > (self.epoch, self.last):
-            self.begin(answer.state)
-        if answer.epoch == self.epoch and answer.prev_index <= self.last:
-            for entry in answer.entries[self.last - answer.prev_index :]:
-                self.take(entry)
-        if answer.epoch == self.epoch and self.last >= answer.commit_index:
-            if answer.commit_age >= 0 and answer.requested_at in self.asks:
-                self.known_at(answer.requested_at - answer.commit_age)
+        if answer.state is not None and (answer.epoch, answer.state["last"]) > (self.epoch, self.last_index):
+            self.load_snapshot(answer.state)
+        if answer.epoch == self.epoch and answer.prev_index <= self.last_index:
+            for entry in answer.entries[self.last_index - answer.prev_index :]:
+                self.apply_committed(entry)
+        if answer.epoch == self.epoch and self.last_index >= answer.commit_index:
+            if answer.commit_age >= 0 and answer.requested_at in self.pull_times:
+                self.mark_complete(answer.requested_at - answer.commit_age)
         elif answer.entries or answer.state:
-            self.ask(now, sender)
+            self.send_pull(now, sender)
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -34,7 +34,10 @@
         """Proposes this controller's URL if the record has another or none; called every second."""
         controller = self.controller
         key = FRONT_KEY_PREFIX + controller.me
-        if controller.follower.as_of is None or controller.follower.state["map"].get(key, "") == self.mine:
+        if (
+            controller.committed_log.complete_as_of is None
+            or controller.committed_log.state["map"].get(key, "") == self.mine
+        ):
             return
         controller.propose(now, f"{key}/{controller.membership.run}", {key: self.mine or None})
 
@@ -46,7 +49,7 @@
         """
         controller = self.controller
         draining, _ = controller.off(now)
-        agreed_map, members = controller.follower.state["map"], controller.membership.members
+        agreed_map, members = controller.committed_log.state["map"], controller.membership.members
         found = {
             name: url
             for name in sorted(controller.known)
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -12,7 +12,8 @@
   on each use: a process that was paused or cut off has no lease when it resumes.
 - The leader counts a lease until LEASE_NS after the grant, plus 2% for clock drift, whether or not it
   arrived; of several that one holder may still have it counts the largest.
-- A leader grants only while a quorum has answered questions sent less than ELECTION ago, and not before
+- A leader grants only while a quorum has answered questions sent less than ELECTION_TIMEOUT ago, and not
+before
   LEADER_WAIT_NS after it became leader: by then all leases of the leader before it have expired.
 
 So the parts in force add up to at most the limit, and to less after a change of leader or in the minority
@@ -26,8 +27,8 @@
 from collections import Counter, deque
 
 from terndrift.fleet.messages import LeaseRequest, LeaseResponse
+from terndrift.fleet.raft import ELECTION_TIMEOUT
 from terndrift.fleet.recent_counts import WINDOW_SECONDS, CountsBySecond
-from terndrift.fleet.record import ELECTION
 from terndrift.fleet.work import DRIFT
 
 NS_PER_MS = 1_000_000
@@ -38,7 +39,7 @@
 # Of the limit: a fifth leaves most of it to controllers with demand, and a controller that is cut off can
 # still act.
 GUARANTEED_SHARE = 0.2
-LEADER_WAIT_NS = int((ELECTION + LEASE_NS) * (1 + DRIFT)) + ELECTION // 4
+LEADER_WAIT_NS = int((ELECTION_TIMEOUT + LEASE_NS) * (1 + DRIFT)) + ELECTION_TIMEOUT // 4
 MAX_HOPS = 2
 # Demand is the recent use and what had to wait, times this: in a surge the parts then grow to the need
 # within two or three requests.
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -7,7 +7,7 @@
 """
 
 from terndrift.fleet import messages, ranks, work
-from terndrift.fleet.agreed import Follower
+from terndrift.fleet.committed_state import CommittedLog
 from terndrift.fleet.copies import Copies
 from terndrift.fleet.leases import ASK, Leases
 from terndrift.fleet.load import Loads
@@ -25,7 +25,7 @@
     PullRequest,
     PullResponse,
 )
-from terndrift.fleet.record import ELECTION, Role, Voter
+from terndrift.fleet.raft import ELECTION_TIMEOUT, Role, Voter
 from terndrift.fleet.room import CONTROLLER, Machine
 from terndrift.fleet.warm import Known
 
@@ -50,17 +50,17 @@
     """The state of one controller in the fleet: membership, replicated record, and gossip.
 
     `known` are the names of all controllers of the configuration, this one included, and `voters` those that
-    vote. `durable` is what a voter has stored, None for others; `mint()` returns a new identity for it. `run`
-    is the start of this process in ms since 1970.
+    vote. `stored_state` is what a voter has stored, None for others; `mint()` returns a new identity for it.
+    `run` is the start of this process in ms since 1970.
     """
 
-    def __init__(self, fleet, me, known, voters, durable, run, now, mint, seed=0):
+    def __init__(self, fleet, me, known, voters, stored_state, run, now, mint, seed=0):
         self.fleet, self.me, self.known, self.voters = fleet, me, set(known), list(voters)
         self.membership = Membership(me, known, run, now, seed)
-        self.follower = Follower(now)
+        self.committed_log = CommittedLog(now)
         self.voter = None
-        if durable is not None:
-            self.voter = Voter(me, voters, durable, self.follower, now, mint, seed)
+        if stored_state is not None:
+            self.voter = Voter(me, voters, stored_state, self.committed_log, now, mint, seed)
         # out: (recipient, bytes), in order; writes: records for the store; wrote: how many were ever put
         # there; held: (value of wrote to wait for, recipient, bytes)
         self.out, self.writes, self.wrote, self.held = [], [], 0, []
@@ -75,7 +75,11 @@
         self.wall, self.turned, self.ill = lambda: 0, lambda now: (0, 0), lambda names: []
         # last_epoch and last_map: of the record when last looked at; left: machine -> its row, for those that
         # were out for work when the record was begun anew
-        self.last_epoch, self.last_map, self.left = self.follower.epoch, self.follower.state["map"], {}
+        self.last_epoch, self.last_map, self.left = (
+            self.committed_log.epoch,
+            self.committed_log.state["map"],
+            {},
+        )
         self.off_cache = None, set()  # what the set was computed from; names of machines not to place on
         self.warm, self.copies = Known(me, run, now), Copies(me, now, list, 0)
         self.loads, self.shed = Loads(me, known, now), None  # shed: a shed.Level if the host sheds load
@@ -103,7 +107,7 @@
     def received(self, now, envelope):
         """Handles a message that `messages.decode` has accepted."""
         sender, message = envelope.sender, envelope.message
-        self.follower.told(
+        self.committed_log.handle_progress(
             now,
             sender,
             envelope.epoch,
@@ -115,13 +119,13 @@
             if self.voter:
                 self.voter.received(now, sender, message)
         elif isinstance(message, PullRequest):
-            self.follower.asked(now, sender, message)
+            self.committed_log.handle_pull(now, sender, message)
         elif isinstance(message, PullResponse):
-            self.follower.answered(now, sender, message)
+            self.committed_log.handle_pull_answer(now, sender, message)
         elif isinstance(message, Propose):
             self._submit(now, message)
         elif isinstance(message, PlacementReport):
-            if envelope.epoch == self.follower.epoch[0]:  # revisions of another epoch cannot be compared
+            if envelope.epoch == self.committed_log.epoch[0]:  # revisions of another epoch cannot be compared
                 self.holds[sender] = message, now
         elif isinstance(message, ObservationsRequest):
             self.warm.asked(now, sender)
@@ -136,7 +140,7 @@
         elif isinstance(message, CatalogueHeadRequest):
             self.copies.asked(sender)
         elif isinstance(message, CatalogueHead):
-            if envelope.epoch >= self.follower.epoch[0]:  # the sender may still be in an outdated epoch
+            if envelope.epoch >= self.committed_log.epoch[0]:  # the sender may still be in an outdated epoch
                 self.copies.heard(sender, message)
         elif isinstance(message, Observations):
             self.warm.heard(now, sender, message, {n: m.run for n, m in self.membership.members.items()})
@@ -168,7 +172,7 @@
         if now >= self.next_pull_at and self.voters:
             self._refresh_record(now)
         for id, proposal in list(self.pending_proposals.items()):
-            if id in self.follower.state["ids"]:
+            if id in self.committed_log.state["ids"]:
                 del self.pending_proposals[id]
             elif now >= proposal[1]:
                 proposal[1], proposal[2] = now + PROPOSAL_RETRY_INTERVAL, proposal[2] + 1
@@ -210,15 +214,15 @@
 
     def off(self, now):
         """Returns (machines excluded by planned work, whether this controller may place on the others)."""
-        cache_key = self.follower.epoch, self.follower.last, len(self.left)
+        cache_key = self.committed_log.epoch, self.committed_log.last_index, len(self.left)
         if self.off_cache[0] != cache_key:  # read for each set-up, but changed only by a committed entry
-            self.off_cache = cache_key, work.told_off(self.follower.state) | set(self.left)
-        return self.off_cache[1], work.may_place(self.follower.age(now))
+            self.off_cache = cache_key, work.told_off(self.committed_log.state) | set(self.left)
+        return self.off_cache[1], work.may_place(self.committed_log.age(now))
 
     def _run_work(self, now):
         """Reports to the voters what is held on excluded machines; as the leader, proposes the next step."""
         self.work_at = now + WORK_INTERVAL
-        state, own_machine = self.follower.state, CONTROLLER + self.me
+        state, own_machine = self.committed_log.state, CONTROLLER + self.me
         off, table = self.off(now)[0], work.rows(state)
         if off or any(work.State(row["state"]) not in work.ENDED for row in table.values()):
             placement_report = self._placement_report(now, state, off, table)
@@ -249,10 +253,10 @@
     def _propose_ranks(self, now):
         """As the leader, proposes who shares the slow start of cold streamers, when that has changed."""
         self.next_rank_at = now + SECOND
-        self.ranks.look(now, self.follower.state)
+        self.ranks.look(now, self.committed_log.state)
         if self.voter and self.voter.role is Role.LEADER:
             alive = {self.me, *self.membership.alive_names()}
-            if proposal := self.ranks.next(now, self.follower.state, self.known, alive):
+            if proposal := self.ranks.next(now, self.committed_log.state, self.known, alive):
                 self.voter.propose(now, *proposal)
 
     def _report_load(self, now):
@@ -269,13 +273,18 @@
         self.loads.tick(now, alive)
 
     def _leads_with_quorum(self, now):
-        """Whether this is the leader and a majority has answered a request sent less than ELECTION ago."""
+        """Whether this is the leader and a majority has answered a request sent less than ELECTION_TIMEOUT
+        ago."""
         voter = self.voter
-        return voter is not None and voter.role is Role.LEADER and now - voter.quorum_at() < ELECTION
+        return (
+            voter is not None
+            and voter.role is Role.LEADER
+            and now - voter.quorum_contact_at() < ELECTION_TIMEOUT
+        )
 
     def turn(self, now):
         """Returns this controller's share of the slow start of cold streamers; see `Ranks.turn`."""
-        return self.ranks.turn(now, self.follower.state, self.me, self.follower.age(now))
+        return self.ranks.turn(now, self.committed_log.state, self.me, self.committed_log.age(now))
 
     def seen(self):
         """Returns what the leader goes by in planned work, beside the record."""
@@ -283,7 +292,11 @@
 
     def all_machines(self):
         """Returns name -> Machine: streamers from the host's list, and controllers from the membership."""
-        out, state, alive = dict(self.machines()), self.follower.state, set(self.membership.alive_names())
+        out, state, alive = (
+            dict(self.machines()),
+            self.committed_log.state,
+            set(self.membership.alive_names()),
+        )
         for name in self.known:
             is_voter = name in self.voters
             is_alive = name == self.me and not self.membership.leaving or name in alive
@@ -295,21 +308,21 @@
 
     def _track_epoch(self):
         """Keeps machines excluded that were out for work in the previous epoch, until an operator decides."""
-        state = self.follower.state
-        if self.follower.epoch != self.last_epoch:
+        state = self.committed_log.state
+        if self.committed_log.epoch != self.last_epoch:
             if self.last_epoch[0]:
                 self.left |= work.under_way({"map": self.last_map})
-            self.last_epoch, self.holds, self.work = self.follower.epoch, {}, work.Work()
+            self.last_epoch, self.holds, self.work = self.committed_log.epoch, {}, work.Work()
         self.last_map = state["map"]
         if self.left:
             self.left = {n: row for n, row in self.left.items() if f"work/m/{n}" not in self.last_map}
 
     def _has_work(self):
-        return bool(self.left) or work.REV in self.follower.state["map"]
+        return bool(self.left) or work.REV in self.committed_log.state["map"]
 
     def _refresh_record(self, now):
         """Pulls the record when the copy here is old: from the leader if known, else from a voter in turn."""
-        age, max_age = self.follower.age(now), MAX_RECORD_AGE // 2 if self.voter else MAX_RECORD_AGE
+        age, max_age = self.committed_log.age(now), MAX_RECORD_AGE // 2 if self.voter else MAX_RECORD_AGE
         leads = self.voter and self.voter.role is Role.LEADER
         if leads or age is not None and age < max_age:
             self.next_pull_at = now + (SECOND if leads else max_age - age)
@@ -318,7 +331,7 @@
         starting = age is None and now - self.started_at < STARTUP_PERIOD
         self.next_pull_at = now + (SECOND // 4 if starting else SECOND)
         if to := self._choose_voter(now, self.leader(), self.next_pull_at // (SECOND // 4)):
-            self.follower.ask(now, to)
+            self.committed_log.send_pull(now, to)
 
     def _choose_voter(self, now, leader, rotation=0):
         """Returns the leader if it is another, known controller, else a voter in rotation; None: no voter."""
@@ -337,8 +350,8 @@
 
     def cut_off(self, now):
         """Returns how long (ns) the record here has been out of date; 0: it is current, or has not begun."""
-        age = self.follower.age(now)
-        if self.follower.epoch[0] == 0:
+        age = self.committed_log.age(now)
+        if self.committed_log.epoch[0] == 0:
             return 0
         age = now - self.started_at if age is None else age
         return age if age > CUT_OFF_AFTER else 0
@@ -360,33 +373,33 @@
 
         Messages of the voter wait until the records that it wrote before them are durable.
         """
-        voter, follower = self.voter, self.follower
+        voter, committed_log = self.voter, self.committed_log
         self._track_epoch()
         if voter:
-            voter.newer_epoch(now)
-            self.leases.led(now, voter.role is Role.LEADER and (follower.epoch, voter.d.term))
-            if voter.role is Role.LEADER and work.rev(follower.state) != self.led_work_rev:
+            voter.adopt_newer_epoch(now)
+            self.leases.led(now, voter.role is Role.LEADER and (committed_log.epoch, voter.persistent.term))
+            if voter.role is Role.LEADER and work.rev(committed_log.state) != self.led_work_rev:
                 self.work_at = now  # a step was committed: the next one need not wait for the interval
             self.writes += voter.writes
             voter.writes, self.wrote = [], voter.wrote
             pending, voter.out = voter.out, []
             self._enqueue(now, pending, voter.wrote if self.writes or self.held else 0)
-        for part in (follower, self.membership, self.warm, self.copies, self.loads, self.leases):
+        for part in (committed_log, self.membership, self.warm, self.copies, self.loads, self.leases):
             pending, part.out = part.out, []
             self._enqueue(now, pending)
 
     def _enqueue(self, now, pending, after=0):
         """Encodes (recipient, message) pairs for `out`, or for `held` until `after` records are durable."""
-        follower = self.follower
-        age = follower.age(now)
+        committed_log = self.committed_log
+        age = committed_log.age(now)
         for to, message in pending:
             data = messages.encode(
                 self.fleet,
                 self.me,
                 to,
                 message,
-                follower.epoch[0],
-                follower.last,
+                committed_log.epoch[0],
+                committed_log.last_index,
                 -1 if age is None else age // MS,
             )
             if after:
@@ -398,15 +411,15 @@
 
     def report(self, now):
         """Returns the state of the record at this controller, for operators."""
-        follower, voter = self.follower, self.voter
-        age = follower.age(now)
+        committed_log, voter = self.committed_log, self.voter
+        age = committed_log.age(now)
         out = {
             "name": self.me,
-            "epoch": list(follower.epoch),
-            "agreed": follower.last,
+            "epoch": list(committed_log.epoch),
+            "agreed": committed_log.last_index,
             "age_s": None if age is None else round(age / SECOND, 3),
             "cut_off_s": round(self.cut_off(now) / SECOND, 1),
-            "voters": follower.state["voters"],
+            "voters": committed_log.state["voters"],
             "proposals": len(self.pending_proposals),
             "role": "follower",
         }
@@ -414,14 +427,16 @@
             out |= {
                 "role": voter.role.value,
                 "identity": voter.identity,
-                "term": voter.d.term,
+                "term": voter.persistent.term,
                 "leader": voter.leader,
-                "log": voter.d.last,
-                "doubts": voter.role in (Role.DOUBTING, Role.OUT),
+                "log": voter.persistent.last_index,
+                "doubts": voter.role in (Role.RECOVERING, Role.NON_VOTER),
             }
             if voter.role is Role.LEADER:
                 out["followers"] = {
-                    n: voter.match.get(i, 0) for n, i in voter.d.voters().items() if n != self.me
+                    n: voter.match_index.get(i, 0)
+                    for n, i in voter.persistent.voters().items()
+                    if n != self.me
                 }
         return out
 
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -78,7 +78,7 @@
     is_response: bool = False
 
 
-# Replication of the record (record.py).
+# Replication of the record (raft.py).
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from terndrift.fleet import work
-from terndrift.fleet.agreed import Follower, applied, beginning
+from terndrift.fleet.committed_state import CommittedLog, apply_entry, initial_state
 from terndrift.fleet.messages import Entry, PlacementReport, PullResponse
 from terndrift.fleet.room import Machine
 from terndrift.fleet.worlds import Violated, forked, searched
@@ -60,17 +60,17 @@
         return super()._state_after_drain(now, name, row, plan, observed, waited, restarted)
 
 
-class FaultyFollower(Follower):
+class FaultyFollower(CommittedLog):
     """A follower of the record; `age_from_arrival` injects the fault of an age counted from the answer's
     arrival."""
 
     age_from_arrival = False
 
-    def answered(self, now, sender, got):
-        """Apply an answer to a pull; see Follower."""
-        super().answered(now, sender, got)
-        if self.age_from_arrival and self.last >= got.commit_index:
-            self.known_at(now - got.commit_age)
+    def handle_pull_answer(self, now, sender, got):
+        """Apply an answer to a pull; see CommittedLog."""
+        super().handle_pull_answer(now, sender, got)
+        if self.age_from_arrival and self.last_index >= got.commit_index:
+            self.mark_complete(now - got.commit_age)
 
 
 @dataclass
@@ -116,7 +116,10 @@
         parts += [
             tuple(sorted((n, msgspec.msgpack.encode(h), at) for n, (h, at) in self.placement_reports.items()))
         ]
-        parts += [(n, f.last, f.as_of, tuple(f.asks)) for n, f in sorted(self.followers.items())]
+        parts += [
+            (n, f.last_index, f.complete_as_of, tuple(f.pull_times))
+            for n, f in sorted(self.followers.items())
+        ]
         return hash(tuple(parts))
 
 
@@ -136,14 +139,14 @@
 
     def start(self):
         """Return the first world: the plan is agreed and every process knows it."""
-        state = beginning(EPOCH)
+        state = initial_state(EPOCH)
         id, value = work.added(state, PLAN, "p", "ops")
-        applied(state, 1, Entry(1, "value", id, value))
+        apply_entry(state, 1, Entry(1, "value", id, value))
         world = World({}, self.work_class(), **self.bounds)
         for name in CLOCK_RATES:
             world.followers[name] = follower = self.follower_class(world.now(name))
-            follower.begin(state)
-            follower.known_at(world.now(name))
+            follower.load_snapshot(state)
+            follower.mark_complete(world.now(name))
         world.leader_work.planned_at = world.leader_work.step_seen_at[MACHINE, 0, 0] = world.now("leader")
         return world
 
@@ -246,10 +249,10 @@
         The request arrives at once: a late one only makes the controller's copy seem older, which is safe.
         """
         follower, leader = self.copy_follower(world, name), self.copy_follower(world, "leader")
-        follower.ask(world.now(name), "leader")
-        leader.known_at(world.now("leader"))
+        follower.send_pull(world.now(name), "leader")
+        leader.mark_complete(world.now("leader"))
         for _, request in follower.out:
-            leader.asked(world.now("leader"), name, request)
+            leader.handle_pull(world.now("leader"), name, request)
         sent = {(name, "leader", msgspec.msgpack.encode(answer)) for _, answer in leader.out}
         follower.out, leader.out = [], []
         followers = {**world.followers, name: follower, "leader": leader}
@@ -268,7 +271,7 @@
     def copy_follower(self, world, name):
         """Return a copy of one follower that shares no mutable state with the world."""
         follower = forked(world.followers[name])
-        follower.asks = follower.asks.copy()
+        follower.pull_times = follower.pull_times.copy()
         return follower
 
     def deliver(self, world, message):
@@ -281,8 +284,8 @@
                 ("", replace(world, placement_reports={**world.placement_reports, sender: (decoded, now)}))
             ]
         follower = self.copy_follower(world, receiver)
-        follower.answered(now, sender, decoded)
-        follower.out, follower.heard = [], []
+        follower.handle_pull_answer(now, sender, decoded)
+        follower.out, follower.newly_committed = [], []
         return [("", replace(world, followers={**world.followers, receiver: follower}))]
 
     def evaluate_work(self, world):
@@ -300,8 +303,8 @@
         )
         while steps := leader_work.steps(now, follower.state, observed):
             for id, value in steps:
-                follower.take(Entry(1, "value", id, value))
-        follower.heard = []
+                follower.apply_committed(Entry(1, "value", id, value))
+        follower.newly_committed = []
         return [
             (
                 "",
--- a/terndrift/fleet/record.py
+++ b/terndrift/fleet/raft.py
@@ -17,7 +17,7 @@
 import zlib
 from enum import Enum
 
-from terndrift.fleet.agreed import beginning, copied
+from terndrift.fleet.committed_state import copy_state, initial_state
 from terndrift.fleet.messages import (
     AddVoterRequest,
     AppendEntries,
@@ -38,20 +38,20 @@
 # Election timeout: a voter starts an election after one to two times this without a leader, at random. A
 # leader that has not heard from a majority for this long steps down. It is tens of round trips, and longer
 # than a busy event loop was ever blocked (docs/path.md).
-ELECTION = SECOND
+ELECTION_TIMEOUT = SECOND
 # A candidate gives up after this long by its own clock. A voter that restarted and can't tell how it voted
 # waits twice this long before it votes.
-CANDIDACY_TIMEOUT = ELECTION
+CANDIDACY_TIMEOUT = ELECTION_TIMEOUT
 ANNOUNCE_INTERVAL = SECOND // 2  # between repeats of RecoveryRequest and AddVoterRequest
-MOST = 64  # entries per AppendEntries message
-LONGEST = 1024  # log entries before a snapshot replaces them
+MAX_ENTRIES_PER_MESSAGE = 64  # entries per AppendEntries message
+MAX_LOG_ENTRIES = 1024  # log entries before a snapshot replaces them
 
 
 class Role(Enum):
     """Role of a voter; the values are written out in reports."""
 
-    DOUBTING = "doubting"  # restarted, and has not yet checked its stored state against the other voters
-    OUT = "out"  # has an identity that is not a voter, or not any more
+    RECOVERING = "doubting"  # restarted, and has not yet checked its stored state against the other voters
+    NON_VOTER = "out"  # has an identity that is not a voter, or not any more
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asking"  # has asked for pre-votes
     CANDIDATE = "candidate"
@@ -59,17 +59,17 @@
 
 
 ROLE_TRANSITIONS = {
-    Role.DOUBTING: (Role.OUT, Role.FOLLOWER),
-    Role.OUT: (Role.FOLLOWER, Role.DOUBTING),
-    Role.FOLLOWER: (Role.PRE_CANDIDATE, Role.CANDIDATE, Role.OUT),
-    Role.PRE_CANDIDATE: (Role.FOLLOWER, Role.CANDIDATE, Role.OUT),
-    Role.CANDIDATE: (Role.FOLLOWER, Role.LEADER, Role.OUT),
-    Role.LEADER: (Role.FOLLOWER, Role.OUT),
+    Role.RECOVERING: (Role.NON_VOTER, Role.FOLLOWER),
+    Role.NON_VOTER: (Role.FOLLOWER, Role.RECOVERING),
+    Role.FOLLOWER: (Role.PRE_CANDIDATE, Role.CANDIDATE, Role.NON_VOTER),
+    Role.PRE_CANDIDATE: (Role.FOLLOWER, Role.CANDIDATE, Role.NON_VOTER),
+    Role.CANDIDATE: (Role.FOLLOWER, Role.LEADER, Role.NON_VOTER),
+    Role.LEADER: (Role.FOLLOWER, Role.NON_VOTER),
 }
 
 
-class Durable:
-    """Persistent state of a voter: identity, epoch, term, vote, snapshot (`base`) and log entries.
+class PersistentState:
+    """Persistent state of a voter: identity, epoch, term, vote, `snapshot` and log entries.
 
     The store calls `restore`, `replay` and `items`. `confirmed` maps an identity to the highest log index
     that it was seen to confirm.
@@ -82,7 +82,7 @@
     def reset(self, epoch):
         """Empties everything but the identity and enters `epoch`."""
         self.epoch, self.term, self.voted_for = epoch, 0, ""
-        self.base, self.entries, self.confirmed = beginning(epoch), [], {}
+        self.snapshot, self.entries, self.confirmed = initial_state(epoch), [], {}
 
     def restore(self, items):
         """Replays the records of a store's snapshot."""
@@ -101,13 +101,13 @@
         elif kind == "log":
             # The store's snapshot may be newer than this record, with a base beyond it: skips the entries
             # that the base already covers.
-            offset = record["after"] - self.base["last"]
+            offset = record["after"] - self.snapshot["last"]
             del self.entries[max(0, offset) :]
             self.entries += [Entry(*fields) for fields in record["entries"][max(0, -offset) :]]
             self.confirmed.update(record["seen"])
         elif kind == "base":
-            tail_length = self.last - record["state"]["last"] if record["keep"] else 0
-            self.base = copied(record["state"])
+            tail_length = self.last_index - record["state"]["last"] if record["keep"] else 0
+            self.snapshot = copy_state(record["state"])
             self.entries = self.entries[len(self.entries) - tail_length :] if tail_length > 0 else []
 
     def items(self):
@@ -117,10 +117,10 @@
                 {"what": "identity", "identity": self.identity},
                 {"what": "epoch", "epoch": list(self.epoch)},
                 {"what": "term", "term": self.term, "voted": self.voted_for},
-                {"what": "base", "state": copied(self.base), "keep": False},
+                {"what": "base", "state": copy_state(self.snapshot), "keep": False},
                 {
                     "what": "log",
-                    "after": self.base["last"],
+                    "after": self.snapshot["last"],
                     "entries": list(map(entry_fields, self.entries)),
                     "seen": dict(self.confirmed),
                 },
@@ -128,25 +128,26 @@
         )
 
     @property
-    def last(self):
+    def last_index(self):
         """Index of the last log entry."""
-        return self.base["last"] + len(self.entries)
+        return self.snapshot["last"] + len(self.entries)
 
     def term_at(self, index):
         """Term of the entry at `index`: 0 before the first one, None if it is compacted or not yet known."""
-        offset = index - self.base["last"]
+        offset = index - self.snapshot["last"]
         if offset == 0:
-            return self.base["term"]
+            return self.snapshot["term"]
         return self.entries[offset - 1].term if 0 < offset <= len(self.entries) else None
 
     def last_position(self):
         """(term, index) of the last entry; comparing two of them tells which log is more up to date."""
-        return self.term_at(self.last), self.last
+        return self.term_at(self.last_index), self.last_index
 
     def voters(self):
         """Voters (name -> identity) of the newest configuration in the log, committed or not."""
         return next(
-            (entry.value for entry in reversed(self.entries) if entry.kind == "voters"), self.base["voters"]
+            (entry.value for entry in reversed(self.entries) if entry.kind == "voters"),
+            self.snapshot["voters"],
         )
 
 
@@ -168,28 +169,28 @@
     """State machine of one voter.
 
     `voter_names` are the voters that the configuration names, `new_id()` returns a new unique id, and
-    `follower` receives the committed entries. Times are in ns. The owner passes on messages (`received`)
+    `committed_log` receives the committed entries. Times are in ns. The owner passes on messages (`received`)
     and the time (`tick`, due at `next_at`), takes messages (name, message) from `out` and records from
     `writes`, and reports durable records with `kept`.
     """
 
-    def __init__(self, name, voter_names, durable, follower, now, new_id, seed=0):
-        self.name, self.voter_names, self.d, self.follower, self.new_id = (
+    def __init__(self, name, voter_names, stored_state, committed_log, now, new_id, seed=0):
+        self.name, self.voter_names, self.persistent, self.committed_log, self.new_id = (
             name,
             list(voter_names),
-            durable,
-            follower,
+            stored_state,
+            committed_log,
             new_id,
         )
         self.seed, self.random_draws = zlib.crc32(f"{seed}/{name}".encode()), 0
         self.out, self.writes = [], []
-        self.role, self.leader, self.now = Role.DOUBTING, None, now
+        self.role, self.leader, self.now = Role.RECOVERING, None, now
         self.leader_heard_at, self.leaderless_since = 0, now
         self.votes, self.role_started_at, self.may_vote_from = set(), 0, 0
         # Answers to RecoveryRequest by identity; the log position that this voter may have reached before it
         # restarted.
         self.hello_answers, self.min_position = {}, (0, 0)
-        self.next_index, self.match = {}, {}  # identity -> log index
+        self.next_index, self.match_index = {}, {}  # identity -> log index
         # Number of records handed out in `writes` so far; of each log record that is not durable yet, (this
         # number, index after which its entries start).
         self.wrote, self.pending_log_writes = 0, []
@@ -199,9 +200,9 @@
         self.round, self.round_sent_at, self.answered_at, self.joining, self.batch_after = 0, {}, {}, {}, {}
         self.send_at = self.announce_at = now
         self.nonce = new_id()
-        if not durable.identity:
+        if not stored_state.identity:
             self._take_new_identity()
-            self.role = Role.OUT
+            self.role = Role.NON_VOTER
         else:
             self._restore_follower()
         self._reset_election_timer(now)
@@ -211,32 +212,32 @@
     @property
     def identity(self):
         """Current identity, "name/id"; changes when the stored state turns out to be lost or stale."""
-        return self.d.identity
+        return self.persistent.identity
 
     def quorum_size(self):
         """Number of voters that make a majority of the newest configuration."""
-        return len(self.d.voters()) // 2 + 1
+        return len(self.persistent.voters()) // 2 + 1
 
     @property
     def last_durable(self):
         """Index of the last log entry that is durable here, whatever is still to be written."""
-        return min([after for _, after in self.pending_log_writes], default=self.d.last)
+        return min([after for _, after in self.pending_log_writes], default=self.persistent.last_index)
 
     def next_at(self):
         """Time (ns) at which `tick` has to be called next."""
         if self.role is Role.LEADER:
-            return min(self.send_at, self.quorum_at() + ELECTION + 1)
-        if self.role in (Role.OUT, Role.DOUBTING):
+            return min(self.send_at, self.quorum_contact_at() + ELECTION_TIMEOUT + 1)
+        if self.role in (Role.NON_VOTER, Role.RECOVERING):
             return self.announce_at
         return self.election_at if self.role is Role.FOLLOWER else min(self.election_at, self.send_at)
 
-    def quorum_at(self):
+    def quorum_contact_at(self):
         """Time (ns) of the latest round that a majority has answered; of use on a leader only."""
         times = sorted(
             [self.now]
             + [
                 self.answered_at.get(identity, 0)
-                for identity in self.d.voters().values()
+                for identity in self.persistent.voters().values()
                 if identity != self.identity
             ],
             reverse=True,
@@ -248,7 +249,7 @@
     def received(self, now, sender, message):
         """Handles a `messages.RaftMessage` message from the controller named `sender`."""
         self._update_time(now)
-        if message.epoch != self.d.epoch:
+        if message.epoch != self.persistent.epoch:
             return  # another epoch; `Envelope` carries it, so that the side with the earlier one learns it
         if isinstance(message, RecoveryRequest):
             return self._handle_hello(sender, message)
@@ -256,8 +257,10 @@
             return self._handle_seen(now, sender, message)
         if isinstance(message, AddVoterRequest):
             return self._handle_let_in(now, sender, message)
-        if message.term > self.d.term and not (isinstance(message, RequestVote) and message.pre_vote):
-            leader_alive = self.role is Role.LEADER or now - self.leader_heard_at < ELECTION
+        if message.term > self.persistent.term and not (
+            isinstance(message, RequestVote) and message.pre_vote
+        ):
+            leader_alive = self.role is Role.LEADER or now - self.leader_heard_at < ELECTION_TIMEOUT
             if isinstance(message, RequestVote) and leader_alive and not message.leadership_transfer:
                 return None  # a voter back from a partition with a high term must not depose a working leader
             self._adopt_term(now, message.term)
@@ -274,20 +277,22 @@
     def tick(self, now):
         """Handles timeouts that are due; has to be called at `next_at`, and may be called earlier."""
         self._update_time(now)
-        if self.role in (Role.OUT, Role.DOUBTING) and now >= self.announce_at:
+        if self.role in (Role.NON_VOTER, Role.RECOVERING) and now >= self.announce_at:
             self.announce_at = now + ANNOUNCE_INTERVAL
-            committed_voters = self.follower.epoch == self.d.epoch and self.follower.state["voters"]
+            committed_voters = (
+                self.committed_log.epoch == self.persistent.epoch and self.committed_log.state["voters"]
+            )
             if (
-                self.role is Role.DOUBTING
+                self.role is Role.RECOVERING
                 and committed_voters
                 and self.identity not in committed_voters.values()
-                and self.follower.last > self.d.last
+                and self.committed_log.last_index > self.persistent.last_index
             ):
                 self._take_new_identity()  # the voters were changed meanwhile, and this one was removed
-                self._change_role(now, Role.OUT)
-            elif self.role is Role.DOUBTING:
-                self._broadcast(RecoveryRequest, self.nonce, self.d.last)
-            elif self.d.epoch[0]:
+                self._change_role(now, Role.NON_VOTER)
+            elif self.role is Role.RECOVERING:
+                self._broadcast(RecoveryRequest, self.nonce, self.persistent.last_index)
+            elif self.persistent.epoch[0]:
                 self._broadcast(AddVoterRequest, self.name)
         elif self.role is Role.LEADER and now >= self.send_at:
             self._send_heartbeats(now)
@@ -311,10 +316,12 @@
         self._update_time(now)
         if self.role is not Role.LEADER:
             return None
-        if proposal_id not in self.follower.state["ids"] and not any(
-            entry.id == proposal_id for entry in self.d.entries
+        if proposal_id not in self.committed_log.state["ids"] and not any(
+            entry.id == proposal_id for entry in self.persistent.entries
         ):
-            self._append_to_log(self.d.last, [Entry(self.d.term, "value", proposal_id, value)])
+            self._append_to_log(
+                self.persistent.last_index, [Entry(self.persistent.term, "value", proposal_id, value)]
+            )
             self.send_at = now  # batches everything that is proposed at this moment
         return True
 
@@ -324,11 +331,11 @@
         if self.role is Role.LEADER:
             others = {
                 voter_name: identity
-                for voter_name, identity in self.d.voters().items()
+                for voter_name, identity in self.persistent.voters().items()
                 if identity != self.identity
             }
             if others:
-                successor = max(others, key=lambda voter_name: self.match.get(others[voter_name], 0))
+                successor = max(others, key=lambda voter_name: self.match_index.get(others[voter_name], 0))
                 self.out.append((successor, self._message(TimeoutNow)))
 
     def restart(self, now, state=None):
@@ -337,20 +344,20 @@
         This voter starts it alone, with the values and proposal ids of `state` if given; the others have to
         be added as voters.
         """
-        number = max(self.d.epoch[0], self.follower.epoch[0]) + 1
+        number = max(self.persistent.epoch[0], self.committed_log.epoch[0]) + 1
         epoch = number, self.new_id()
-        new_state = beginning(epoch, {self.name: self.identity})
+        new_state = initial_state(epoch, {self.name: self.identity})
         if state:
             new_state |= {"map": dict(state["map"]), "ids": dict(state["ids"])}
         self._start_epoch(epoch, new_state)
         self._change_role(now, Role.FOLLOWER)
         self.election_at = now
 
-    def newer_epoch(self, now):
+    def adopt_newer_epoch(self, now):
         """Moves to the follower's epoch if that is later; the log of the earlier epoch is discarded."""
-        if self.follower.epoch > self.d.epoch:
-            self._start_epoch(self.follower.epoch, self.follower.state)
-            self._change_role(now, Role.OUT)
+        if self.committed_log.epoch > self.persistent.epoch:
+            self._start_epoch(self.committed_log.epoch, self.committed_log.state)
+            self._change_role(now, Role.NON_VOTER)
             self.announce_at = now
 
     # Role, timers and persistent state.
@@ -364,8 +371,8 @@
         self.now = now
         if (
             self.role is Role.LEADER
-            and now - self.quorum_at() > ELECTION
-            and now - self.role_started_at > ELECTION
+            and now - self.quorum_contact_at() > ELECTION_TIMEOUT
+            and now - self.role_started_at > ELECTION_TIMEOUT
         ):
             self._change_role(now, Role.FOLLOWER)
         if (
@@ -387,13 +394,15 @@
         self._reset_election_timer(now)
         if role is Role.LEADER:
             self.leader, self.role_started_at = self.name, now
-            self.next_index = {identity: self.d.last + 1 for identity in self.d.voters().values()}
-            self.match, self.answered_at, self.round_sent_at = (
+            self.next_index = {
+                identity: self.persistent.last_index + 1 for identity in self.persistent.voters().values()
+            }
+            self.match_index, self.answered_at, self.round_sent_at = (
                 {},
-                {identity: now for identity in self.d.voters().values()},
+                {identity: now for identity in self.persistent.voters().values()},
                 {},
             )
-            self._append_to_log(self.d.last, [Entry(self.d.term, "begin", "")])
+            self._append_to_log(self.persistent.last_index, [Entry(self.persistent.term, "begin", "")])
             self._send_heartbeats(now)
 
     def _random_fraction(self):
@@ -402,11 +411,11 @@
         return zlib.crc32(b"%d" % self.random_draws, self.seed) * 2654435761 % 2**32 / 2**32
 
     def _reset_election_timer(self, now):
-        self.election_at = now + int(ELECTION * (1 + self._random_fraction()))
+        self.election_at = now + int(ELECTION_TIMEOUT * (1 + self._random_fraction()))
 
     def _adopt_term(self, now, term):
         self._store_term(term, "")
-        if self.role not in (Role.OUT, Role.DOUBTING):
+        if self.role not in (Role.NON_VOTER, Role.RECOVERING):
             self._change_role(now, Role.FOLLOWER)
 
     def _store_term(self, term, voted_for):
@@ -414,7 +423,7 @@
 
     def _store(self, record):
         """Applies a record to the persistent state and queues it for writing."""
-        self.d.replay(record)
+        self.persistent.replay(record)
         self.writes.append(record)
         self.wrote += 1
 
@@ -423,44 +432,54 @@
 
     def _start_epoch(self, epoch, state):
         self._store({"what": "epoch", "epoch": list(epoch)})
-        self._store({"what": "base", "state": copied(state), "keep": False})
+        self._store({"what": "base", "state": copy_state(state), "keep": False})
         self.leader, self.min_position = None, (0, 0)
-        if self.follower.epoch < epoch:
-            self.follower.begin(state)
+        if self.committed_log.epoch < epoch:
+            self.committed_log.load_snapshot(state)
 
     def _restore_follower(self):
         """After a restart: the snapshot is committed; the leader tells how much of the log after it is."""
-        if (self.d.epoch, self.d.base["last"]) > (self.follower.epoch, self.follower.last):
-            self.follower.begin(self.d.base)
+        if (self.persistent.epoch, self.persistent.snapshot["last"]) > (
+            self.committed_log.epoch,
+            self.committed_log.last_index,
+        ):
+            self.committed_log.load_snapshot(self.persistent.snapshot)
 
     def _message(self, message_type, *fields):
-        return message_type(self.d.epoch, self.identity, self.d.term, *fields)
+        return message_type(self.persistent.epoch, self.identity, self.persistent.term, *fields)
 
     def _broadcast(self, message_type, *fields):
         """Sends to all other voters, of the configuration and of the log."""
-        for name in sorted({*self.voter_names, *self.d.voters()} - {self.name}):
+        for name in sorted({*self.voter_names, *self.persistent.voters()} - {self.name}):
             self.out.append((name, self._message(message_type, *fields)))
 
     # Recovery after a start, and membership changes.
 
     def _handle_hello(self, sender, message):
-        term, last = self.d.last_position()
-        confirmed = max(self.d.confirmed.get(message.voter_id, 0), self.match.get(message.voter_id, 0))
+        term, last = self.persistent.last_position()
+        confirmed = max(
+            self.persistent.confirmed.get(message.voter_id, 0), self.match_index.get(message.voter_id, 0)
+        )
         self.out.append(
-            (sender, self._message(RecoveryResponse, message.nonce, term, last, confirmed, self.d.voters()))
+            (
+                sender,
+                self._message(
+                    RecoveryResponse, message.nonce, term, last, confirmed, self.persistent.voters()
+                ),
+            )
         )
 
     def _handle_seen(self, now, sender, message):
-        if self.role is not Role.DOUBTING or message.nonce != self.nonce:
+        if self.role is not Role.RECOVERING or message.nonce != self.nonce:
             return
-        if message.confirmed_index > self.d.last:  # entries that this voter confirmed are lost
+        if message.confirmed_index > self.persistent.last_index:  # entries that this voter confirmed are lost
             self._take_new_identity()
-            return self._change_role(now, Role.OUT)
+            return self._change_role(now, Role.NON_VOTER)
         self.hello_answers[message.voter_id] = message
         # Counts by the voters of the most up-to-date log: this voter's own log may predate a membership
         # change.
         voters = max(
-            [(self.d.last_position(), self.d.voters())]
+            [(self.persistent.last_position(), self.persistent.voters())]
             + [
                 ((answer.last_log_term, answer.last_log_index), answer.voters)
                 for answer in self.hello_answers.values()
@@ -472,14 +491,14 @@
         ]
         if self.identity not in voters.values():
             self._take_new_identity()
-            return self._change_role(now, Role.OUT)
+            return self._change_role(now, Role.NON_VOTER)
         if len(voter_answers) >= required_answers(voters):
             self.min_position = max((answer.last_log_term, answer.last_log_index) for answer in voter_answers)
             term = max(answer.term for answer in voter_answers)
-            if term > self.d.term:  # it may have voted in any of these terms
+            if term > self.persistent.term:  # it may have voted in any of these terms
                 self._store_term(term, "?")
-            elif not self.d.voted_for:
-                self._store_term(self.d.term, "?")
+            elif not self.persistent.voted_for:
+                self._store_term(self.persistent.term, "?")
             self.may_vote_from = now + 2 * CANDIDACY_TIMEOUT
             self._change_role(now, Role.FOLLOWER)
             self.election_at = max(self.election_at, self.may_vote_from)
@@ -487,14 +506,14 @@
     def _handle_let_in(self, now, sender, message):
         if self.role is not Role.LEADER or sender != message.name or sender not in self.voter_names:
             return
-        voters = self.d.voters()
+        voters = self.persistent.voters()
         if message.voter_id in voters.values():
             return
         # Only the newest identity of each name may join.
         self.joining = {identity: name for identity, name in self.joining.items() if name != sender} | {
             message.voter_id: sender
         }
-        self.next_index.setdefault(message.voter_id, self.d.last + 1)
+        self.next_index.setdefault(message.voter_id, self.persistent.last_index + 1)
         self._change_voters(now)
 
     def _change_voters(self, now):
@@ -502,9 +521,10 @@
 
         Voters change one at a time, and not before an entry of this leader's own term is committed.
         """
-        voters, commit_index = self.d.voters(), self.follower.last
-        if self.d.term_at(commit_index) != self.d.term or any(
-            entry.kind == "voters" for entry in self.d.entries[commit_index - self.d.base["last"] :]
+        voters, commit_index = self.persistent.voters(), self.committed_log.last_index
+        if self.persistent.term_at(commit_index) != self.persistent.term or any(
+            entry.kind == "voters"
+            for entry in self.persistent.entries[commit_index - self.persistent.snapshot["last"] :]
         ):
             return
         for identity, name in self.joining.items():
@@ -517,37 +537,37 @@
                         if voter_name != name
                     },
                 )
-            if name not in voters and self.match.get(identity, 0) >= commit_index:
+            if name not in voters and self.match_index.get(identity, 0) >= commit_index:
                 del self.joining[identity]
                 return self._append_voters(now, {**voters, name: identity})
         return None
 
     def _append_voters(self, now, voters):
-        self._append_to_log(self.d.last, [Entry(self.d.term, "voters", "", voters)])
+        self._append_to_log(self.persistent.last_index, [Entry(self.persistent.term, "voters", "", voters)])
         self.send_at = now
 
     # Elections.
 
     def _start_election(self, now, leadership_transfer=False):
         """Starts with pre-votes, or at once in a new term if the leader has transferred leadership."""
-        voters = self.d.voters()
-        if self.identity not in voters.values() or self.d.last_position() < self.min_position:
+        voters = self.persistent.voters()
+        if self.identity not in voters.values() or self.persistent.last_position() < self.min_position:
             return self._reset_election_timer(now)
         self._change_role(now, Role.FOLLOWER)
         if self.leader:
             self.leader, self.leaderless_since = None, now
         self.votes, self.role_started_at = {self.identity}, now
         if leadership_transfer:
-            self._store_term(self.d.term + 1, self.identity)
+            self._store_term(self.persistent.term + 1, self.identity)
         self._change_role(now, Role.CANDIDATE if leadership_transfer else Role.PRE_CANDIDATE)
         self._request_votes(now, pre_vote=not leadership_transfer, leadership_transfer=leadership_transfer)
         return None
 
     def _request_votes(self, now, pre_vote, leadership_transfer=False):
         """Asks the voters that have not granted their vote yet."""
-        last_term, last_index = self.d.last_position()
+        last_term, last_index = self.persistent.last_position()
         self.send_at = now + 2 * HEARTBEAT_INTERVAL
-        for name, identity in self.d.voters().items():
+        for name, identity in self.persistent.voters().items():
             if identity not in self.votes:
                 self.out.append(
                     (name, self._message(RequestVote, last_term, last_index, pre_vote, leadership_transfer))
@@ -555,42 +575,46 @@
         self._count_votes(now)
 
     def _handle_ask_vote(self, now, sender, message):
-        if self.role in (Role.OUT, Role.DOUBTING):
+        if self.role in (Role.NON_VOTER, Role.RECOVERING):
             return
         requested_term = message.term + 1 if message.pre_vote else message.term
         eligible = (message.last_log_term, message.last_log_index) >= max(
-            self.d.last_position(), self.min_position
+            self.persistent.last_position(), self.min_position
         ) and now >= self.may_vote_from
         if message.pre_vote:
             granted = (
                 eligible
-                and requested_term > self.d.term
-                and (now - self.leader_heard_at >= ELECTION and self.role is not Role.LEADER)
+                and requested_term > self.persistent.term
+                and (now - self.leader_heard_at >= ELECTION_TIMEOUT and self.role is not Role.LEADER)
             )
         else:
-            granted = eligible and message.term == self.d.term and self.d.voted_for in ("", message.voter_id)
-            if granted and not self.d.voted_for:
+            granted = (
+                eligible
+                and message.term == self.persistent.term
+                and self.persistent.voted_for in ("", message.voter_id)
+            )
+            if granted and not self.persistent.voted_for:
                 self._store_term(message.term, message.voter_id)
                 self._reset_election_timer(now)
         self.out.append((sender, self._message(VoteResponse, granted, message.pre_vote, requested_term)))
 
     def _handle_vote(self, now, sender, message):
         expected_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
-        requested_term = self.d.term + 1 if message.pre_vote else self.d.term
+        requested_term = self.persistent.term + 1 if message.pre_vote else self.persistent.term
         if (
             self.role is expected_role
             and message.granted
             and message.requested_term == requested_term
-            and message.voter_id in self.d.voters().values()
+            and message.voter_id in self.persistent.voters().values()
         ):
             self.votes.add(message.voter_id)
             self._count_votes(now)
 
     def _count_votes(self, now):
-        if len(self.votes & set(self.d.voters().values())) < self.quorum_size():
+        if len(self.votes & set(self.persistent.voters().values())) < self.quorum_size():
             return
         if self.role is Role.PRE_CANDIDATE:
-            self._store_term(self.d.term + 1, self.identity)
+            self._store_term(self.persistent.term + 1, self.identity)
             self.votes, self.role_started_at = {self.identity}, now
             self._change_role(now, Role.CANDIDATE)
             self._request_votes(now, pre_vote=False)
@@ -599,7 +623,7 @@
 
     def _handle_lead(self, now, sender, message):
         if (
-            message.term == self.d.term
+            message.term == self.persistent.term
             and sender == self.leader
             and self.role is Role.FOLLOWER
             and now >= self.may_vote_from
@@ -615,7 +639,7 @@
                 "what": "log",
                 "after": after,
                 "entries": list(map(entry_fields, entries)),
-                "seen": dict(self.d.confirmed),
+                "seen": dict(self.persistent.confirmed),
             }
         )
         self.pending_log_writes.append((self.wrote, after))
@@ -628,7 +652,7 @@
         self.round_sent_at.pop(self.round - 64, None)
         recipients = {
             voter_identity: voter_name
-            for voter_name, voter_identity in self.d.voters().items()
+            for voter_name, voter_identity in self.persistent.voters().items()
             if voter_identity != self.identity
         } | self.joining
         for identity, name in recipients.items():
@@ -636,18 +660,22 @@
 
     def _send_entries(self, name, identity):
         """Sends the next entries, or the snapshot if those are compacted."""
-        next_index = self.next_index.setdefault(identity, self.d.last + 1)
-        previous_term = self.d.term_at(next_index - 1)
+        next_index = self.next_index.setdefault(identity, self.persistent.last_index + 1)
+        previous_term = self.persistent.term_at(next_index - 1)
         if previous_term is None:
-            state = self.d.base
+            state = self.persistent.snapshot
             self.out.append(
                 (
                     name,
-                    self._message(InstallSnapshot, state["term"], state["last"], copied(state), self.round),
+                    self._message(
+                        InstallSnapshot, state["term"], state["last"], copy_state(state), self.round
+                    ),
                 )
             )
             return
-        entries = self.d.entries[next_index - 1 - self.d.base["last"] :][:MOST]
+        entries = self.persistent.entries[next_index - 1 - self.persistent.snapshot["last"] :][
+            :MAX_ENTRIES_PER_MESSAGE
+        ]
         self.out.append(
             (
                 name,
@@ -656,9 +684,9 @@
                     previous_term,
                     next_index - 1,
                     entries,
-                    self.follower.last,
+                    self.committed_log.last_index,
                     self.round,
-                    dict(self.d.confirmed),
+                    dict(self.persistent.confirmed),
                 ),
             )
         )
@@ -668,41 +696,46 @@
 
         A voter that is still checking its stored state notes the leader but confirms nothing.
         """
-        if message.term < self.d.term:
+        if message.term < self.persistent.term:
             self.out.append(
-                (sender, self._message(AppendResponse, False, self.d.last, message.request_round))
+                (
+                    sender,
+                    self._message(AppendResponse, False, self.persistent.last_index, message.request_round),
+                )
             )
             return False
         if self.role in (Role.CANDIDATE, Role.PRE_CANDIDATE):
             self._change_role(now, Role.FOLLOWER)
         self.leader, self.leader_heard_at = sender, now
         self._reset_election_timer(now)
-        return self.role is not Role.DOUBTING
+        return self.role is not Role.RECOVERING
 
     def _handle_append(self, now, sender, message):
         if not self._accept_leader(now, sender, message):
             return
-        local_term = self.d.term_at(message.prev_log_index)
+        local_term = self.persistent.term_at(message.prev_log_index)
         if local_term != message.prev_log_term:
             # Entries before the snapshot are committed, so they match the leader's.
             retry_after = (
-                self.d.last
-                if message.prev_log_index > self.d.last
-                else max(self.d.base["last"], message.prev_log_index - 1)
+                self.persistent.last_index
+                if message.prev_log_index > self.persistent.last_index
+                else max(self.persistent.snapshot["last"], message.prev_log_index - 1)
             )
-            if message.prev_log_index >= self.d.base["last"]:
+            if message.prev_log_index >= self.persistent.snapshot["last"]:
                 return self.out.append(
                     (sender, self._message(AppendResponse, False, retry_after, message.request_round))
                 )
-        self.d.confirmed.update(
+        self.persistent.confirmed.update(
             {
                 identity: index
                 for identity, index in message.confirmed_index.items()
-                if index > self.d.confirmed.get(identity, 0)
+                if index > self.persistent.confirmed.get(identity, 0)
             }
         )
         entries, after = message.entries, message.prev_log_index
-        while entries and (after < self.d.base["last"] or self.d.term_at(after + 1) == entries[0].term):
+        while entries and (
+            after < self.persistent.snapshot["last"] or self.persistent.term_at(after + 1) == entries[0].term
+        ):
             entries, after = entries[1:], after + 1
         if entries:
             self._append_to_log(after, entries)
@@ -715,12 +748,12 @@
         if not self._accept_leader(now, sender, message):
             return
         if (
-            message.last_index > self.d.base["last"]
-            and self.d.term_at(message.last_index) != message.last_snapshot_term
+            message.last_index > self.persistent.snapshot["last"]
+            and self.persistent.term_at(message.last_index) != message.last_snapshot_term
         ):
             self._store({"what": "base", "state": message.state, "keep": False})
-            if message.last_index > self.follower.last:
-                self.follower.begin(message.state)
+            if message.last_index > self.committed_log.last_index:
+                self.committed_log.load_snapshot(message.state)
         self._apply_membership(now)
         self.out.append(
             (sender, self._message(AppendResponse, True, message.last_index, message.request_round))
@@ -728,14 +761,14 @@
 
     def _apply_membership(self, now):
         """Becomes a voter, or stops being one, as the newest configuration in its own log says."""
-        is_voter = self.identity in self.d.voters().values()
-        if self.role is Role.OUT and is_voter:
+        is_voter = self.identity in self.persistent.voters().values()
+        if self.role is Role.NON_VOTER and is_voter:
             self._change_role(now, Role.FOLLOWER)
-        elif self.role is Role.FOLLOWER and not is_voter and self.d.voters():
-            self._change_role(now, Role.OUT)
+        elif self.role is Role.FOLLOWER and not is_voter and self.persistent.voters():
+            self._change_role(now, Role.NON_VOTER)
 
     def _handle_kept(self, now, sender, message):
-        if self.role is not Role.LEADER or message.term != self.d.term:
+        if self.role is not Role.LEADER or message.term != self.persistent.term:
             return
         self.answered_at[message.voter_id] = max(
             self.answered_at.get(message.voter_id, 0), self.round_sent_at.get(message.request_round, 0)
@@ -745,8 +778,10 @@
                 self.next_index.get(message.voter_id, 1), message.last_index + 1
             )
             return self._send_entries(sender, message.voter_id)
-        if message.last_index > self.match.get(message.voter_id, 0):
-            self.match[message.voter_id] = self.d.confirmed[message.voter_id] = message.last_index
+        if message.last_index > self.match_index.get(message.voter_id, 0):
+            self.match_index[message.voter_id] = self.persistent.confirmed[message.voter_id] = (
+                message.last_index
+            )
         self.next_index[message.voter_id] = max(
             self.next_index.get(message.voter_id, 1), message.last_index + 1
         )
@@ -755,7 +790,7 @@
             self._change_voters(now)
         if (
             self.role is Role.LEADER
-            and self.d.last >= self.next_index[message.voter_id]
+            and self.persistent.last_index >= self.next_index[message.voter_id]
             and self.batch_after.get(message.voter_id) != message.last_index
         ):
             self.batch_after[message.voter_id] = message.last_index
@@ -764,30 +799,38 @@
 
     def _advance_commit(self, now):
         """Commits what a majority of the voters has made durable, if it is of this leader's own term."""
-        voters = self.d.voters().values()
+        voters = self.persistent.voters().values()
         durable_indexes = [
-            self.last_durable if identity == self.identity else self.match.get(identity, 0)
+            self.last_durable if identity == self.identity else self.match_index.get(identity, 0)
             for identity in voters
         ]
         durable_indexes.sort(reverse=True)
         commit_index = (
             durable_indexes[self.quorum_size() - 1] if len(durable_indexes) >= self.quorum_size() else 0
         )
-        if commit_index > self.follower.last and self.d.term_at(commit_index) == self.d.term:
+        if (
+            commit_index > self.committed_log.last_index
+            and self.persistent.term_at(commit_index) == self.persistent.term
+        ):
             self._commit_up_to(now, commit_index)
             self._change_voters(now)
             self.send_at = now
-            if self.identity not in self.d.voters().values():
-                self._change_role(now, Role.OUT)
-        if self.d.term_at(self.follower.last) == self.d.term:
-            self.follower.known_at(self.quorum_at())
+            if self.identity not in self.persistent.voters().values():
+                self._change_role(now, Role.NON_VOTER)
+        if self.persistent.term_at(self.committed_log.last_index) == self.persistent.term:
+            self.committed_log.mark_complete(self.quorum_contact_at())
 
     def _commit_up_to(self, now, commit_index):
         """Passes committed entries to the follower; replaces a log that is too long with a snapshot."""
-        while self.follower.last < commit_index and self.follower.epoch == self.d.epoch:
-            offset = self.follower.last - self.d.base["last"]
-            if not 0 <= offset < len(self.d.entries):
+        while (
+            self.committed_log.last_index < commit_index and self.committed_log.epoch == self.persistent.epoch
+        ):
+            offset = self.committed_log.last_index - self.persistent.snapshot["last"]
+            if not 0 <= offset < len(self.persistent.entries):
                 break
-            self.follower.take(self.d.entries[offset])
-        if len(self.d.entries) > LONGEST and self.follower.last > self.d.base["last"] + LONGEST // 2:
-            self._store({"what": "base", "state": copied(self.follower.state), "keep": True})
+            self.committed_log.apply_committed(self.persistent.entries[offset])
+        if (
+            len(self.persistent.entries) > MAX_LOG_ENTRIES
+            and self.committed_log.last_index > self.persistent.snapshot["last"] + MAX_LOG_ENTRIES // 2
+        ):
+            self._store({"what": "base", "state": copy_state(self.committed_log.state), "keep": True})
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -18,14 +18,14 @@
 from terndrift.catalogue.versions import Conflict, change_of
 from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import InconsistentRecordError
-from terndrift.fleet.agreed import beginning
+from terndrift.fleet.committed_state import initial_state
 from terndrift.fleet.copies import COPY as COPY_ID_PREFIX
 from terndrift.fleet.copies import Copies
 from terndrift.fleet.copies import Standing as CopyStanding
 from terndrift.fleet.elsewhere import Elsewhere
 from terndrift.fleet.member import Controller
 from terndrift.fleet.messages import MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, decode
-from terndrift.fleet.record import Durable
+from terndrift.fleet.raft import PersistentState
 from terndrift.fleet.sight import Kept
 from terndrift.fleet.site import OfLate
 from terndrift.fleet.stages import HOLDS, Return
@@ -126,7 +126,7 @@
 
         What this voter once confirmed can't be known after damage, so it starts without any state.
         """
-        durable = Durable()
+        durable = PersistentState()
         try:
             store = Store(Files(folder), {STREAM: durable})
         except Damaged as error:
@@ -137,7 +137,7 @@
                 what=str(error),
                 folder=damaged_folder,
             )
-            durable = Durable()
+            durable = PersistentState()
             store = Store(Files(folder), {STREAM: durable})
         self.committer = Committer(store)
         return durable
@@ -198,11 +198,11 @@
         for _, name, before, after in controller.membership.standing_changes:
             self.log.info("member", name=name, was=before.name.lower(), now=after.name.lower())
         controller.membership.standing_changes.clear()
-        for index, entry in controller.follower.heard:
+        for index, entry in controller.committed_log.newly_committed:
             self.log.debug("agreed", index=index, kind=entry.kind, id=entry.id)
             if entry.kind == "value" and REV in entry.value:
                 self.worked.set()
-        controller.follower.heard.clear()
+        controller.committed_log.newly_committed.clear()
         if (is_cut_off := controller.cut_off(now) > 0) != self.logged_cut_off:
             self.logged_cut_off = is_cut_off
             self.log.warning("cut off from the record" if is_cut_off else "the record is heard again")
@@ -324,7 +324,9 @@
             self.logged_level = level
             self.log.info("shed", at=level, why=self.controller.shed.why)
         self._process_output()
-        self.back.look(now, listed, self.controller.follower.as_of is not None, *self.answers.recent(now))
+        self.back.look(
+            now, listed, self.controller.committed_log.complete_as_of is not None, *self.answers.recent(now)
+        )
         if self.back.stage is not previous_stage:
             self.log.info("return", stage=self.back.stage.value, past=self.recovery()["past"])
 
@@ -470,7 +472,7 @@
     def record(self):
         """Returns the agreed state and this controller's part in it, for /fleet/record."""
         now = self.clock.now()
-        state = self.controller.follower.state
+        state = self.controller.committed_log.state
         return {**self.controller.report(now), "map": state["map"], "ids": state["ids"]}
 
     def load(self):
@@ -482,7 +484,7 @@
         controller, leads, state = (
             self.controller,
             self.controller.leader() == self.me,
-            self.controller.follower.state,
+            self.controller.committed_log.state,
         )
         machines = {
             name: {
@@ -498,7 +500,7 @@
             }
             for name, machine in controller.all_machines().items()
         }
-        age = controller.follower.age(self.clock.now())
+        age = controller.committed_log.age(self.clock.now())
         return {
             "map": {key: row for key, row in state["map"].items() if key.startswith("work/")},
             "age_s": None if age is None else age / SECOND,
@@ -528,20 +530,20 @@
             return 422, {"error": "value: must be a non-empty object of keys and values, half a MiB at most"}
         if not isinstance(wait, int | float) or not 0 <= wait <= MAX_PROPOSAL_WAIT_S:
             return 422, {"error": f"wait: must be 0 to {MAX_PROPOSAL_WAIT_S:.0f} s"}
-        ids = self.controller.follower.state["ids"]
+        ids = self.controller.committed_log.state["ids"]
         if id not in ids:
             if not self.controller.propose(self.clock.now(), id, entry):
                 return 429, {"error": "too many pending proposals"}
             self._process_output()
-            await self._until(lambda: id in self.controller.follower.state["ids"], wait)
-        index = self.controller.follower.state["ids"].get(id)
+            await self._until(lambda: id in self.controller.committed_log.state["ids"], wait)
+        index = self.controller.committed_log.state["ids"].get(id)
         if index is None:
             return 504, {"error": "not known to be agreed yet; send it again with the same id", "id": id}
         return 200, {
             "id": id,
             "index": abs(index),
             "counted": index > 0,
-            "epoch": list(self.controller.follower.epoch),
+            "epoch": list(self.controller.committed_log.epoch),
         }
 
     async def restart(self, value):
@@ -556,12 +558,12 @@
         state, given_up = value.get("state"), self.record()
         if state is not None:
             try:
-                state = {**beginning((0, "")), "map": dict(state["map"]), "ids": dict(state["ids"])}
+                state = {**initial_state((0, "")), "map": dict(state["map"]), "ids": dict(state["ids"])}
             except (TypeError, KeyError, ValueError):
                 return 422, {"error": "state: must be an object with map and ids"}
         self.controller.restart(self.clock.now(), state)
         self._process_output()
-        await self._until(lambda: self.controller.follower.last > 0, 5.0)
+        await self._until(lambda: self.controller.committed_log.last_index > 0, 5.0)
         self.log.warning("fleet: the record begins anew on an operator's word", epoch=self.record()["epoch"])
         return 200, {
             "epoch": self.record()["epoch"],
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -90,7 +90,7 @@
         agreed = self.controller.turn(now) if self.controller.voters else None
         if agreed is None:
             return self.configured_rank
-        has_no_state = self.controller.follower.as_of is None
+        has_no_state = self.controller.committed_log.complete_as_of is None
         return (
             self.restored_share[0]
             if has_no_state and self.restored_share and now < self.restored_share[1]
@@ -150,7 +150,7 @@
         # a row is up to 100 bytes long
         self.next_save_at = now + max(MIN_SAVE_INTERVAL_NS, 100 * len(rows) * SECOND // SAVE_BYTES_PER_SECOND)
         share = self.reported[1] if self.reported else None
-        return Kept(wall, rows, share, self.controller.follower.age(now))
+        return Kept(wall, rows, share, self.controller.committed_log.age(now))
 
     def restore(self, kept):
         """Takes over what the last run saved.
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -219,7 +219,7 @@
             self.set_draining(drains)
         self._end_overdue_playbacks(now, draining)
         if not self.stopping and restarts(
-            self.controller.follower.state, self.machine_name, self.controller.membership.run
+            self.controller.committed_log.state, self.machine_name, self.controller.membership.run
         ):
             self.stopping = True
             self.stop()
@@ -230,7 +230,7 @@
         If this controller itself drains, its playbacks end one by one over the second half of the time, so
         that their viewers do not reach the other controllers in one wave.
         """
-        state = self.controller.follower.state
+        state = self.controller.committed_log.state
         table, plans_by_name = rows(state), plans(state)
         drains = {(name, table[name]["n"]) for name in draining if name in table}
         self.drains_seen_at = {key: self.drains_seen_at.get(key, now) for key in drains}
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -167,7 +167,7 @@
 
     def level(self):
         """The level in force here: one set by an operator until it expires, else the fleet's."""
-        now, held = self.clock.now(), self.controller.follower.state["map"].get(HOLD_KEY)
+        now, held = self.clock.now(), self.controller.committed_log.state["map"].get(HOLD_KEY)
         if held and self.clock.to_wall_ns(now) < held["until"] * 1_000_000:
             return held["level"]
         return self.controller.loads.in_force(now)
@@ -244,7 +244,7 @@
             "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
             "order": self.order,
             "why": self.controller.shed.why if decides else "",
-            "held": self.controller.follower.state["map"].get(HOLD_KEY),
+            "held": self.controller.committed_log.state["map"].get(HOLD_KEY),
         }
 
     def may_attempt(self, address):
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/worlds.py
@@ -1,4 +1,4 @@
-"""A bounded model checker for the replicated log: runs the voters of `record` through every order of events.
+"""A bounded model checker for the replicated log: runs the voters of `raft` through every order of events.
 
 Used by tests alone. Each step is one of: a message arrives (and may stay in flight, as a duplicate), a
 voter's timer fires, time passes, a value is proposed, a voter crashes before or after its writes are
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from terndrift.fleet.agreed import Follower, beginning, copied
+from terndrift.fleet.committed_state import CommittedLog, copy_state, initial_state
 from terndrift.fleet.messages import Envelope
-from terndrift.fleet.record import ELECTION, Durable, Role, Voter, entry_fields
+from terndrift.fleet.raft import ELECTION_TIMEOUT, PersistentState, Role, Voter, entry_fields
 
 EPOCH = (1, "e")
 encode = msgspec.msgpack.Encoder().encode
@@ -25,17 +25,17 @@
 def forked(original):
     """Copies a voter, its persistent state or a follower; changes to the copy don't reach the original.
 
-    Copies containers one level deep, and the `Durable` and `Follower` of a voter as well.
+    Copies containers one level deep, and the `PersistentState` and `CommittedLog` of a voter as well.
     """
     copy = object.__new__(type(original))
     for name, value in original.__dict__.items():
         if isinstance(value, dict | list | set):
             value = value.copy()
-        elif isinstance(value, Durable | Follower):
+        elif isinstance(value, PersistentState | CommittedLog):
             value = forked(value)
         copy.__dict__[name] = value
-    if isinstance(copy, Follower):
-        copy.state = copied(copy.state)
+    if isinstance(copy, CommittedLog):
+        copy.state = copy_state(copy.state)
     return copy
 
 
@@ -90,8 +90,8 @@
         if self.fault == "older term counted" and self.role is Role.LEADER:
             durable_indexes = sorted(
                 [
-                    self.last_durable if identity == self.identity else self.match.get(identity, 0)
-                    for identity in self.d.voters().values()
+                    self.last_durable if identity == self.identity else self.match_index.get(identity, 0)
+                    for identity in self.persistent.voters().values()
                 ],
                 reverse=True,
             )
@@ -101,7 +101,7 @@
     def _handle_append(self, now, sender, message):
         super()._handle_append(now, sender, message)
         last_index = message.prev_log_index + len(message.entries)
-        if self.fault == "cut too far" and self.leader == sender and last_index < self.d.last:
+        if self.fault == "cut too far" and self.leader == sender and last_index < self.persistent.last_index:
             self._append_to_log(last_index, [])
 
 
@@ -113,7 +113,7 @@
     duplicates: int = 0
     wipes: int = 0
     proposals: int = 1
-    passes: int = 2  # steps of time, of ELECTION each
+    passes: int = 2  # steps of time, of ELECTION_TIMEOUT each
     standers: frozenset = frozenset("abc")  # names of voters that may start elections
 
 
@@ -122,9 +122,9 @@
     """One state of the search; never changed in place, so that states share what is the same in them."""
 
     nodes: dict  # name -> Voter, None while it is down
-    disks: dict  # name -> Durable, the state that is on its disk
+    disks: dict  # name -> PersistentState, the state that is on its disk
     flying: frozenset = frozenset()  # messages in flight: encoded Envelope
-    now: int = 1000 * ELECTION
+    now: int = 1000 * ELECTION_TIMEOUT
     remaining: Budget = field(default_factory=Budget)
     committed: tuple = ()  # (encoded entry, term of the voter that first had it committed)
     leaders: frozenset = frozenset()  # (term, name)
@@ -134,16 +134,16 @@
         """Hash of all that decides what may happen next; times count in whole election timeouts."""
         parts = [self.flying, self.remaining, self.committed, self.leaders]
         for name, voter in sorted(self.nodes.items()):
-            durable = self.disks[name] if voter is None else voter.d
+            durable = self.disks[name] if voter is None else voter.persistent
             entries = tuple(encode(entry) for entry in durable.entries)
             parts.append(
-                (name, durable.identity, durable.term, durable.voted_for, encode(durable.base), entries)
+                (name, durable.identity, durable.term, durable.voted_for, encode(durable.snapshot), entries)
             )
             if voter is not None:
                 times = voter.election_at, voter.may_vote_from
-                ahead = [min(3, max(0, -(-(time - self.now) // ELECTION))) for time in times]
+                ahead = [min(3, max(0, -(-(time - self.now) // ELECTION_TIMEOUT))) for time in times]
                 ago = [
-                    min(3, (self.now - time) // ELECTION)
+                    min(3, (self.now - time) // ELECTION_TIMEOUT)
                     for time in (voter.leader_heard_at, voter.role_started_at)
                 ]
                 parts.append(
@@ -152,17 +152,17 @@
                         voter.leader,
                         frozenset(voter.votes),
                         voter.min_position,
-                        voter.follower.last,
+                        voter.committed_log.last_index,
                         tuple(ahead),
                         tuple(ago),
-                        tuple(sorted(voter.match.items())),
+                        tuple(sorted(voter.match_index.items())),
                         tuple(sorted(voter.next_index.items())),
                         tuple(sorted(voter.joining.items())),
                         frozenset(voter.hello_answers),
                         voter.nonce,
                         tuple(
                             sorted(
-                                (identity, (self.now - time) // ELECTION)
+                                (identity, (self.now - time) // ELECTION_TIMEOUT)
                                 for identity, time in voter.answered_at.items()
                             )
                         ),
@@ -230,7 +230,7 @@
                         "",
                         replace(
                             world,
-                            now=world.now + ELECTION,
+                            now=world.now + ELECTION_TIMEOUT,
                             remaining=replace(world.remaining, passes=world.remaining.passes - 1),
                         ),
                     )
@@ -268,19 +268,21 @@
         durable, remaining, next_id = forked(world.disks[name]), world.remaining, world.next_id
         if wiped:
             remaining = replace(remaining, wipes=remaining.wipes - 1)
-            empty = Durable()
+            empty = PersistentState()
             if self.fault == "wiped votes":
                 empty.identity, empty.epoch = durable.identity, durable.epoch
-                empty.base = beginning(EPOCH, durable.base["voters"])
+                empty.snapshot = initial_state(EPOCH, durable.snapshot["voters"])
             durable = empty
         ids = iter(range(next_id, next_id + 10))
-        voter = self.voter_class(name, "abc", durable, Follower(world.now), world.now, lambda: str(next(ids)))
+        voter = self.voter_class(
+            name, "abc", durable, CommittedLog(world.now), world.now, lambda: str(next(ids))
+        )
         voter.new_id = None  # only the start draws from it; a state that is copied can't hold an iterator
         if self.fault:
             voter.role = Role.FOLLOWER
         if wiped and not self.fault:  # it learns the epoch from the first message it receives
-            voter.follower.state["epoch"] = list(EPOCH)
-            voter.newer_epoch(world.now)
+            voter.committed_log.state["epoch"] = list(EPOCH)
+            voter.adopt_newer_epoch(world.now)
         voter.writes.clear()
         world = replace(
             world,
@@ -303,7 +305,7 @@
         voter.new_id = None
         writes, voter.writes = voter.writes, []
         out, voter.out = voter.out, []
-        voter.follower.out.clear()
+        voter.committed_log.out.clear()
         flying = world.flying | {encode(Envelope("f", name, to, message)) for to, message in out}
         successors, next_id = [], world.next_id + 1
         if writes:
@@ -349,29 +351,29 @@
         Returns the world with these added; raises `Violated`.
         """
         voter, committed, leaders = world.nodes[name], list(world.committed), world.leaders
-        for index, entry in voter.follower.heard:
+        for index, entry in voter.committed_log.newly_committed:
             data = encode(entry_fields(entry))
             if index <= len(committed):
                 if committed[index - 1][0] != data:
                     raise Violated(f"entry {index} was committed twice with different contents (at {name})")
             elif index == len(committed) + 1:
-                committed.append((data, voter.d.term))
+                committed.append((data, voter.persistent.term))
             else:
                 raise Violated(f"entry {index} was committed after entry {len(committed)} (at {name})")
-        voter.follower.heard.clear()
-        if voter.role is Role.LEADER and (voter.d.term, name) not in leaders:
-            if any(term == voter.d.term for term, _ in leaders):
-                raise Violated(f"two leaders in term {voter.d.term}")
-            leaders = leaders | {(voter.d.term, name)}
+        voter.committed_log.newly_committed.clear()
+        if voter.role is Role.LEADER and (voter.persistent.term, name) not in leaders:
+            if any(term == voter.persistent.term for term, _ in leaders):
+                raise Violated(f"two leaders in term {voter.persistent.term}")
+            leaders = leaders | {(voter.persistent.term, name)}
             for index, (data, term) in enumerate(committed, 1):
-                offset = index - voter.d.base["last"] - 1
+                offset = index - voter.persistent.snapshot["last"] - 1
                 # A leader elected late in an earlier term may lack the entry; it can't commit anything.
                 present = (
                     offset < 0
-                    or offset < len(voter.d.entries)
-                    and encode(entry_fields(voter.d.entries[offset])) == data
+                    or offset < len(voter.persistent.entries)
+                    and encode(entry_fields(voter.persistent.entries[offset])) == data
                 )
-                if voter.d.term > term and not present:
+                if voter.persistent.term > term and not present:
                     raise Violated(f"{name} leads without entry {index}, which was committed")
         return replace(world, committed=tuple(committed), leaders=leaders)
 
@@ -383,22 +385,22 @@
     same ones in all logs, that are committed.
     """
     identities = {name: f"{name}/1" for name in "abc"}
-    nodes, disks, now = {}, {}, 1000 * ELECTION
+    nodes, disks, now = {}, {}, 1000 * ELECTION_TIMEOUT
     for name in "abc":
-        durable = Durable()
-        durable.identity, durable.epoch, durable.base = (
+        durable = PersistentState()
+        durable.identity, durable.epoch, durable.snapshot = (
             identities[name],
             EPOCH,
-            beginning(EPOCH, identities),
+            initial_state(EPOCH, identities),
         )
         durable.entries = list((logs or {}).get(name, []))
         durable.term, durable.voted_for = (terms or {}).get(name, (0, ""))
-        voter = DeterministicVoter(name, "abc", durable, Follower(now), now, lambda: "0")
+        voter = DeterministicVoter(name, "abc", durable, CommittedLog(now), now, lambda: "0")
         voter.role, voter.new_id, voter.election_at = Role.FOLLOWER, None, now
         for entry in durable.entries[:agreed]:
-            voter.follower.take(entry)
-        voter.follower.heard.clear()
+            voter.committed_log.apply_committed(entry)
+        voter.committed_log.newly_committed.clear()
         nodes[name], disks[name] = voter, forked(durable)
-    committed_entries = next(iter(nodes.values())).d.entries[:agreed]
+    committed_entries = next(iter(nodes.values())).persistent.entries[:agreed]
     committed = tuple((encode(entry_fields(e)), e.term) for e in committed_entries)
     return World(nodes, disks, remaining=budget or Budget(), committed=committed)
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -67,7 +67,7 @@
             self.attach(name)
         assert self.arena.until(self.arena.settled, 30) is not None
         self.arena.call("c0", "restart", None)
-        followers = [c.follower for c in self.arena.up.values()]
+        followers = [c.committed_log for c in self.arena.up.values()]
 
         def all_voters_in():
             return all(len(f.state["voters"]) == len(voters) for f in followers)
@@ -89,14 +89,16 @@
 
     def states(self, through=None):
         """Return {machine: State} by one controller's copy of the record, by default the last one's."""
-        rows = work.rows(self.arena.up[through or self.names[-1]].follower.state)
+        rows = work.rows(self.arena.up[through or self.names[-1]].committed_log.state)
         return {m: State(row["state"]) for m, row in rows.items()}
 
     def add(self, name, value, through="c4"):
         """Propose a plan through a controller and wait until it is applied there."""
-        id, entry_value = work.added(self.arena.up[through].follower.state, value, name, "ops")
+        id, entry_value = work.added(self.arena.up[through].committed_log.state, value, name, "ops")
         self.arena.call(through, "propose", id, entry_value)
-        assert self.arena.until(lambda: id in self.arena.up[through].follower.state["ids"], 20) is not None
+        assert (
+            self.arena.until(lambda: id in self.arena.up[through].committed_log.state["ids"], 20) is not None
+        )
 
     def go(self, seconds, until=lambda: False):
         """Run the simulation, at most `seconds`, in steps of 0.1 s.
@@ -132,11 +134,11 @@
                 self.standing[machine][1:] = True, now
         permits = set()
         for name, c in self.arena.up.items():
-            if self.last_read.get(name) != c.follower.last:
-                self.last_read[name] = c.follower.last
+            if self.last_read.get(name) != c.committed_log.last_index:
+                self.last_read[name] = c.committed_log.last_index
                 permits |= {
                     (m, row["n"])
-                    for m, row in work.rows(c.follower.state).items()
+                    for m, row in work.rows(c.committed_log.state).items()
                     if row["state"] == State.OUT.value and m in self.standing
                 }
         permits -= self.taken_down_at.keys()
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -93,7 +93,7 @@
         if self.dead:
             return
         now = self.world.now
-        heard = self.controller.follower.as_of is not None
+        heard = self.controller.committed_log.complete_as_of is not None
         self.back.look(now, True, heard, *self.served.recent(now))
         self.sight.look()
         if (kept := self.sight.keeps()) is not None:
@@ -207,7 +207,8 @@
         self.arena.call(names[0], "restart", None)
         assert (
             self.arena.until(
-                lambda: all(len(c.follower.state["voters"]) == VOTERS for c in self.arena.up.values()), 60
+                lambda: all(len(c.committed_log.state["voters"]) == VOTERS for c in self.arena.up.values()),
+                60,
             )
             is not None
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from terndrift.fleet import record
+from terndrift.fleet import raft
 from terndrift.fleet.arena import Arena
 from terndrift.fleet.membership import Membership, Standing
 from terndrift.fleet.messages import (
@@ -38,7 +38,7 @@
 
 def committed_everywhere(arena, id):
     """Whether all running controllers have seen the proposal committed."""
-    return all(id in c.follower.state["ids"] for c in arena.up.values())
+    return all(id in c.committed_log.state["ids"] for c in arena.up.values())
 
 
 def started_arena(seed=1, **options):
@@ -47,7 +47,9 @@
     arena.start()
     assert arena.until(arena.settled, 30) is not None
     arena.call("c0", "restart", None)
-    assert_eventually(arena, lambda: all(len(c.follower.state["voters"]) == 5 for c in arena.up.values()))
+    assert_eventually(
+        arena, lambda: all(len(c.committed_log.state["voters"]) == 5 for c in arena.up.values())
+    )
     return arena
 
 
@@ -55,7 +57,7 @@
     """Proposes at `through`; returns the seconds until it is committed at the names `at` or all, or None."""
     arena.call(through, "propose", id, {id: 1})
     names = at or list(arena.up)
-    return arena.until(lambda: all(id in arena.up[n].follower.state["ids"] for n in names), within)
+    return arena.until(lambda: all(id in arena.up[n].committed_log.state["ids"] for n in names), within)
 
 
 def wait_for_leader(arena):
@@ -81,8 +83,8 @@
     )
     arena.start(old_leader)
     assert arena.until(arena.settled, 30) is not None
-    assert arena.until(lambda: "p2" in arena.up[old_leader].follower.state["ids"], 10) is not None
-    assert not arena.wrong and arena.up[old_leader].follower.state["map"] == {"p1": 1, "p2": 1}
+    assert arena.until(lambda: "p2" in arena.up[old_leader].committed_log.state["ids"], 10) is not None
+    assert not arena.wrong and arena.up[old_leader].committed_log.state["map"] == {"p1": 1, "p2": 1}
 
 
 def test_a_paused_leader_steps_down_as_soon_as_it_resumes():
@@ -93,8 +95,8 @@
     arena.run(10)
     deaths_before = [c for c in arena.changes if c[1] == old_leader and c[4] is Standing.DEAD]
     arena.go_on(old_leader)
-    assert arena.up[old_leader].voter.role is not record.Role.LEADER
-    assert arena.until(lambda: "p1" in arena.up[old_leader].follower.state["ids"], 10) is not None
+    assert arena.up[old_leader].voter.role is not raft.Role.LEADER
+    assert arena.until(lambda: "p1" in arena.up[old_leader].committed_log.state["ids"], 10) is not None
     arena.run(20)
     deaths_after = [c for c in arena.changes if c[1] == old_leader and c[4] is Standing.DEAD]
     assert deaths_after == deaths_before, "it declared others dead after its own pause"
@@ -111,8 +113,8 @@
     majority = [n for n in NAMES if n not in minority]
     assert propose_and_wait(arena, "majority", majority[-1], at=majority) is not None
     arena.run(8)
-    assert arena.up[old_leader].cut_off(arena.now) > 5 * record.SECOND
-    assert "x" not in arena.up[old_leader].follower.state["map"]
+    assert arena.up[old_leader].cut_off(arena.now) > 5 * raft.SECOND
+    assert "x" not in arena.up[old_leader].committed_log.state["map"]
     assert not any(arena.up[n].cut_off(arena.now) for n in majority)
     arena.cut = lambda a, b: False
     assert_eventually(arena, lambda: committed_everywhere(arena, "minority"))
@@ -145,7 +147,9 @@
     arena.run(back_after)
     arena.start(*killed)
     assert propose_and_wait(arena, "p2", "c5", 30) is not None and arena.until(arena.settled, 60) is not None
-    assert not arena.wrong and all(c.follower.state["map"] == {"p1": 1, "p2": 1} for c in arena.up.values())
+    assert not arena.wrong and all(
+        c.committed_log.state["map"] == {"p1": 1, "p2": 1} for c in arena.up.values()
+    )
 
 
 @pytest.mark.parametrize("store_fault", ["wipe", "rewind"])
@@ -161,10 +165,10 @@
     arena.run(1)
     arena.start(name)
     voter = arena.up[name].voter
-    assert voter.role in (record.Role.OUT, record.Role.DOUBTING)
-    assert arena.until(lambda: voter.role is record.Role.FOLLOWER, 20) is not None
+    assert voter.role in (raft.Role.NON_VOTER, raft.Role.RECOVERING)
+    assert arena.until(lambda: voter.role is raft.Role.FOLLOWER, 20) is not None
     assert voter.identity != old_identity
-    follower = arena.up["c8"].follower
+    follower = arena.up["c8"].committed_log
     assert arena.until(lambda: follower.state["voters"].get(name) == voter.identity, 10) is not None
     assert propose_and_wait(arena, "last", "c8") is not None and not arena.wrong
 
@@ -176,7 +180,7 @@
     arena.kill(name)
     assert propose_and_wait(arena, "p1", "c8") is not None
     arena.start(name)
-    assert arena.until(lambda: arena.up[name].voter.role is record.Role.FOLLOWER, 10) is not None
+    assert arena.until(lambda: arena.up[name].voter.role is raft.Role.FOLLOWER, 10) is not None
     assert arena.up[name].voter.identity == old_identity
 
 
@@ -193,11 +197,11 @@
     arena.start(wiped_first, wiped_second)
     arena.call("c8", "propose", "p2", {"p2": 1})
     arena.run(15)
-    assert not any("p2" in c.follower.state["ids"] for c in arena.up.values())
+    assert not any("p2" in c.committed_log.state["ids"] for c in arena.up.values())
     arena.cut = lambda a, b: False
     assert_eventually(arena, lambda: committed_everywhere(arena, "p2"))
-    assert arena.until(lambda: len(arena.up["c8"].follower.state["voters"]) == 5, 30) is not None
-    assert not arena.wrong and arena.up["c8"].follower.state["map"]["p1"] == 1
+    assert arena.until(lambda: len(arena.up["c8"].committed_log.state["voters"]) == 5, 30) is not None
+    assert not arena.wrong and arena.up["c8"].committed_log.state["map"]["p1"] == 1
 
 
 def test_with_all_stores_lost_nothing_commits_until_an_operator_begins_a_new_epoch_for_all():
@@ -210,12 +214,12 @@
     arena.start(*VOTERS)
     arena.call("c8", "propose", "p2", {"p2": 1})
     arena.run(20)
-    assert not arena.leaders() and not any("p2" in c.follower.state["ids"] for c in arena.up.values())
+    assert not arena.leaders() and not any("p2" in c.committed_log.state["ids"] for c in arena.up.values())
     arena.call("c1", "restart", {"map": {"p1": 1}, "ids": {"p1": 1}})
-    assert arena.until(lambda: all(c.follower.epoch[0] == 2 for c in arena.up.values()), 20) is not None
+    assert arena.until(lambda: all(c.committed_log.epoch[0] == 2 for c in arena.up.values()), 20) is not None
     assert propose_and_wait(arena, "p3", "c7") is not None
-    assert arena.until(lambda: len(arena.up["c8"].follower.state["voters"]) == 5, 30) is not None
-    assert arena.up["c8"].follower.state["map"]["p1"] == 1
+    assert arena.until(lambda: len(arena.up["c8"].committed_log.state["voters"]) == 5, 30) is not None
+    assert arena.up["c8"].committed_log.state["map"]["p1"] == 1
 
 
 def test_memberships_of_a_healed_partition_converge_within_30_seconds():
@@ -244,7 +248,7 @@
         arena.run(0.3)
     assert_eventually(arena, lambda: committed_everywhere(arena, "p1"))
     assert sum(e.id == "p1" for e in arena.agreed.values()) >= 1 and not arena.wrong
-    assert len({c.follower.state["ids"]["p1"] for c in arena.up.values()}) == 1
+    assert len({c.committed_log.state["ids"]["p1"] for c in arena.up.values()}) == 1
 
 
 def test_a_restart_is_a_new_run_and_a_planned_stop_is_announced():
@@ -269,15 +273,24 @@
     arena = started_arena()
     name = next(v for v in VOTERS if v != wait_for_leader(arena))
     arena.kill(name)
-    for n in range(record.LONGEST + 200):
+    for n in range(raft.MAX_LOG_ENTRIES + 200):
         arena.call(wait_for_leader(arena), "propose", f"p{n}", {"n": n})
         if n % 50 == 0:
             arena.run(0.3)
-    assert_eventually(arena, lambda: arena.up["c8"].follower.state["map"].get("n") == record.LONGEST + 199)
-    assert all(len(c.voter.d.entries) <= record.LONGEST + 64 for c in arena.up.values() if c.voter)
+    assert_eventually(
+        arena, lambda: arena.up["c8"].committed_log.state["map"].get("n") == raft.MAX_LOG_ENTRIES + 199
+    )
+    assert all(
+        len(c.voter.persistent.entries) <= raft.MAX_LOG_ENTRIES + 64 for c in arena.up.values() if c.voter
+    )
     arena.start(name)
-    assert arena.until(lambda: arena.up[name].voter.d.last >= arena.up["c8"].follower.last, 20) is not None
-    assert arena.up[name].voter.d.base["last"] > 0 and not arena.wrong
+    assert (
+        arena.until(
+            lambda: arena.up[name].voter.persistent.last_index >= arena.up["c8"].committed_log.last_index, 20
+        )
+        is not None
+    )
+    assert arena.up[name].voter.persistent.snapshot["last"] > 0 and not arena.wrong
 
 
 def test_packets_are_accepted_only_from_configured_members_of_the_same_fleet():
@@ -328,7 +341,7 @@
 @pytest.fixture
 def single_entry_appends(monkeypatch):
     """Limits appends to one entry each, so that the checker sees every order of single entries."""
-    monkeypatch.setattr(record, "MOST", 1)
+    monkeypatch.setattr(raft, "MAX_ENTRIES_PER_MESSAGE", 1)
 
 
 def value_entry(term, id):
@@ -406,8 +419,8 @@
         membership.received(0, name, Ping(1, [MemberUpdate(name, 5, 0, 0)]))
     membership.received(0, "c", Ping(2, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
     now = 0
-    while now < 15 * record.SECOND:
-        now = max(now + record.SECOND // 10, membership.next_at())
+    while now < 15 * raft.SECOND:
+        now = max(now + raft.SECOND // 10, membership.next_at())
         membership.tick(now)
         if membership.probe:  # all other members answer
             membership.received(now, membership.probe.target, Ack(membership.probe.seq, []))
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -13,7 +13,7 @@
 from terndrift.cli.main import cli
 from terndrift.core.runner import Clock
 from terndrift.deployment import InconsistentRecordError
-from terndrift.fleet.record import Role
+from terndrift.fleet.raft import Role
 from terndrift.fleet.service import Fleet, settled
 from terndrift.rehearse import run
 from terndrift.standin.network import Network
@@ -74,7 +74,7 @@
 
     def all_voters_joined(self):
         """Tells whether each controller knows three voters to be in force."""
-        return all(len(f.controller.follower.state["voters"]) == 3 for f in self.controllers.values())
+        return all(len(f.controller.committed_log.state["voters"]) == 3 for f in self.controllers.values())
 
 
 def with_fleet(test):
@@ -125,7 +125,7 @@
         file.write(b"\xff" * 16)
     await fleet.start("c")
     controller = fleet.controllers["c"]
-    assert controller.log.find("store damaged") and controller.controller.voter.role is Role.OUT
+    assert controller.log.find("store damaged") and controller.controller.voter.role is Role.NON_VOTER
     await fleet.until(lambda: controller.controller.voter.role is Role.FOLLOWER)
     assert controller.controller.voter.identity != before
     await fleet.until(lambda: controller.record()["map"] == {"k": 1})
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -36,7 +36,8 @@
         self.arena.call("c0", "restart", None)
         assert (
             self.arena.until(
-                lambda: all(len(c.follower.state["voters"]) == voters for c in self.arena.up.values()), 60
+                lambda: all(len(c.committed_log.state["voters"]) == voters for c in self.arena.up.values()),
+                60,
             )
             is not None
         )
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -81,10 +81,10 @@
     clock = testbed.service.clock
     wall = clock.to_wall_ns(clock.now()) // 1_000_000
     _, value = hold(0.0, 60, "ops", wall)
-    fleet.follower.state["map"] |= value
+    fleet.committed_log.state["map"] |= value
     assert surge.level() == 0 and surge.report()["held"]["by"] == "ops"
     assert (await testbed.request_playback("clip"))[0] == 200
-    fleet.follower.state["map"] |= hold(1.0, 5, "ops", wall - 6000)[1]
+    fleet.committed_log.state["map"] |= hold(1.0, 5, "ops", wall - 6000)[1]
     assert surge.level() == 2.0, "the hold has expired"
     assert release(wall)[1] == {HOLD_KEY: None}
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -8,7 +8,7 @@
 
 from terndrift.fleet import messages, work
 from terndrift.fleet.messages import PlacementReport
-from terndrift.fleet.record import Role
+from terndrift.fleet.raft import Role
 from terndrift.fleet.room import Machine, WorkBudget
 from terndrift.fleet.work import Seen, State, Work
 from terndrift.fleet.yard import SECOND, Site, plan
@@ -74,7 +74,7 @@
         c = arena.up[n]
         machines_at_step = [
             k
-            for _, e in c.follower.heard
+            for _, e in c.committed_log.newly_committed
             if e.kind == "value"
             for k, v in e.value.items()
             if k.startswith("work/m/") and v["state"] == at.value
@@ -92,9 +92,9 @@
     site.add("kernel", plan(["s0", "s1"], most=1))
     assert site.go(300, site.done) and len(killed) == 1
     assert not site.wrong and site.most_out == 1 and len(site.taken_down_at) == 2
-    revision = work.rev(arena.up["c5"].follower.state)
+    revision = work.rev(arena.up["c5"].committed_log.state)
     assert revision == 1 + 2 * len(STEPS), "a step was taken twice, or skipped"
-    for row in work.rows(arena.up["c5"].follower.state).values():
+    for row in work.rows(arena.up["c5"].committed_log.state).values():
         assert [s for s, _, _ in row["log"]] == ["waiting", *(s.value for s in STEPS)]
 
 
@@ -170,7 +170,7 @@
     lead.holds["c5"] = PlacementReport(50, {"s0": 0}), arena.now
     arena.cut = lambda a, b: "c5" in (a, b)
     arena.call("c0", "restart", None)
-    assert arena.until(lambda: arena.up["c4"].follower.epoch[0] == 2, 20) is not None
+    assert arena.until(lambda: arena.up["c4"].committed_log.epoch[0] == 2, 20) is not None
     late = messages.encode("arena", "c5", "c0", PlacementReport(50, {"s0": 0}), 1, 20, 0)
     arena._arrive("c0", late)
     assert "c5" not in lead.holds
@@ -292,5 +292,5 @@
     assert arena.until(lambda: arena.seen("c1", "suspect"), 30) is not None
     arena.run(2)
     assert sorted(redirects["c5"].places(arena.now)) == ["c0", "c2"]
-    ids = arena.up["c5"].follower.state["ids"]
+    ids = arena.up["c5"].committed_log.state["ids"]
     assert sum(i.startswith("front/") for i in ids) == 5
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -258,7 +258,7 @@
                 site.playbacks[name] = []
                 if arena.now - told_at.setdefault(name, arena.now) > 3 * SECOND and c.leader() == name:
                     led_while_draining.append(name)
-        rows = work.rows(arena.up[next(iter(arena.up))].follower.state)
+        rows = work.rows(arena.up[next(iter(arena.up))].committed_log.state)
         for machine, row in rows.items():
             name = machine.removeprefix("controller:")
             if row["state"] == "out" and name in arena.up and name not in restarted:
@@ -306,12 +306,12 @@
         work.added(empty, plan(["s0"]), "a", "ops"),
         work.added(empty, plan(["s0", "s1"]), "b", "ops"),
     )
-    from terndrift.fleet.agreed import applied, beginning
+    from terndrift.fleet.committed_state import apply_entry, initial_state
     from terndrift.fleet.messages import Entry
 
-    state = beginning((1, "e"))
+    state = initial_state((1, "e"))
     for n, (id, value) in enumerate((first, second), 1):
-        applied(state, n, Entry(1, "value", f"{id}{n}", value))
+        apply_entry(state, n, Entry(1, "value", f"{id}{n}", value))
     assert list(state["ids"].values()) == [1, -2], "its proposer can tell that it had no effect"
     assert set(work.plans(state)) == {"a"} and work.busy(state, ["s0", "s1"]) == ["s0"]
 
