--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,8 +10,8 @@
 import time
 from statistics import quantiles
 
-from terndrift.fleet.arena import Arena
 from terndrift.fleet.membership import Standing
+from terndrift.fleet.simulated_fleet import SimulatedFleet
 
 SIZES, LOSSES = (50, 200, 300, 1000), (0.0, 0.05, 0.2)
 
@@ -25,25 +25,29 @@
 
 def measured(size, loss, seed=1):
     names = [f"m{n}" for n in range(size)]
-    arena, began = Arena(names, seed=seed, loss=loss), time.time()
-    arena.start()
-    together = arena.until(arena.settled, 120)
-    before, from_when = {n: list(s) for n, s in arena.sent.items()}, len(arena.changes)
+    simulated_fleet, began = SimulatedFleet(names, seed=seed, loss=loss), time.time()
+    simulated_fleet.start()
+    together = simulated_fleet.run_until(simulated_fleet.membership_converged, 120)
+    before, from_when = {n: list(s) for n, s in simulated_fleet.sent.items()}, len(simulated_fleet.changes)
     quiet = 120.0 if size <= 300 else 30.0
-    arena.run(quiet)
-    false = sum(c[4] is Standing.DEAD for c in arena.changes[from_when:])
-    sent = [sum(arena.sent[n][k] - before[n][k] for n in names) / size / quiet for k in (0, 1)]
-    at, from_when = arena.now, len(arena.changes)
-    arena.kill("m1")
-    arena.run(60)
-    found = [(c[0] - at) / 1e9 for c in arena.changes[from_when:] if c[2] == "m1" and c[4] is Standing.DEAD]
-    arena.start("m1")
-    arena.until(arena.settled, 60)
+    simulated_fleet.run(quiet)
+    false = sum(c[4] is Standing.DEAD for c in simulated_fleet.changes[from_when:])
+    sent = [sum(simulated_fleet.sent[n][k] - before[n][k] for n in names) / size / quiet for k in (0, 1)]
+    at, from_when = simulated_fleet.now, len(simulated_fleet.changes)
+    simulated_fleet.kill("m1")
+    simulated_fleet.run(60)
+    found = [
+        (c[0] - at) / 1e9
+        for c in simulated_fleet.changes[from_when:]
+        if c[2] == "m1" and c[4] is Standing.DEAD
+    ]
+    simulated_fleet.start("m1")
+    simulated_fleet.run_until(simulated_fleet.membership_converged, 60)
     one = set(names[: 2 * size // 5])
-    arena.cut = lambda a, b: (a in one) != (b in one)
-    arena.run(60)
-    arena.cut = lambda a, b: False
-    converged = arena.until(arena.settled, 120)
+    simulated_fleet.drops_message = lambda a, b: (a in one) != (b in one)
+    simulated_fleet.run(60)
+    simulated_fleet.drops_message = lambda a, b: False
+    converged = simulated_fleet.run_until(simulated_fleet.membership_converged, 120)
     p50, p99 = percentiles(found)
     return {
         "members": size,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -10,9 +10,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from statistics import fmean
 
-from terndrift.fleet.arena import Arena
 from terndrift.fleet.leases import Leases
 from terndrift.fleet.messages import Piggyback
+from terndrift.fleet.simulated_fleet import SimulatedFleet
 
 VOTERS, SECONDS = 5, 60
 FAULTS = {15: "surge", 25: "kill", 32: "back", 40: "cut", 49: "heal"}
@@ -21,24 +21,30 @@
 class Town:
     def __init__(self, size, loss, seed):
         self.names, self.limit = [f"c{n:03d}" for n in range(size)], float(size)
-        self.arena, self.chance = Arena(self.names, self.names[:VOTERS], seed, loss), random.Random(seed)
+        self.simulated_fleet, self.chance = (
+            SimulatedFleet(self.names, self.names[:VOTERS], seed, loss),
+            random.Random(seed),
+        )
         self.wants = dict.fromkeys(self.names, 0.0)
         self.start(*self.names)
-        assert self.arena.until(self.arena.settled, 120) is not None
-        self.arena.call(self.names[0], "restart", None)
+        assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 120) is not None
+        self.simulated_fleet.call_controller(self.names[0], "restart", None)
         assert (
-            self.arena.until(
-                lambda: all(len(c.committed_log.state["voters"]) == VOTERS for c in self.arena.up.values()),
+            self.simulated_fleet.run_until(
+                lambda: all(
+                    len(c.committed_log.state["voters"]) == VOTERS
+                    for c in self.simulated_fleet.controllers.values()
+                ),
                 120,
             )
             is not None
         )
 
     def start(self, *names):
-        self.arena.start(*names)
+        self.simulated_fleet.start(*names)
         for name in names:
-            c = self.arena.up[name]
-            c.leases = Leases(name, {"extra": self.limit}, len(self.names), True, self.arena.now)
+            c = self.simulated_fleet.controllers[name]
+            c.leases = Leases(name, {"extra": self.limit}, len(self.names), True, self.simulated_fleet.now)
             c.leases.wanted["extra"] = self.wants[name]
             c.loads.own = lambda now, n=name: ({"free": [10, 0, 9, 9, 0, 0]}, [0, 0, 1])
             c.loads.own_beside = lambda now: Piggyback(
@@ -48,45 +54,48 @@
     def want(self, some, want):
         for name in some:
             self.wants[name] = want
-            if name in self.arena.up:
-                self.arena.up[name].leases.wanted["extra"] = want
+            if name in self.simulated_fleet.controllers:
+                self.simulated_fleet.controllers[name].leases.wanted["extra"] = want
 
     def parts(self):
-        return {n: c.leases.part(self.arena.now, "extra") for n, c in self.arena.up.items()}
+        return {
+            n: c.leases.part(self.simulated_fleet.now, "extra")
+            for n, c in self.simulated_fleet.controllers.items()
+        }
 
     def fault(self, what):
-        arena = self.arena
+        simulated_fleet = self.simulated_fleet
         if what == "surge":
             self.few = self.chance.sample(self.names, len(self.names) // 10)
             self.want(self.few, 20.0)
         elif what == "kill":
-            self.dead = next(iter(arena.leaders()), self.names[0])
-            arena.kill(self.dead)
+            self.dead = next(iter(simulated_fleet.leaders()), self.names[0])
+            simulated_fleet.kill(self.dead)
         elif what == "back":
             self.start(self.dead)
         elif what == "cut":
             some = set(self.chance.sample(self.names, len(self.names) // 3))
-            arena.cut = lambda a, b: (a in some) != (b in some)
+            simulated_fleet.drops_message = lambda a, b: (a in some) != (b in some)
         else:
-            arena.cut = lambda a, b: False
+            simulated_fleet.drops_message = lambda a, b: False
 
 
 def one(size, loss, seed=1):
     town, most, used, settled = Town(size, loss, seed), 0.0, [], None
-    town.arena.run(5)
-    before = [sum(s[k] for s in town.arena.sent.values()) for k in (0, 1)]
+    town.simulated_fleet.run(5)
+    before = [sum(s[k] for s in town.simulated_fleet.sent.values()) for k in (0, 1)]
     for step in range(SECONDS * 50):
         if (what := FAULTS.get(step / 50)) is not None:
             town.fault(what)
-        town.arena.run(0.02)
+        town.simulated_fleet.run(0.02)
         parts = town.parts()
         most = max(most, sum(parts.values()))
         if step % 50 == 0:
             used.append(sum(parts.values()) / town.limit)
         if settled is None and step >= 15 * 50 and sum(parts[n] for n in town.few) > 0.75 * town.limit:
             settled = step / 50 - 15
-    sent = [sum(s[k] for s in town.arena.sent.values()) - before[k] for k in (0, 1)]
-    members = [c.loads.total(town.arena.now)[2] for c in town.arena.up.values()]
+    sent = [sum(s[k] for s in town.simulated_fleet.sent.values()) - before[k] for k in (0, 1)]
+    members = [c.loads.total(town.simulated_fleet.now)[2] for c in town.simulated_fleet.controllers.values()]
     return {
         "members": size,
         "lost": loss,
--- a/benchmarks/work.py
+++ b/benchmarks/work.py
@@ -17,21 +17,21 @@
 def measured(controllers, streamers, most, racks, seed=1, loss=0.0):
     names, began = [f"c{n}" for n in range(controllers)], time.time()
     site = Site(seed, names, names[:5], streamers, racks, rate=0.03, loss=loss)
-    arena = site.arena
+    simulated_fleet = site.simulated_fleet
     site.go(10)
-    before = {n: list(s) for n, s in arena.sent.items()}
+    before = {n: list(s) for n, s in simulated_fleet.sent.items()}
     site.go(20)
-    quiet = [sum(arena.sent[n][k] - before[n][k] for n in names) / 20 for k in (0, 1)]
+    quiet = [sum(simulated_fleet.sent[n][k] - before[n][k] for n in names) / 20 for k in (0, 1)]
     value = plan(site.standing, most=most, needs=NEEDS * SECOND, drain=DRAIN * SECOND, warm=WARM * SECOND)
     site.add("all", value)
-    before, at = {n: list(s) for n, s in arena.sent.items()}, arena.now
+    before, at = {n: list(s) for n, s in simulated_fleet.sent.items()}, simulated_fleet.now
     done = site.go(1200, site.done)
-    took = (arena.now - at) / SECOND
-    sent = [sum(arena.sent[n][k] - before[n][k] for n in names) - quiet[k] * took for k in (0, 1)]
+    took = (simulated_fleet.now - at) / SECOND
+    sent = [sum(simulated_fleet.sent[n][k] - before[n][k] for n in names) - quiet[k] * took for k in (0, 1)]
     # a playback lasts 1 to 4 s here, and the worker holds a machine for 2 s
     least = 4 + 2 + WARM
     bound = math.ceil(streamers / min(most, racks * value["most_rack"])) * least
-    entries = work.rev(arena.up[names[-1]].committed_log.state)
+    entries = work.rev(simulated_fleet.controllers[names[-1]].committed_log.state)
     return {
         "controllers": controllers,
         "streamers": streamers,
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -1,9 +1,9 @@
 """One controller of a fleet: combines the membership, the record and the gossip of all other parts.
 
-The host (`service`, or the simulated network of `arena`) passes in decoded messages and the time, sends what
-is in `out` and stores what is in `writes`. There is no I/O here; times and durations are in ns. What a voter
-sends after a record of `writes` is held back until the host has reported by `kept` that the record is
-durable: no vote or confirmation may rest on records that a crash could lose.
+The host (`service`, or the simulated network of `simulated_fleet`) passes in decoded messages and the time,
+sends what is in `out` and stores what is in `writes`. There is no I/O here; times and durations are in ns.
+What a voter sends after a record of `writes` is held back until the host has reported by `kept` that the
+record is durable: no vote or confirmation may rest on records that a crash could lose.
 """
 
 from terndrift.fleet import messages, ranks, work
--- a/terndrift/fleet/worlds.py
+++ b/terndrift/fleet/model_checker.py
@@ -4,7 +4,8 @@
 voter's timer fires, time passes, a value is proposed, a voter crashes before or after its writes are
 durable, or it restarts with its stored state or with none. A message that is never delivered is lost.
 States are told apart by their hashes. The search is breadth-first, so the path to a violation is the
-shortest one. `Violated` names the invariants. `permits` uses the search for a checker of its own.
+shortest one. `InvariantViolationError` names the invariants. `permits` uses the search for a checker of its
+own.
 """
 
 from collections import deque
@@ -22,7 +23,7 @@
 decode = lru_cache(100_000)(msgspec.msgpack.Decoder(Envelope).decode)
 
 
-def forked(original):
+def copy_node(original):
     """Copies a voter, its persistent state or a follower; changes to the copy don't reach the original.
 
     Copies containers one level deep, and the `PersistentState` and `CommittedLog` of a voter as well.
@@ -32,14 +33,14 @@
         if isinstance(value, dict | list | set):
             value = value.copy()
         elif isinstance(value, PersistentState | CommittedLog):
-            value = forked(value)
+            value = copy_node(value)
         copy.__dict__[name] = value
     if isinstance(copy, CommittedLog):
         copy.state = copy_state(copy.state)
     return copy
 
 
-class Violated(Exception):
+class InvariantViolationError(Exception):
     """An invariant does not hold.
 
     There is at most one leader in a term. Committed entries are never lost or changed, and are the same on
@@ -47,12 +48,12 @@
     """
 
 
-def searched(start, steps, max_states):
+def search(start, steps, max_states):
     """Searches breadth-first from `start`, through at most `max_states` states.
 
     `steps(world)` yields (name, call); a call returns [(suffix of the name, next world)] or raises
-    `Violated`. Returns ((names of the steps, message) of the shortest path to a violation or None, number
-    of states visited).
+    `InvariantViolationError`. Returns ((names of the steps, message) of the shortest path to a violation or
+    None, number of states visited).
     """
     seen, queue, states = {start.key()}, deque([(start, ())]), 0
     while queue and states < max_states:
@@ -61,7 +62,7 @@
         for step, apply in steps(world):
             try:
                 successors = apply()
-            except Violated as violation:
+            except InvariantViolationError as violation:
                 return ([*path, step], str(violation)), states
             for suffix, successor in successors:
                 key = successor.key()
@@ -113,8 +114,8 @@
     duplicates: int = 0
     wipes: int = 0
     proposals: int = 1
-    passes: int = 2  # steps of time, of ELECTION_TIMEOUT each
-    standers: frozenset = frozenset("abc")  # names of voters that may start elections
+    time_steps: int = 2  # steps of time, of ELECTION_TIMEOUT each
+    electable: frozenset = frozenset("abc")  # names of voters that may start elections
 
 
 @dataclass
@@ -123,7 +124,7 @@
 
     nodes: dict  # name -> Voter, None while it is down
     disks: dict  # name -> PersistentState, the state that is on its disk
-    flying: frozenset = frozenset()  # messages in flight: encoded Envelope
+    in_flight: frozenset = frozenset()  # messages in flight: encoded Envelope
     now: int = 1000 * ELECTION_TIMEOUT
     remaining: Budget = field(default_factory=Budget)
     committed: tuple = ()  # (encoded entry, term of the voter that first had it committed)
@@ -132,7 +133,7 @@
 
     def key(self):
         """Hash of all that decides what may happen next; times count in whole election timeouts."""
-        parts = [self.flying, self.remaining, self.committed, self.leaders]
+        parts = [self.in_flight, self.remaining, self.committed, self.leaders]
         for name, voter in sorted(self.nodes.items()):
             durable = self.disks[name] if voter is None else voter.persistent
             entries = tuple(encode(entry) for entry in durable.entries)
@@ -175,15 +176,15 @@
 
 
 class Checker:
-    """Searches the states that are reachable from the world `start`, at most `most` of them.
+    """Searches the states that are reachable from the world `start`, at most `max_states` of them.
 
     `fault` is one of FAULTS to plant. The exchange of RecoveryRequest after a restart masks some of the
     faults; with a fault planted, voters restart without it. After `run`, `states` is the number of states
     visited.
     """
 
-    def __init__(self, start, fault=None, most=200_000):
-        self.start, self.fault, self.most = start, fault, most
+    def __init__(self, start, fault=None, max_states=200_000):
+        self.start, self.fault, self.max_states = start, fault, max_states
         self.states = 0
 
     def run(self):
@@ -191,12 +192,12 @@
         self.voter_class = type("CheckedVoter", (DeterministicVoter,), {"fault": self.fault})
         for voter in self.start.nodes.values():
             voter.__class__ = self.voter_class
-        found, self.states = searched(self.start, self.steps, self.most)
+        found, self.states = search(self.start, self.steps, self.max_states)
         return found
 
     def steps(self, world):
-        """Yields (name, call) of each event that is possible in `world`; see `searched`."""
-        for data in sorted(world.flying):
+        """Yields (name, call) of each event that is possible in `world`; see `search`."""
+        for data in sorted(world.in_flight):
             sealed = decode(data)
             if world.nodes.get(sealed.to) is not None:
                 label = f"{sealed.sender} to {sealed.to}: {type(sealed.message).__name__}"
@@ -213,7 +214,7 @@
                     yield f"{name} starts with nothing", lambda n=name: self.start_node(world, n, True)
                 continue
             is_electable = voter.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
-            if voter.next_at() <= world.now and (not is_electable or name in world.remaining.standers):
+            if voter.next_at() <= world.now and (not is_electable or name in world.remaining.electable):
                 yield (
                     f"{name}'s timer fires",
                     lambda n=name: self.apply(world, n, lambda one: one.tick(world.now)),
@@ -222,7 +223,7 @@
                 yield f"value proposed to {name}", lambda n=name: self.propose(world, n)
             if world.remaining.crashes:
                 yield f"{name} crashes", lambda n=name: self.crash(world, n)
-        if world.remaining.passes:
+        if world.remaining.time_steps:
             yield (
                 "an election timeout passes",
                 lambda: [
@@ -231,7 +232,7 @@
                         replace(
                             world,
                             now=world.now + ELECTION_TIMEOUT,
-                            remaining=replace(world.remaining, passes=world.remaining.passes - 1),
+                            remaining=replace(world.remaining, time_steps=world.remaining.time_steps - 1),
                         ),
                     )
                 ],
@@ -239,11 +240,11 @@
 
     def deliver(self, world, data, sealed, duplicate=False):
         """Delivers a message; as a duplicate it stays in flight."""
-        flying, remaining = world.flying if duplicate else world.flying - {data}, world.remaining
+        in_flight, remaining = world.in_flight if duplicate else world.in_flight - {data}, world.remaining
         if duplicate:
             remaining = replace(remaining, duplicates=remaining.duplicates - 1)
         return self.apply(
-            replace(world, flying=flying, remaining=remaining),
+            replace(world, in_flight=in_flight, remaining=remaining),
             sealed.to,
             lambda voter: voter.received(world.now, sealed.sender, sealed.message),
         )
@@ -265,7 +266,7 @@
 
     def start_node(self, world, name, wiped=False):
         """Restarts the voter `name` with what is on its disk, or with an empty disk."""
-        durable, remaining, next_id = forked(world.disks[name]), world.remaining, world.next_id
+        durable, remaining, next_id = copy_node(world.disks[name]), world.remaining, world.next_id
         if wiped:
             remaining = replace(remaining, wipes=remaining.wipes - 1)
             empty = PersistentState()
@@ -289,7 +290,7 @@
             remaining=remaining,
             next_id=next_id + 10,
             nodes={**world.nodes, name: voter},
-            disks={**world.disks, name: forked(durable)},
+            disks={**world.disks, name: copy_node(durable)},
         )
         return [("", self.check(world, name))]
 
@@ -299,27 +300,29 @@
         In one of them its writes become durable and its messages are sent. If it writes and the budget allows
         a crash, there are two more: a crash before its writes are durable, and one after that.
         """
-        voter = forked(world.nodes[name])
+        voter = copy_node(world.nodes[name])
         voter.new_id = voter.new_id or (lambda: str(world.next_id))
         call(voter)
         voter.new_id = None
         writes, voter.writes = voter.writes, []
         out, voter.out = voter.out, []
         voter.committed_log.out.clear()
-        flying = world.flying | {encode(Envelope("f", name, to, message)) for to, message in out}
+        in_flight = world.in_flight | {encode(Envelope("f", name, to, message)) for to, message in out}
         successors, next_id = [], world.next_id + 1
         if writes:
-            disk = forked(world.disks[name])
+            disk = copy_node(world.disks[name])
             for record in writes:
                 disk.replay(record)
             if world.remaining.crashes:
                 remaining = replace(world.remaining, crashes=world.remaining.crashes - 1)
                 nodes = {**world.nodes, name: None}
-                sent_early = flying if self.fault == "vote not durable" else world.flying
+                sent_early = in_flight if self.fault == "vote not durable" else world.in_flight
                 successors.append(
                     (
                         " (crash before its writes are durable)",
-                        replace(world, nodes=nodes, remaining=remaining, flying=sent_early, next_id=next_id),
+                        replace(
+                            world, nodes=nodes, remaining=remaining, in_flight=sent_early, next_id=next_id
+                        ),
                     )
                 )
                 successors.append(
@@ -339,31 +342,35 @@
             for record in writes:
                 disk.replay(record)
             more, voter.out = voter.out, []
-            flying |= {encode(Envelope("f", name, to, message)) for to, message in more}
+            in_flight |= {encode(Envelope("f", name, to, message)) for to, message in more}
             world = replace(world, disks={**world.disks, name: disk})
-        world = replace(world, nodes={**world.nodes, name: voter}, flying=flying, next_id=next_id)
+        world = replace(world, nodes={**world.nodes, name: voter}, in_flight=in_flight, next_id=next_id)
         successors.append(("", self.check(world, name)))
         return successors
 
     def check(self, world, name):
         """Checks what the voter `name` has committed, and that it may lead, against all earlier steps.
 
-        Returns the world with these added; raises `Violated`.
+        Returns the world with these added; raises `InvariantViolationError`.
         """
         voter, committed, leaders = world.nodes[name], list(world.committed), world.leaders
         for index, entry in voter.committed_log.newly_committed:
             data = encode(entry_fields(entry))
             if index <= len(committed):
                 if committed[index - 1][0] != data:
-                    raise Violated(f"entry {index} was committed twice with different contents (at {name})")
+                    raise InvariantViolationError(
+                        f"entry {index} was committed twice with different contents (at {name})"
+                    )
             elif index == len(committed) + 1:
                 committed.append((data, voter.persistent.term))
             else:
-                raise Violated(f"entry {index} was committed after entry {len(committed)} (at {name})")
+                raise InvariantViolationError(
+                    f"entry {index} was committed after entry {len(committed)} (at {name})"
+                )
         voter.committed_log.newly_committed.clear()
         if voter.role is Role.LEADER and (voter.persistent.term, name) not in leaders:
             if any(term == voter.persistent.term for term, _ in leaders):
-                raise Violated(f"two leaders in term {voter.persistent.term}")
+                raise InvariantViolationError(f"two leaders in term {voter.persistent.term}")
             leaders = leaders | {(voter.persistent.term, name)}
             for index, (data, term) in enumerate(committed, 1):
                 offset = index - voter.persistent.snapshot["last"] - 1
@@ -374,15 +381,15 @@
                     and encode(entry_fields(voter.persistent.entries[offset])) == data
                 )
                 if voter.persistent.term > term and not present:
-                    raise Violated(f"{name} leads without entry {index}, which was committed")
+                    raise InvariantViolationError(f"{name} leads without entry {index}, which was committed")
         return replace(world, committed=tuple(committed), leaders=leaders)
 
 
-def small(logs=None, terms=None, budget=None, agreed=0):
+def make_world(logs=None, terms=None, budget=None, committed_count=0):
     """Returns a world of three followers "a", "b" and "c", with no message in flight.
 
-    `logs`: name -> entries; `terms`: name -> (term, identity voted for); `agreed`: number of entries, the
-    same ones in all logs, that are committed.
+    `logs`: name -> entries; `terms`: name -> (term, identity voted for); `committed_count`: number of
+    entries, the same ones in all logs, that are committed.
     """
     identities = {name: f"{name}/1" for name in "abc"}
     nodes, disks, now = {}, {}, 1000 * ELECTION_TIMEOUT
@@ -397,10 +404,10 @@
         durable.term, durable.voted_for = (terms or {}).get(name, (0, ""))
         voter = DeterministicVoter(name, "abc", durable, CommittedLog(now), now, lambda: "0")
         voter.role, voter.new_id, voter.election_at = Role.FOLLOWER, None, now
-        for entry in durable.entries[:agreed]:
+        for entry in durable.entries[:committed_count]:
             voter.committed_log.apply_committed(entry)
         voter.committed_log.newly_committed.clear()
-        nodes[name], disks[name] = voter, forked(durable)
-    committed_entries = next(iter(nodes.values())).persistent.entries[:agreed]
+        nodes[name], disks[name] = voter, copy_node(durable)
+    committed_entries = next(iter(nodes.values())).persistent.entries[:committed_count]
     committed = tuple((encode(entry_fields(e)), e.term) for e in committed_entries)
     return World(nodes, disks, remaining=budget or Budget(), committed=committed)
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -15,8 +15,8 @@
 from terndrift.fleet import work
 from terndrift.fleet.committed_state import CommittedLog, apply_entry, initial_state
 from terndrift.fleet.messages import Entry, PlacementReport, PullResponse
+from terndrift.fleet.model_checker import InvariantViolationError, copy_node, search
 from terndrift.fleet.room import Machine
-from terndrift.fleet.worlds import Violated, forked, searched
 
 SECOND = work.SECOND
 MACHINE, EPOCH = "m", (1, "e")
@@ -155,7 +155,7 @@
 
         Afterwards `states` is the number of states that were visited.
         """
-        found, self.states = searched(self.start(), self.steps, self.max_states)
+        found, self.states = search(self.start(), self.steps, self.max_states)
         return found
 
     def steps(self, world):
@@ -238,9 +238,9 @@
         return work.State(world.machine_row()["state"]) in (work.State.OUT, work.State.OVERDUE)
 
     def place(self, world, name):
-        """A controller places on the machine; raises Violated if there is a permit."""
+        """A controller places on the machine; raises InvariantViolationError if there is a permit."""
         if self.has_permit(world):
-            raise Violated(f"{name} places on a machine with a permit")
+            raise InvariantViolationError(f"{name} places on a machine with a permit")
         return [("", replace(world, playing=world.playing | {name}))]
 
     def pull(self, world, name):
@@ -270,7 +270,7 @@
 
     def copy_follower(self, world, name):
         """Return a copy of one follower that shares no mutable state with the world."""
-        follower = forked(world.followers[name])
+        follower = copy_node(world.followers[name])
         follower.pull_times = follower.pull_times.copy()
         return follower
 
@@ -291,11 +291,11 @@
     def evaluate_work(self, world):
         """The leader takes all steps that are possible now.
 
-        Its proposals are agreed at once, as the record has its own checker, `terndrift.fleet.worlds`.
+        Its proposals are agreed at once, as the record has its own checker, `terndrift.fleet.model_checker`.
         """
         leader_work, follower, now = (
-            forked(world.leader_work),
-            forked(world.followers["leader"]),
+            copy_node(world.leader_work),
+            copy_node(world.followers["leader"]),
             world.now("leader"),
         )
         observed = work.Seen(
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -8,8 +8,8 @@
 import random
 
 from terndrift.fleet import work
-from terndrift.fleet.arena import Arena
 from terndrift.fleet.room import Machine
+from terndrift.fleet.simulated_fleet import SimulatedFleet
 from terndrift.fleet.work import State
 
 SECOND = 1_000_000_000
@@ -36,10 +36,12 @@
 
 
 class Site:
-    """Streamers in racks, an Arena of controllers that place where they may, and workers that use permits.
+    """Streamers in racks, a SimulatedFleet of controllers that place where they may, and workers that use
+    permits.
 
     `rate` is the probability that a controller places a playback in a tenth of a second; other keywords go to
-    Arena. `wrong` collects violations: a machine taken down or out while a controller has playbacks there.
+    SimulatedFleet. `wrong` collects violations: a machine taken down or out while a controller has playbacks
+    there.
     """
 
     def __init__(
@@ -53,7 +55,7 @@
         **more,
     ):
         self.names, self.rate = names, rate
-        self.arena = Arena(names, voters, seed, **more)
+        self.simulated_fleet = SimulatedFleet(names, voters, seed, **more)
         self.random = random.Random(f"site/{seed}")
         # name -> [rack, whether it is up, time of its last start in ns]
         self.standing = {f"s{n}": [n % racks, True, 0] for n in range(streamers)}
@@ -62,21 +64,21 @@
         self.taken_down_at, self.wrong, self.out_until = {}, [], {}
         self.most_out, self.placement_count = 0, 0
         self.last_read = {}  # controller -> last entry of its copy of the record that was read
-        self.arena.start()
+        self.simulated_fleet.start()
         for name in names:
             self.attach(name)
-        assert self.arena.until(self.arena.settled, 30) is not None
-        self.arena.call("c0", "restart", None)
-        followers = [c.committed_log for c in self.arena.up.values()]
+        assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 30) is not None
+        self.simulated_fleet.call_controller("c0", "restart", None)
+        followers = [c.committed_log for c in self.simulated_fleet.controllers.values()]
 
         def all_voters_in():
             return all(len(f.state["voters"]) == len(voters) for f in followers)
 
-        assert self.arena.until(all_voters_in, 30) is not None
+        assert self.simulated_fleet.run_until(all_voters_in, 30) is not None
 
     def attach(self, name):
         """Connect a controller to the streamers and playbacks; needed after each of its starts."""
-        c = self.arena.up[name]
+        c = self.simulated_fleet.controllers[name]
         c.machines = self.machines
         c.holding = lambda names: {m: sum(p[0] == m for p in self.playbacks[name]) for m in names}
 
@@ -89,15 +91,20 @@
 
     def states(self, through=None):
         """Return {machine: State} by one controller's copy of the record, by default the last one's."""
-        rows = work.rows(self.arena.up[through or self.names[-1]].committed_log.state)
+        rows = work.rows(self.simulated_fleet.controllers[through or self.names[-1]].committed_log.state)
         return {m: State(row["state"]) for m, row in rows.items()}
 
     def add(self, name, value, through="c4"):
         """Propose a plan through a controller and wait until it is applied there."""
-        id, entry_value = work.added(self.arena.up[through].committed_log.state, value, name, "ops")
-        self.arena.call(through, "propose", id, entry_value)
+        id, entry_value = work.added(
+            self.simulated_fleet.controllers[through].committed_log.state, value, name, "ops"
+        )
+        self.simulated_fleet.call_controller(through, "propose", id, entry_value)
         assert (
-            self.arena.until(lambda: id in self.arena.up[through].committed_log.state["ids"], 20) is not None
+            self.simulated_fleet.run_until(
+                lambda: id in self.simulated_fleet.controllers[through].committed_log.state["ids"], 20
+            )
+            is not None
         )
 
     def go(self, seconds, until=lambda: False):
@@ -106,7 +113,7 @@
         Returns True as soon as `until()` holds, else False.
         """
         for _ in range(int(seconds * 10)):
-            self.arena.run(0.1)
+            self.simulated_fleet.run(0.1)
             self._place_playbacks()
             self._use_permits()
             if until():
@@ -114,9 +121,9 @@
         return False
 
     def _place_playbacks(self):
-        now = self.arena.now
-        for name, c in self.arena.up.items():
-            if name in self.arena.stopped:
+        now = self.simulated_fleet.now
+        for name, c in self.simulated_fleet.controllers.items():
+            if name in self.simulated_fleet.paused:
                 continue
             self.playbacks[name] = [p for p in self.playbacks[name] if p[1] > now]
             drained, may_place = c.off(now)
@@ -127,13 +134,13 @@
                 self.playbacks[name].append((self.random.choice(available), until))
 
     def _use_permits(self):
-        now = self.arena.now
+        now = self.simulated_fleet.now
         for machine, until in list(self.out_until.items()):
             if now >= until:
                 del self.out_until[machine]
                 self.standing[machine][1:] = True, now
         permits = set()
-        for name, c in self.arena.up.items():
+        for name, c in self.simulated_fleet.controllers.items():
             if self.last_read.get(name) != c.committed_log.last_index:
                 self.last_read[name] = c.committed_log.last_index
                 permits |= {
@@ -147,7 +154,7 @@
             holding = [
                 n
                 for n, playbacks in self.playbacks.items()
-                if any(p[0] == machine for p in playbacks) and n in self.arena.up
+                if any(p[0] == machine for p in playbacks) and n in self.simulated_fleet.controllers
             ]
             if holding:
                 self.wrong.append(f"{machine} was taken down while {holding} have playbacks there")
@@ -156,7 +163,7 @@
         self.most_out = max(self.most_out, sum(not is_up for _, is_up, _ in self.standing.values()))
         for name, playbacks in self.playbacks.items():
             placed = [m for m, _ in playbacks if m in self.out_until]
-            if placed and name in self.arena.up:
+            if placed and name in self.simulated_fleet.controllers:
                 self.wrong.append(f"{name} has playbacks on {placed}, which is out")
                 self.playbacks[name] = [p for p in playbacks if p[0] not in self.out_until]
 
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -7,15 +7,15 @@
 from terndrift.audit import recovery
 from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import build_deployment
-from terndrift.fleet.arena import Arena
 from terndrift.fleet.sight import Sight
+from terndrift.fleet.simulated_fleet import SimulatedFleet
 from terndrift.fleet.site import OfLate
 from terndrift.fleet.stages import HOLDS, Return
 from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.rehearse import virtual
 from terndrift.rehearse.virtual import SECOND, WAY
 
-STEP = SECOND // 20  # the arena of members is run on so often
+STEP = SECOND // 20  # the simulated_fleet of members is run on so often
 VOTERS = 5
 # What may be left out, one at a time, to see what it is worth.
 PARTS = ("members", "kept")
@@ -201,18 +201,21 @@
         self.cold_for = day["deployment"]["rules"]["cold_for"]
         self.listing = Listing(self.drawn.streamers)
         names = [f"c{n}" for n in range(controllers)]
-        self.arena = Arena(names, names[:VOTERS], seed, loss)
-        self.arena.start()
-        assert self.arena.until(self.arena.settled, 90) is not None
-        self.arena.call(names[0], "restart", None)
+        self.simulated_fleet = SimulatedFleet(names, names[:VOTERS], seed, loss)
+        self.simulated_fleet.start()
+        assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 90) is not None
+        self.simulated_fleet.call_controller(names[0], "restart", None)
         assert (
-            self.arena.until(
-                lambda: all(len(c.committed_log.state["voters"]) == VOTERS for c in self.arena.up.values()),
+            self.simulated_fleet.run_until(
+                lambda: all(
+                    len(c.committed_log.state["voters"]) == VOTERS
+                    for c in self.simulated_fleet.controllers.values()
+                ),
                 60,
             )
             is not None
         )
-        self.now = self.arena.now
+        self.now = self.simulated_fleet.now
         self.fronts = [self._front(n) for n in range(controllers)]
         self.kill_at, self.peaks, self.rack = int(at * seconds * SECOND), [], rack
         self.off, self.restarted = set(), {}  # streamers that are down; -> when they came back
@@ -225,7 +228,7 @@
             {
                 "name": f"c{n}",
                 "rank": n,
-                "of": len(self.arena.names),
+                "of": len(self.simulated_fleet.names),
                 "zone": "",
                 "seed": self.seed * 100 + n,
             },
@@ -243,12 +246,14 @@
         return super().run()
 
     def _told(self, front, kept=None):
-        front.comes_up(self.arena.up[front.name] if "members" in self.parts else None, kept)
+        front.comes_up(
+            self.simulated_fleet.controllers[front.name] if "members" in self.parts else None, kept
+        )
 
     def _members(self):
-        before = sum(sent for sent, _ in self.arena.sent.values())
-        self.arena.run((self.now - self.arena.now) / SECOND)
-        after = sum(sent for sent, _ in self.arena.sent.values())
+        before = sum(sent for sent, _ in self.simulated_fleet.sent.values())
+        self.simulated_fleet.run((self.now - self.simulated_fleet.now) / SECOND)
+        after = sum(sent for sent, _ in self.simulated_fleet.sent.values())
         self.peaks.append((self.now, after - before))
         self.after(STEP, self._members)
 
@@ -257,7 +262,7 @@
         for front in some:
             self.note("runner", "controller down", name=front.name, address=front.name)
             front.dies()
-            self.arena.kill(front.name)
+            self.simulated_fleet.kill(front.name)
             # processes take their time to start
             late = self.down + int(random.Random(f"start/{self.seed}/{front.name}").uniform(0, 1) * SECOND)
             self.after(late, self._again, front)
@@ -266,7 +271,7 @@
         n = int(was.name[1:])
         front = self.fronts[n] = self._front(n)
         self.note("runner", "controller up", name=front.name, address=front.name)
-        self.arena.start(front.name)
+        self.simulated_fleet.start(front.name)
         front.run(front.core.list_changed, self.listed(), True, False)
         self._told(front, was.kept if "kept" in self.parts else None)
         self.after(SECOND, front.second)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from terndrift.fleet.arena import SECOND, Arena
 from terndrift.fleet.leases import (
     GUARANTEED_SHARE,
     LEADER_WAIT_NS,
@@ -16,6 +15,7 @@
     max_min_shares,
 )
 from terndrift.fleet.messages import LeaseResponse
+from terndrift.fleet.simulated_fleet import SECOND, SimulatedFleet
 
 LIMIT = 40.0
 
@@ -28,15 +28,18 @@
 
     def __init__(self, count=12, voters=3, seed=1, **more):
         names = [f"c{n}" for n in range(count)]
-        self.arena = Arena(names, names[:voters], seed, **more)
+        self.simulated_fleet = SimulatedFleet(names, names[:voters], seed, **more)
         self.demands = dict.fromkeys(names, LIMIT)
         self.highest_sum, self.least_lent = 0.0, None
         self.start(*names)
-        assert self.arena.until(self.arena.settled, 60) is not None
-        self.arena.call("c0", "restart", None)
+        assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 60) is not None
+        self.simulated_fleet.call_controller("c0", "restart", None)
         assert (
-            self.arena.until(
-                lambda: all(len(c.committed_log.state["voters"]) == voters for c in self.arena.up.values()),
+            self.simulated_fleet.run_until(
+                lambda: all(
+                    len(c.committed_log.state["voters"]) == voters
+                    for c in self.simulated_fleet.controllers.values()
+                ),
                 60,
             )
             is not None
@@ -44,15 +47,17 @@
 
     def start(self, *names):
         """Starts controllers with new leases."""
-        self.arena.start(*names)
+        self.simulated_fleet.start(*names)
         for name in names:
-            controller = self.arena.up[name]
-            controller.leases = Leases(name, {"extra": LIMIT}, len(self.arena.names), True, self.arena.now)
+            controller = self.simulated_fleet.controllers[name]
+            controller.leases = Leases(
+                name, {"extra": LIMIT}, len(self.simulated_fleet.names), True, self.simulated_fleet.now
+            )
             controller.leases.wanted["extra"] = self.demands[name]
 
     def set_demand(self, name, demand):
         """Sets the demand per second of a controller."""
-        self.demands[name] = self.arena.up[name].leases.wanted["extra"] = demand
+        self.demands[name] = self.simulated_fleet.controllers[name].leases.wanted["extra"] = demand
 
     def parts(self):
         """The part in force of each controller that runs.
@@ -60,15 +65,15 @@
         A stopped one is left out: it performs no actions, though its lease may still be valid by its clock.
         """
         return {
-            n: c.leases.part(self.arena.now, "extra")
-            for n, c in self.arena.up.items()
-            if n not in self.arena.stopped
+            n: c.leases.part(self.simulated_fleet.now, "extra")
+            for n, c in self.simulated_fleet.controllers.items()
+            if n not in self.simulated_fleet.paused
         }
 
     def run(self, seconds):
         """Runs the fleet and checks the sum of the parts every 20 ms."""
         for _ in range(round(seconds * 50)):
-            self.arena.run(0.02)
+            self.simulated_fleet.run(0.02)
             self.highest_sum = max(self.highest_sum, sum(self.parts().values()))
             assert self.highest_sum <= LIMIT + 1e-6
 
@@ -77,7 +82,7 @@
     fleet = LeasingFleet()
     fleet.run(LEADER_WAIT_NS / SECOND + 4)
     assert sum(fleet.parts().values()) > 0.95 * LIMIT
-    for name in fleet.arena.names[1:]:
+    for name in fleet.simulated_fleet.names[1:]:
         fleet.set_demand(name, 0.0)
     fleet.run(4)
     parts = fleet.parts()
@@ -100,27 +105,27 @@
 def test_the_sum_stays_within_the_limit_through_kills_pauses_partitions_and_loss(seed):
     """The leader is paused and resumed, killed, or cut off with a few others, while demands change and about
     a third of the messages is lost. The sum is checked every 20 ms."""
-    fleet = LeasingFleet(seed=seed, loss=0.3, double=0.1, late=0.2)
-    arena, rng = fleet.arena, random.Random(seed)
+    fleet = LeasingFleet(seed=seed, loss=0.3, duplication=0.1, delay_probability=0.2)
+    simulated_fleet, rng = fleet.simulated_fleet, random.Random(seed)
     sums = []
     for step in range(12):
-        for name in rng.sample(sorted(arena.up), 4):
+        for name in rng.sample(sorted(simulated_fleet.controllers), 4):
             fleet.set_demand(name, rng.choice([0.0, 1.0, 8.0, LIMIT]))
-        leader = next(iter(arena.leaders()), "c0")
+        leader = next(iter(simulated_fleet.leaders()), "c0")
         fault = step % 4
         if fault == 0:
-            arena.stop(leader)
+            simulated_fleet.pause(leader)
             fleet.run(rng.uniform(0.5, 6))
-            arena.go_on(leader)
+            simulated_fleet.resume(leader)
         elif fault == 1:
-            arena.kill(leader)
+            simulated_fleet.kill(leader)
             fleet.run(rng.uniform(0.2, 5))
             fleet.start(leader)
         elif fault == 2:
-            cut_off = {leader, *rng.sample(sorted(arena.up), 4)}
-            arena.cut = lambda a, b, cut_off=cut_off: (a in cut_off) != (b in cut_off)
+            cut_off = {leader, *rng.sample(sorted(simulated_fleet.controllers), 4)}
+            simulated_fleet.drops_message = lambda a, b, cut_off=cut_off: (a in cut_off) != (b in cut_off)
             fleet.run(rng.uniform(1, 8))
-            arena.cut = lambda a, b: False
+            simulated_fleet.drops_message = lambda a, b: False
         fleet.run(rng.uniform(1, 9))
         sums.append(sum(fleet.parts().values()))
     assert max(sums) > 0.6 * LIMIT, "leases are granted in spite of the faults"
@@ -130,13 +135,19 @@
     """Without LEADER_WAIT_NS a new leader grants while leases of the killed one are still in force."""
     fleet = LeasingFleet(seed=3)
     fleet.run(LEADER_WAIT_NS / SECOND + 3)
-    old_leader = fleet.arena.leaders()[0]
-    fleet.arena.kill(old_leader)
-    assert fleet.arena.until(lambda: fleet.arena.leaders() not in ([], [old_leader]), 10) is not None
-    new_leader = fleet.arena.up[fleet.arena.leaders()[0]]
-    leading_since = fleet.arena.now
+    old_leader = fleet.simulated_fleet.leaders()[0]
+    fleet.simulated_fleet.kill(old_leader)
+    assert (
+        fleet.simulated_fleet.run_until(lambda: fleet.simulated_fleet.leaders() not in ([], [old_leader]), 10)
+        is not None
+    )
+    new_leader = fleet.simulated_fleet.controllers[fleet.simulated_fleet.leaders()[0]]
+    leading_since = fleet.simulated_fleet.now
     fleet.run((LEADER_WAIT_NS - SECOND // 2) / SECOND)
-    assert not new_leader.leases.table.granted["extra"] and fleet.arena.now - leading_since < LEADER_WAIT_NS
+    assert (
+        not new_leader.leases.table.granted["extra"]
+        and fleet.simulated_fleet.now - leading_since < LEADER_WAIT_NS
+    )
     # only the guaranteed share is left
     assert all(p == pytest.approx(GUARANTEED_SHARE * LIMIT / 12) for p in fleet.parts().values())
     fleet.run(4)
@@ -146,7 +157,7 @@
 def test_a_controller_that_is_cut_off_keeps_its_guaranteed_share_and_its_lease_expires_by_its_own_clock():
     fleet = LeasingFleet(seed=2)
     fleet.run(LEADER_WAIT_NS / SECOND + 3)
-    fleet.arena.cut = lambda a, b: "c9" in (a, b)
+    fleet.simulated_fleet.drops_message = lambda a, b: "c9" in (a, b)
     assert fleet.parts()["c9"] > GUARANTEED_SHARE * LIMIT / 12
     fleet.run(LEASE_NS / SECOND + 0.1)
     assert fleet.parts()["c9"] == pytest.approx(GUARANTEED_SHARE * LIMIT / 12)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -27,14 +27,15 @@
 sys.path[:0] = {0!r}
 from terndrift.fleet.yard import Site, plan
 site = Site(seed=4)
-checksum, before, send = [0], 0, site.arena._send
+checksum, before, send = [0], 0, site.simulated_fleet._send
 def recorded(n, to, packet):
-    checksum[0] = zlib.crc32(packet + n.encode() + to.encode() + b"%d" % site.arena.now, checksum[0])
+    checksum[0] = zlib.crc32(packet + n.encode() + to.encode() + b"%d" % site.simulated_fleet.now,
+        checksum[0])
     send(n, to, packet)
-site.arena._send = recorded
+site.simulated_fleet._send = recorded
 site.add("all", plan([*site.standing, "controller:c0"]))
 site.go(60)
-print(checksum[0], sorted(site.arena.sent.items()))
+print(checksum[0], sorted(site.simulated_fleet.sent.items()))
 """
 
 
@@ -56,8 +57,8 @@
 
 def wait_for_leader(site):
     """Run the simulation until there is exactly one leader, and return its name."""
-    assert site.arena.until(lambda: len(site.arena.leaders()) == 1, 15) is not None
-    return site.arena.leaders()[0]
+    assert site.simulated_fleet.run_until(lambda: len(site.simulated_fleet.leaders()) == 1, 15) is not None
+    return site.simulated_fleet.leaders()[0]
 
 
 STEPS = [State.TOLD, State.EMPTY, State.OUT, State.BACK, State.WARMING, State.DONE]
@@ -68,10 +69,10 @@
 def test_new_leader_continues_after_its_predecessor_is_killed_at_any_step(at, told):
     """The leader dies as soon as the step is agreed there, before or (`told`) after it can tell others."""
     site, killed = Site(seed=2), []
-    arena, after = site.arena, site.arena._after
+    simulated_fleet, after = site.simulated_fleet, site.simulated_fleet._process_output
 
     def kill_leader_at_step(n):
-        c = arena.up[n]
+        c = simulated_fleet.controllers[n]
         machines_at_step = [
             k
             for _, e in c.committed_log.newly_committed
@@ -84,17 +85,19 @@
             after(n)
         if is_killed:
             killed.append(n)
-            arena.kill(n)
+            simulated_fleet.kill(n)
             site.playbacks[n] = []
-            arena.at(arena.now + 5 * SECOND, lambda: (arena.start(n), site.attach(n)))
+            simulated_fleet.schedule(
+                simulated_fleet.now + 5 * SECOND, lambda: (simulated_fleet.start(n), site.attach(n))
+            )
 
-    arena._after = kill_leader_at_step
+    simulated_fleet._process_output = kill_leader_at_step
     site.add("kernel", plan(["s0", "s1"], most=1))
     assert site.go(300, site.done) and len(killed) == 1
     assert not site.wrong and site.most_out == 1 and len(site.taken_down_at) == 2
-    revision = work.rev(arena.up["c5"].committed_log.state)
+    revision = work.rev(simulated_fleet.controllers["c5"].committed_log.state)
     assert revision == 1 + 2 * len(STEPS), "a step was taken twice, or skipped"
-    for row in work.rows(arena.up["c5"].committed_log.state).values():
+    for row in work.rows(simulated_fleet.controllers["c5"].committed_log.state).values():
         assert [s for s, _, _ in row["log"]] == ["waiting", *(s.value for s in STEPS)]
 
 
@@ -103,9 +106,9 @@
     site.add("kernel", plan(site.standing))
     assert site.go(60, lambda: State.TOLD in site.states().values())
     old_leader = wait_for_leader(site)
-    site.arena.stop(old_leader)
+    site.simulated_fleet.pause(old_leader)
     site.go(10)
-    site.arena.go_on(old_leader)
+    site.simulated_fleet.resume(old_leader)
     assert site.go(300, site.done)
     assert not site.wrong and site.most_out <= 2
 
@@ -113,28 +116,38 @@
 def test_permit_waits_until_a_partitioned_controller_can_no_longer_place():
     site = Site(seed=4)
     cut = "c5"
-    site.arena.cut = lambda a, b: (a == cut) != (b == cut)
+    site.simulated_fleet.drops_message = lambda a, b: (a == cut) != (b == cut)
     site.add("kernel", plan(["s3"]))
-    began = site.arena.now
+    began = site.simulated_fleet.now
     assert site.go(15, lambda: site.states("c4").get("s3") is State.TOLD)
     assert not site.go(15, lambda: site.taken_down_at), "taken down while c5 could still have placed there"
     assert site.go(30, lambda: site.taken_down_at)
-    assert site.arena.now - began > work.LIMIT and not site.wrong
-    assert not site.arena.up[cut].off(site.arena.now)[1], "it no longer places on anything"
-    site.arena.cut = lambda a, b: False
-    assert site.go(60, site.done) and site.arena.up[cut].off(site.arena.now) == (set(), True)
+    assert site.simulated_fleet.now - began > work.LIMIT and not site.wrong
+    assert not site.simulated_fleet.controllers[cut].off(site.simulated_fleet.now)[1], (
+        "it no longer places on anything"
+    )
+    site.simulated_fleet.drops_message = lambda a, b: False
+    assert site.go(60, site.done) and site.simulated_fleet.controllers[cut].off(site.simulated_fleet.now) == (
+        set(),
+        True,
+    )
 
 
 def test_restarted_controller_places_on_nothing_before_it_knows_which_machines_drain():
     site = Site(seed=5)
-    site.arena.kill("c4")
-    site.arena.cut = lambda a, b: "c4" in (a, b)
-    site.arena.start("c4")
+    site.simulated_fleet.kill("c4")
+    site.simulated_fleet.drops_message = lambda a, b: "c4" in (a, b)
+    site.simulated_fleet.start("c4")
     site.attach("c4")
-    site.arena.run(5)
-    assert site.arena.up["c4"].off(site.arena.now) == (set(), False)
-    site.arena.cut = lambda a, b: False
-    assert site.arena.until(lambda: site.arena.up["c4"].off(site.arena.now)[1], 20) is not None
+    site.simulated_fleet.run(5)
+    assert site.simulated_fleet.controllers["c4"].off(site.simulated_fleet.now) == (set(), False)
+    site.simulated_fleet.drops_message = lambda a, b: False
+    assert (
+        site.simulated_fleet.run_until(
+            lambda: site.simulated_fleet.controllers["c4"].off(site.simulated_fleet.now)[1], 20
+        )
+        is not None
+    )
 
 
 def test_resumed_controller_does_not_take_messages_buffered_during_its_pause_for_current():
@@ -142,37 +155,45 @@
     machine that has been taken out since."""
     site = Site(seed=6)
     site.go(3)
-    site.arena.stop("c5")
+    site.simulated_fleet.pause("c5")
     site.go(1)
     site.add("kernel", plan(["s3"], needs=60 * SECOND))
     assert site.go(60, lambda: site.taken_down_at)
-    placement_views, arrive = [], site.arena._arrive
+    placement_views, arrive = [], site.simulated_fleet._deliver
 
     def record_view(to, packet):
         arrive(to, packet)
         if to == "c5":
-            placement_views.append(site.arena.up["c5"].off(site.arena.now))
+            placement_views.append(site.simulated_fleet.controllers["c5"].off(site.simulated_fleet.now))
 
-    site.arena._arrive = record_view
-    site.arena.go_on("c5")
+    site.simulated_fleet._deliver = record_view
+    site.simulated_fleet.resume("c5")
     assert len(placement_views) > 10 and not any(
         may_place and "s3" not in drained for drained, may_place in placement_views
     )
-    assert site.arena.until(lambda: site.arena.up["c5"].off(site.arena.now) == ({"s3"}, True), 10) is not None
+    assert (
+        site.simulated_fleet.run_until(
+            lambda: site.simulated_fleet.controllers["c5"].off(site.simulated_fleet.now) == ({"s3"}, True), 10
+        )
+        is not None
+    )
 
 
 def test_report_with_a_revision_of_an_earlier_epoch_confirms_no_later_drain():
     site = Site(seed=8)
-    lead, arena = site.arena.up["c0"], site.arena
+    lead, simulated_fleet = site.simulated_fleet.controllers["c0"], site.simulated_fleet
     site.add("kernel", plan(["s0"]))
     assert site.go(60, site.done) and lead.holds["c5"][0].work_revision > 1
     # its last report, from a drain that ended long ago
-    lead.holds["c5"] = PlacementReport(50, {"s0": 0}), arena.now
-    arena.cut = lambda a, b: "c5" in (a, b)
-    arena.call("c0", "restart", None)
-    assert arena.until(lambda: arena.up["c4"].committed_log.epoch[0] == 2, 20) is not None
+    lead.holds["c5"] = PlacementReport(50, {"s0": 0}), simulated_fleet.now
+    simulated_fleet.drops_message = lambda a, b: "c5" in (a, b)
+    simulated_fleet.call_controller("c0", "restart", None)
+    assert (
+        simulated_fleet.run_until(lambda: simulated_fleet.controllers["c4"].committed_log.epoch[0] == 2, 20)
+        is not None
+    )
     late = messages.encode("arena", "c5", "c0", PlacementReport(50, {"s0": 0}), 1, 20, 0)
-    arena._arrive("c0", late)
+    simulated_fleet._deliver("c0", late)
     assert "c5" not in lead.holds
     site.taken_down_at.clear()
     site.add("again", plan(["s0"]))
@@ -273,24 +294,25 @@
     from terndrift.fleet.elsewhere import Elsewhere
 
     site = Site(seed=4)
-    arena = site.arena
-    redirects = {n: Elsewhere(arena.up[n], 3) for n in site.names}
-    assert redirects["c5"].choose(arena.now) is None, "nobody has announced an address"
+    simulated_fleet = site.simulated_fleet
+    redirects = {n: Elsewhere(simulated_fleet.controllers[n], 3) for n in site.names}
+    assert redirects["c5"].choose(simulated_fleet.now) is None, "nobody has announced an address"
     for n, redirect in redirects.items():
         redirect.mine = "" if n == "c4" else f"http://{n}"
     for _ in range(12):  # each second, as a controller does; repeated announcements are one entry
         for n, redirect in redirects.items():
-            redirect.announce(arena.now)
-            arena._after(n)
-        arena.run(1)  # a controller seen for less than 8 s may have just started and gets no viewers
-    assert sorted(redirects["c5"].places(arena.now)) == ["c0", "c1", "c2", "c3"]
-    chosen = [redirects["c5"].choose(arena.now) for _ in range(400)]
+            redirect.announce(simulated_fleet.now)
+            simulated_fleet._process_output(n)
+        # a controller seen for less than 8 s may have just started and gets no viewers
+        simulated_fleet.run(1)
+    assert sorted(redirects["c5"].places(simulated_fleet.now)) == ["c0", "c1", "c2", "c3"]
+    chosen = [redirects["c5"].choose(simulated_fleet.now) for _ in range(400)]
     assert all(70 < chosen.count(f"http://c{n}") < 130 for n in range(4)), "all are equally likely"
     site.add("own", plan(["controller:c3"], drain=SECOND))
-    assert arena.until(lambda: site.states().get("controller:c3") is State.OUT, 30) is not None
-    arena.kill("c1")
-    assert arena.until(lambda: arena.seen("c1", "suspect"), 30) is not None
-    arena.run(2)
-    assert sorted(redirects["c5"].places(arena.now)) == ["c0", "c2"]
-    ids = arena.up["c5"].committed_log.state["ids"]
+    assert simulated_fleet.run_until(lambda: site.states().get("controller:c3") is State.OUT, 30) is not None
+    simulated_fleet.kill("c1")
+    assert simulated_fleet.run_until(lambda: simulated_fleet.observers("c1", "suspect"), 30) is not None
+    simulated_fleet.run(2)
+    assert sorted(redirects["c5"].places(simulated_fleet.now)) == ["c0", "c2"]
+    ids = simulated_fleet.controllers["c5"].committed_log.state["ids"]
     assert sum(i.startswith("front/") for i in ids) == 5
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -244,7 +244,7 @@
 
 def test_controller_drains_gives_up_leadership_gets_a_permit_and_is_taken_back_after_its_restart():
     site = Site(seed=7)
-    arena = site.arena
+    simulated_fleet = site.simulated_fleet
     site.add(
         "own",
         plan([f"controller:{n}" for n in CONTROLLER_NAMES], most_controllers=1, drain=3 * SECOND),
@@ -253,25 +253,34 @@
 
     def restart_permitted_controllers():
         for name in CONTROLLER_NAMES:
-            c = arena.up.get(name)
-            if c and f"controller:{name}" in c.off(arena.now)[0]:
+            c = simulated_fleet.controllers.get(name)
+            if c and f"controller:{name}" in c.off(simulated_fleet.now)[0]:
                 site.playbacks[name] = []
-                if arena.now - told_at.setdefault(name, arena.now) > 3 * SECOND and c.leader() == name:
+                if (
+                    simulated_fleet.now - told_at.setdefault(name, simulated_fleet.now) > 3 * SECOND
+                    and c.leader() == name
+                ):
                     led_while_draining.append(name)
-        rows = work.rows(arena.up[next(iter(arena.up))].committed_log.state)
+        rows = work.rows(
+            simulated_fleet.controllers[next(iter(simulated_fleet.controllers))].committed_log.state
+        )
         for machine, row in rows.items():
             name = machine.removeprefix("controller:")
-            if row["state"] == "out" and name in arena.up and name not in restarted:
+            if row["state"] == "out" and name in simulated_fleet.controllers and name not in restarted:
                 restarted.append(name)
-                arena.kill(name)
-                arena.at(arena.now + 2 * SECOND, lambda n=name: (arena.start(n), site.attach(n)))
+                simulated_fleet.kill(name)
+                simulated_fleet.schedule(
+                    simulated_fleet.now + 2 * SECOND,
+                    lambda n=name: (simulated_fleet.start(n), site.attach(n)),
+                )
         return len(rows) == 6 and all(r["state"] == "done" for r in rows.values())
 
     told_at, voters_down = {}, []
     assert site.go(
         400,
         lambda: (
-            voters_down.append(sum(v not in arena.up for v in VOTER_NAMES)) or restart_permitted_controllers()
+            voters_down.append(sum(v not in simulated_fleet.controllers for v in VOTER_NAMES))
+            or restart_permitted_controllers()
         ),
     )
     assert sorted(restarted) == CONTROLLER_NAMES and max(voters_down) == 1 and not led_while_draining
