--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -28,7 +28,7 @@
         self.wants = dict.fromkeys(self.names, 0.0)
         self.start(*self.names)
         assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 120) is not None
-        self.simulated_fleet.call_controller(self.names[0], "restart", None)
+        self.simulated_fleet.call_controller(self.names[0], "begin_epoch", None)
         assert (
             self.simulated_fleet.run_until(
                 lambda: all(
@@ -46,8 +46,8 @@
             c = self.simulated_fleet.controllers[name]
             c.leases = Leases(name, {"extra": self.limit}, len(self.names), True, self.simulated_fleet.now)
             c.leases.wanted["extra"] = self.wants[name]
-            c.loads.own = lambda now, n=name: ({"free": [10, 0, 9, 9, 0, 0]}, [0, 0, 1])
-            c.loads.own_beside = lambda now: Piggyback(
+            c.load_reports.own = lambda now, n=name: ({"free": [10, 0, 9, 9, 0, 0]}, [0, 0, 1])
+            c.load_reports.own_beside = lambda now: Piggyback(
                 expected_returns=[1] * 9, request_counts={"title a": 5, "title b": 3}
             )
 
@@ -95,7 +95,9 @@
         if settled is None and step >= 15 * 50 and sum(parts[n] for n in town.few) > 0.75 * town.limit:
             settled = step / 50 - 15
     sent = [sum(s[k] for s in town.simulated_fleet.sent.values()) - before[k] for k in (0, 1)]
-    members = [c.loads.total(town.simulated_fleet.now)[2] for c in town.simulated_fleet.controllers.values()]
+    members = [
+        c.load_reports.total(town.simulated_fleet.now)[2] for c in town.simulated_fleet.controllers.values()
+    ]
     return {
         "members": size,
         "lost": loss,
--- a/terndrift/fleet/committed_state.py
+++ b/terndrift/fleet/committed_state.py
@@ -61,7 +61,7 @@
 class CommittedLog:
     """The committed state at one controller, and the requests for what it lacks.
 
-    The owner sends what is in `out` (name, message) and takes the newly committed (index, entry) from
+    The owner sends what is in `outbox` (name, message) and takes the newly committed (index, entry) from
     `newly_committed`. Times are in ns by the controller's own clock.
     """
 
@@ -69,7 +69,7 @@
         # entries: the latest ones, to answer requests from
         self.state, self.entries = initial_state((0, "")), []
         self.complete_as_of = None  # latest time at which the state is known to have been complete
-        self.out, self.pull_sent_at, self.newly_committed = [], 0, []
+        self.outbox, self.pull_sent_at, self.newly_committed = [], 0, []
         self.pull_times = deque(maxlen=8)  # send times of the latest requests
 
     @property
@@ -110,7 +110,7 @@
         """Requests the entries that are missing here from the controller named `target`."""
         self.pull_sent_at = now
         self.pull_times.append(now)
-        self.out.append((target, PullRequest(self.epoch, self.last_index, now)))
+        self.outbox.append((target, PullRequest(self.epoch, self.last_index, now)))
 
     def handle_progress(self, now, sender, epoch, commit_index, age, request_sent_at=None):
         """Handles the epoch number, commit index and age (ms) that every message carries.
@@ -148,7 +148,7 @@
         answer = PullResponse(
             self.epoch, after, entries, self.last_index, state, -1 if age is None else age, pull.requested_at
         )
-        self.out.append((sender, answer))
+        self.outbox.append((sender, answer))
 
     def handle_pull_answer(self, now, sender, answer):
         """Handles a `PullResponse` message; requests the rest if it doesn't bring the state up to date."""
--- a/terndrift/fleet/copies.py
+++ b/terndrift/fleet/copies.py
@@ -51,18 +51,18 @@
 class Copies:
     """Synchronisation of one controller's catalogue; times are in ns.
 
-    `me` is this controller's name. `get_change_ids()` returns the ids of the changes in its catalogue, newest
-    last. `peer_count` is the number of other controllers that the records name, whether they are there or
-    not: more than half of the few that are up first would be no majority. The owner sends the messages in
+    `own_name` is this controller's name. `get_change_ids()` returns the ids of the changes in its catalogue,
+    newest last. `peer_count` is the number of other controllers that the records name, whether they are there
+    or not: more than half of the few that are up first would be no majority. The owner sends the messages in
     `out`, and in the state BEHIND copies the catalogue of `source` and calls `copied`.
     """
 
-    def __init__(self, me, now, get_change_ids, peer_count):
-        self.me, self.get_change_ids, self.started_at = me, get_change_ids, now
+    def __init__(self, own_name, now, get_change_ids, peer_count):
+        self.own_name, self.get_change_ids, self.started_at = own_name, get_change_ids, now
         self.standing, self.why = Standing.COMPARING if peer_count else Standing.CONFIRMED, ""
         # confirmed_by_peers: responses confirmed it, not the timeout
         self.confirmed_by_peers, self.peer_count = False, peer_count
-        self.heads_by_name, self.request_counts, self.out, self.next_request_at = {}, {}, [], now
+        self.heads_by_name, self.request_counts, self.outbox, self.next_request_at = {}, {}, [], now
         self.source = None  # member to copy from
         self.failed_sources = set()  # members that could not provide a copy
 
@@ -78,7 +78,7 @@
         """Tells whether the catalogue may be served."""
         return self.standing is Standing.CONFIRMED
 
-    def next_at(self):
+    def next_tick_at(self):
         """Returns when `tick` is due; None: no more."""
         return None if self.sure() else self.next_request_at
 
@@ -89,7 +89,7 @@
 
     def asked(self, sender):
         """Responds to a request."""
-        self.out.append((sender, self.head()))
+        self.outbox.append((sender, self.head()))
 
     def tick(self, now, alive):
         """Sends requests that are due and applies the timeout; `alive`: names of members that are there."""
@@ -102,10 +102,12 @@
                 "timed out without confirmation" if alive else "no other controller is there",
             )
         if self.standing is Standing.COMPARING:
-            remaining = [n for n in shuffled_by_salt(alive, f"{self.me}+") if n not in self.heads_by_name]
+            remaining = [
+                n for n in shuffled_by_salt(alive, f"{self.own_name}+") if n not in self.heads_by_name
+            ]
             for to in sorted(remaining, key=lambda n: self.request_counts.get(n, 0))[:PARALLEL_REQUESTS]:
                 self.request_counts[to] = self.request_counts.get(to, 0) + 1
-                self.out.append((to, CatalogueHeadRequest()))
+                self.outbox.append((to, CatalogueHeadRequest()))
             if not remaining:  # all have responded, and one that failed to provide a copy is not asked again
                 self._evaluate()
         return None
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -33,7 +33,7 @@
     def announce(self, now):
         """Proposes this controller's URL if the record has another or none; called every second."""
         controller = self.controller
-        key = FRONT_KEY_PREFIX + controller.me
+        key = FRONT_KEY_PREFIX + controller.own_name
         if (
             controller.committed_log.complete_as_of is None
             or controller.committed_log.state["map"].get(key, "") == self.mine
@@ -48,17 +48,17 @@
         left out unless no others are left.
         """
         controller = self.controller
-        draining, _ = controller.off(now)
+        draining, _ = controller.exclusions(now)
         agreed_map, members = controller.committed_log.state["map"], controller.membership.members
         found = {
             name: url
-            for name in sorted(controller.known)
-            if name != controller.me
+            for name in sorted(controller.configured_names)
+            if name != controller.own_name
             and (url := agreed_map.get(FRONT_KEY_PREFIX + name))
             and members[name].standing is Standing.ALIVE
             and CONTROLLER + name not in draining
         }
-        strained = controller.loads.rides(now).overloaded
+        strained = controller.load_reports.rides(now).overloaded
         unstrained = {name: url for name, url in found.items() if name not in strained} or found
         return {
             name: url for name, url in unstrained.items() if now - members[name].standing_since > MIN_ALIVE_NS
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -113,8 +113,12 @@
     times are in ns of the controller's monotonic clock.
     """
 
-    def __init__(self, me, limits, controller_count, has_voters, now):
-        self.me, self.limits, self.has_voters = me, {k: v for k, v in limits.items() if v}, has_voters
+    def __init__(self, own_name, limits, controller_count, has_voters, now):
+        self.own_name, self.limits, self.has_voters = (
+            own_name,
+            {k: v for k, v in limits.items() if v},
+            has_voters,
+        )
         self.guaranteed = {
             kind: limit * (GUARANTEED_SHARE if has_voters else 1.0) / controller_count
             for kind, limit in self.limits.items()
@@ -122,11 +126,11 @@
         self.held = {}  # kind -> (part, until)
         self.buckets = {kind: TokenBucket(now) for kind in self.limits}
         self.wanted = dict.fromkeys(self.limits, 0.0)
-        self.out, self.request_at, self.requested_at = [], now, 0
+        self.outbox, self.request_at, self.requested_at = [], now, 0
         # leader_term: a mark of the term in which this controller leads; False where it doesn't
         self.table, self.leader_term, self.leading_since = LeaseTable(self.limits), False, 0
 
-    def next_at(self):
+    def next_tick_at(self):
         """When `tick` is due; None where no leases are requested."""
         return self.request_at if self.has_voters and self.limits else None
 
@@ -160,11 +164,11 @@
         if now < self.request_at or not (self.has_voters and self.limits):
             return
         self.request_at = now + ASK
-        request = LeaseRequest(self.me, now, {k: round(v, 3) for k, v in self.wanted.items()})
+        request = LeaseRequest(self.own_name, now, {k: round(v, 3) for k, v in self.wanted.items()})
         if self.leader_term:
             self.asked(now, request, sure, None)
         elif to is not None:
-            self.out.append((to, request))
+            self.outbox.append((to, request))
 
     def led(self, now, mark):
         """Called after each event with False, or with a mark of the term in which this controller leads.
@@ -184,12 +188,14 @@
         if self.leader_term:
             if sure and now - self.leading_since >= LEADER_WAIT_NS:
                 answer = LeaseResponse(m.requested_at, self.table.grant(now, m.requester, m.wanted_rates))
-                if m.requester == self.me:
+                if m.requester == self.own_name:
                     self.answered(now, answer)
                 else:
-                    self.out.append((m.requester, answer))
-        elif leader not in (None, self.me) and m.hops < MAX_HOPS:
-            self.out.append((leader, LeaseRequest(m.requester, m.requested_at, m.wanted_rates, m.hops + 1)))
+                    self.outbox.append((m.requester, answer))
+        elif leader not in (None, self.own_name) and m.hops < MAX_HOPS:
+            self.outbox.append(
+                (leader, LeaseRequest(m.requester, m.requested_at, m.wanted_rates, m.hops + 1))
+            )
 
     def answered(self, now, m):
         """Handles a `LeaseResponse`, which is valid from the time of the request; ignores older and expired
--- a/terndrift/fleet/load.py
+++ b/terndrift/fleet/load.py
@@ -101,18 +101,18 @@
     clock.
     """
 
-    def __init__(self, me, names, now):
-        self.me, self.names, self.own, self.own_beside = me, sorted(names), None, lambda now: None
+    def __init__(self, own_name, names, now):
+        self.own_name, self.names, self.own, self.own_beside = own_name, sorted(names), None, lambda now: None
         self.caps = {}  # key -> part to shed; decided together with the level in force
         self.group_size = isqrt(len(self.names) - 1) + 1
-        self.own_group = self.names.index(me) // self.group_size
+        self.own_group = self.names.index(own_name) // self.group_size
         self.member_reports = {}  # member of the own group -> (report, when received)
         self.group_reports = {}  # group -> (report, when received)
         self.total_report = None  # (report on the whole fleet, when received), from a collector
         self.level = (0.0, "", now - REPORT_LIFETIME_NS)  # in force: (value, who decided it, when)
-        self.out, self.report_at, self.started_at = [], now, now
+        self.outbox, self.report_at, self.started_at = [], now, now
 
-    def next_at(self):
+    def next_tick_at(self):
         """When `tick` is due; None while there is nothing to report."""
         return None if self.own is None else self.report_at
 
@@ -128,7 +128,7 @@
 
         That is the first one alive, once it has run long enough to have received the previous decision.
         """
-        return min({*alive, self.me}) == self.me and now - self.started_at >= REPORT_LIFETIME_NS
+        return min({*alive, self.own_name}) == self.own_name and now - self.started_at >= REPORT_LIFETIME_NS
 
     def tick(self, now, alive):
         """Sends the due reports to `out`; `alive` names the other members that are alive."""
@@ -136,10 +136,10 @@
             return
         self.report_at, alive = now + LOAD_REPORT_INTERVAL, set(alive)
         own_report = self._report(MEMBER_REPORT, *self.own(now), 1, 0, self.own_beside(now))
-        self.member_reports[self.me] = own_report, now
-        own_collectors = self.collectors(self.own_group, alive | {self.me})
-        self.out += [(to, own_report) for to in own_collectors if to != self.me]
-        if self.me in own_collectors:
+        self.member_reports[self.own_name] = own_report, now
+        own_collectors = self.collectors(self.own_group, alive | {self.own_name})
+        self.outbox += [(to, own_report) for to in own_collectors if to != self.own_name]
+        if self.own_name in own_collectors:
             self._collect(now, alive)
 
     def _collect(self, now, alive):
@@ -161,9 +161,11 @@
         # Built from group sums only, never from another collector's total: two collectors would otherwise
         # feed each other's totals back.
         total_report = self._report(TOTAL_REPORT, *self._sum(now), 0, self._beside(now))
-        self.out += [(to, group_report) for to in other_collectors]
-        self.out += [
-            (to, total_report) for to in self._group_names(self.own_group) if to in alive and to != self.me
+        self.outbox += [(to, group_report) for to in other_collectors]
+        self.outbox += [
+            (to, total_report)
+            for to in self._group_names(self.own_group)
+            if to in alive and to != self.own_name
         ]
 
     def _report(self, kind, plans, others, members, group, carried):
@@ -200,7 +202,7 @@
         decided_at = now - max(0, report.level_age_ms) * NS_PER_MS
         if (
             report.level_decided_by
-            and report.level_decided_by != self.me
+            and report.level_decided_by != self.own_name
             and now - decided_at <= REPORT_LIFETIME_NS
             and (
                 now - at > REPORT_LIFETIME_NS
@@ -226,7 +228,7 @@
 
     def decided(self, now, level, caps=()):
         """Sets the level and the caps (key -> part to shed) that this controller has decided."""
-        self.level, self.caps = (level, self.me, now), dict(caps)
+        self.level, self.caps = (level, self.own_name, now), dict(caps)
 
     def caps_in_force(self, now):
         """The caps (key -> part to shed); empty where the last decision has expired."""
--- a/terndrift/fleet/membership.py
+++ b/terndrift/fleet/membership.py
@@ -1,8 +1,8 @@
 """Membership of the fleet: SWIM with suspicion (Das, Gupta, Motivala 2002) and the local health of Lifeguard
 (Dadgar, Phillips, Currey 2017).
 
-`Controller` passes in messages and the time, and sends what is in `out`, as (recipient, message). There is no
-I/O here; all times and durations are in ns.
+`Controller` passes in messages and the time, and sends what is in `outbox`, as (recipient, message). There is
+no I/O here; all times and durations are in ns.
 
 In each protocol period one member is pinged, in a shuffled round-robin order. If it does not answer, helpers
 are asked to ping it; then it is suspected, and declared dead only if it does not refute the suspicion in
@@ -114,18 +114,18 @@
 class Membership:
     """The membership as one member sees it.
 
-    `names` are all members of the configuration, `me` included. `run` identifies this start of the process by
-    its time in ms since 1970. `received`, `tick` and `leave` add to `out`; `tick` has to be called at
-    `next_at()`.
+    `names` are all members of the configuration, `own_name` included. `run` identifies this start of the
+    process by its time in ms since 1970. `receive`, `tick` and `leave` add to `outbox`; `tick` has to be
+    called at `next_tick_at()`.
     """
 
-    def __init__(self, me, names, run, now, seed=0):
-        self.me, self.run, self.incarnation, self.now = me, run, 0, now
-        self.seed, self.draw_count = zlib.crc32(f"{seed}:{me}".encode()), 0
-        self.members = {name: Member(name, standing_since=now) for name in names if name != me}
-        # out: (recipient, message); standing_changes: (time, name, standing before, after), consumed by the
-        # host's log
-        self.out, self.standing_changes = [], []
+    def __init__(self, own_name, names, run, now, seed=0):
+        self.own_name, self.run, self.incarnation, self.now = own_name, run, 0, now
+        self.seed, self.draw_count = zlib.crc32(f"{seed}:{own_name}".encode()), 0
+        self.members = {name: Member(name, standing_since=now) for name in names if name != own_name}
+        # outbox: (recipient, message); standing_changes: (time, name, standing before, after), consumed by
+        # the host's log
+        self.outbox, self.standing_changes = [], []
         # forwards: own seq -> (requester, its seq, deadline, target) of pings sent for an IndirectPing
         self.seq, self.probe, self.forwards = 0, None, {}
         self.probe_order, self.health_score, self.own_transmissions, self.leaving = [], 0, 0, False
@@ -145,7 +145,7 @@
     def describe_members(self, now):
         """Returns the state of all members for operators, by name; `for_s` is seconds in that standing."""
         rows = {
-            self.me: {
+            self.own_name: {
                 "standing": "left" if self.leaving else "alive",
                 "run": self.run,
                 "incarnation": self.incarnation,
@@ -162,7 +162,7 @@
             }
         return rows
 
-    def next_at(self):
+    def next_tick_at(self):
         """When `tick` has to be called next."""
         return self.wake_at
 
@@ -173,13 +173,13 @@
 
     # Events.
 
-    def received(self, now, sender, message):
+    def receive(self, now, sender, message):
         """Handles a membership message; `sender` is a member of the configuration."""
         self._advance_clock(now)
         match message:
             case Ping(seq, updates):
                 self._apply_updates(now, sender, updates)
-                self.out.append((sender, Ack(seq, self._select_updates(sender))))
+                self.outbox.append((sender, Ack(seq, self._select_updates(sender))))
             case Ack(seq, updates):
                 self._apply_updates(now, sender, updates)
                 self._ack_received(now, sender, seq)
@@ -188,7 +188,7 @@
                 if target in self.members:
                     self.seq += 1
                     self.forwards[self.seq] = sender, seq, now + DIRECT_ACK_TIMEOUT * 3 // 4, target
-                    self.out.append((target, Ping(self.seq, self._select_updates(target))))
+                    self.outbox.append((target, Ping(self.seq, self._select_updates(target))))
             case Nack(seq):
                 if self.probe and seq == self.probe.seq:
                     self.probe.nacks += 1
@@ -196,7 +196,7 @@
                 self._apply_updates(now, sender, updates)
                 self._ping_disputed(updates)
                 if not is_response:
-                    self.out.append((sender, self.full_state(True)))
+                    self.outbox.append((sender, self.full_state(True)))
         self._schedule()
 
     def full_state(self, is_response=False):
@@ -207,7 +207,7 @@
 
     def _own_update(self):
         standing = Standing.LEFT if self.leaving else Standing.ALIVE
-        return MemberUpdate(self.me, self.run, self.incarnation, int(standing))
+        return MemberUpdate(self.own_name, self.run, self.incarnation, int(standing))
 
     def leave(self, now):
         """Announces a planned stop to a few members, which gossip it, so that nobody has to detect it."""
@@ -216,7 +216,7 @@
             max(INDIRECT_PROBES, int(2 * math.log2(len(self.members) + 1))), self.alive_names()
         ):
             self.seq += 1
-            self.out.append((name, Ping(self.seq, self._select_updates(name))))
+            self.outbox.append((name, Ping(self.seq, self._select_updates(name))))
 
     def tick(self, now):
         """Runs all timers that are due: probes, suspicions, full state exchanges."""
@@ -224,7 +224,7 @@
         for seq, (requester, request_seq, deadline, _) in list(self.forwards.items()):
             if now >= deadline:
                 del self.forwards[seq]
-                self.out.append((requester, Nack(request_seq)))
+                self.outbox.append((requester, Nack(request_seq)))
         if self.probe:
             self._advance_probe(now)
         if now >= self.next_ping_at and not self.leaving:
@@ -244,7 +244,7 @@
             # Members that are dead, have left or were never heard of take part too: they may be on the other
             # side of a partition that has healed, or be back.
             recipients = self._sample(INDIRECT_PROBES if alone else 1, self.members)
-            self.out += [(name, self.full_state()) for name in recipients]
+            self.outbox += [(name, self.full_state()) for name in recipients]
         self._schedule()
 
     # Clock, randomness and timers.
@@ -303,7 +303,7 @@
         self.probe = Probe(
             target, self.seq, now, now + DIRECT_ACK_TIMEOUT * (1 + self.health_score), self.next_ping_at
         )
-        self.out.append((target, Ping(self.seq, self._select_updates(target))))
+        self.outbox.append((target, Ping(self.seq, self._select_updates(target))))
 
     def _advance_probe(self, now):
         probe = self.probe
@@ -312,13 +312,13 @@
             helpers = self._sample(INDIRECT_PROBES, [n for n in self.alive_names() if n != probe.target])
             probe.helper_count = len(helpers)
             for name in helpers:
-                self.out.append((name, IndirectPing(probe.seq, probe.target, self._select_updates(name))))
+                self.outbox.append((name, IndirectPing(probe.seq, probe.target, self._select_updates(name))))
             # The direct ping is repeated: where one datagram in three is lost, loss is the usual reason for
             # the missing ack.
-            self.out.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
+            self.outbox.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
         elif probe.retry_at and now >= probe.retry_at:
             probe.retry_at = 0
-            self.out.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
+            self.outbox.append((probe.target, Ping(probe.seq, self._select_updates(probe.target))))
         if now >= probe.deadline:
             self.probe = None
             # Helpers that send not even a nack point to a fault of this member's own link or event loop.
@@ -330,10 +330,10 @@
             )
             member = self.members[probe.target]
             if member.standing is Standing.ALIVE:
-                member.suspected_by = {self.me}
+                member.suspected_by = {self.own_name}
                 self._transition(now, member, Standing.SUSPECT)
             elif member.standing is Standing.SUSPECT:
-                member.suspected_by.add(self.me)
+                member.suspected_by.add(self.own_name)
 
     def _advance_suspicion(self, now, member):
         """Warns a suspect that its suspicion is about to expire, and declares it dead after the last warning.
@@ -349,7 +349,7 @@
             return
         member.warnings_sent, member.next_warning_at = member.warnings_sent + 1, now + PROTOCOL_PERIOD // 2
         self.seq += 1
-        self.out.append((member.name, Ping(self.seq, self._select_updates(member.name))))
+        self.outbox.append((member.name, Ping(self.seq, self._select_updates(member.name))))
 
     def _suspicion_due_at(self, member):
         """When a suspect is to be warned next or, after all warnings, declared dead.
@@ -368,7 +368,7 @@
         if seq in self.forwards:
             requester, request_seq, _, target = self.forwards.pop(seq)
             if target == sender:
-                self.out.append((requester, Ack(request_seq, [self.members[target].update()])))
+                self.outbox.append((requester, Ack(request_seq, [self.members[target].update()])))
             return
         probe = self.probe
         if probe and probe.seq == seq:
@@ -419,12 +419,12 @@
     def _apply_updates(self, now, sender, updates):
         member = self.members.get(sender)
         for update in updates:
-            if update.name == self.me:
+            if update.name == self.own_name:
                 self._refute(update)
                 if update.standing != Standing.ALIVE and not self.leaving:
                     # Answered at once: a member that missed the refutation might hear of it only much later.
                     self.seq += 1
-                    self.out.append((sender, Ping(self.seq, [self._own_update()])))
+                    self.outbox.append((sender, Ping(self.seq, [self._own_update()])))
             elif (
                 update.name in self.members
                 and 0 <= update.standing <= 3
@@ -434,7 +434,7 @@
                 self._apply_update(now, sender, update)
         if member and not member.run:
             # The sender is unknown so far and has not announced itself in this message: its response will.
-            self.out.append((sender, self.full_state()))
+            self.outbox.append((sender, self.full_state()))
 
     def _ping_disputed(self, updates):
         """Pings members that are alive to the other side of an exchange but suspect or dead to this one.
@@ -453,7 +453,7 @@
         ]
         for name in self._sample(MAX_DISPUTED_PINGS, disputed):
             self.seq += 1
-            self.out.append((name, Ping(self.seq, self._select_updates(name))))
+            self.outbox.append((name, Ping(self.seq, self._select_updates(name))))
 
     def _refute(self, update):
         """Handles an update on this member itself, and refutes it if it does not say alive."""
--- a/terndrift/fleet/model_checker.py
+++ b/terndrift/fleet/model_checker.py
@@ -214,7 +214,7 @@
                     yield f"{name} starts with nothing", lambda n=name: self.start_node(world, n, True)
                 continue
             is_electable = voter.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
-            if voter.next_at() <= world.now and (not is_electable or name in world.remaining.electable):
+            if voter.next_tick_at() <= world.now and (not is_electable or name in world.remaining.electable):
                 yield (
                     f"{name}'s timer fires",
                     lambda n=name: self.apply(world, n, lambda one: one.tick(world.now)),
@@ -246,7 +246,7 @@
         return self.apply(
             replace(world, in_flight=in_flight, remaining=remaining),
             sealed.to,
-            lambda voter: voter.received(world.now, sealed.sender, sealed.message),
+            lambda voter: voter.receive(world.now, sealed.sender, sealed.message),
         )
 
     def propose(self, world, name):
@@ -284,7 +284,7 @@
         if wiped and not self.fault:  # it learns the epoch from the first message it receives
             voter.committed_log.state["epoch"] = list(EPOCH)
             voter.adopt_newer_epoch(world.now)
-        voter.writes.clear()
+        voter.pending_writes.clear()
         world = replace(
             world,
             remaining=remaining,
@@ -304,9 +304,9 @@
         voter.new_id = voter.new_id or (lambda: str(world.next_id))
         call(voter)
         voter.new_id = None
-        writes, voter.writes = voter.writes, []
-        out, voter.out = voter.out, []
-        voter.committed_log.out.clear()
+        writes, voter.pending_writes = voter.pending_writes, []
+        out, voter.outbox = voter.outbox, []
+        voter.committed_log.outbox.clear()
         in_flight = world.in_flight | {encode(Envelope("f", name, to, message)) for to, message in out}
         successors, next_id = [], world.next_id + 1
         if writes:
@@ -337,11 +337,11 @@
                         ),
                     )
                 )
-            voter.kept(world.now, voter.wrote)
-            writes, voter.writes = voter.writes, []
+            voter.on_durable(world.now, voter.write_count)
+            writes, voter.pending_writes = voter.pending_writes, []
             for record in writes:
                 disk.replay(record)
-            more, voter.out = voter.out, []
+            more, voter.outbox = voter.outbox, []
             in_flight |= {encode(Envelope("f", name, to, message)) for to, message in more}
             world = replace(world, disks={**world.disks, name: disk})
         world = replace(world, nodes={**world.nodes, name: voter}, in_flight=in_flight, next_id=next_id)
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -54,7 +54,9 @@
 
     def _state_after_drain(self, now, name, row, plan, observed, waited, restarted):
         if self.fault == FAULTS[0]:
-            observed = replace(observed, members=frozenset(list(observed.holds)[:1]) or observed.members)
+            observed = replace(
+                observed, members=frozenset(list(observed.placement_reports)[:1]) or observed.members
+            )
         if self.fault == FAULTS[1]:  # not from when the drain was agreed
             waited = now - self.planned_at
         return super()._state_after_drain(now, name, row, plan, observed, waited, restarted)
@@ -251,10 +253,10 @@
         follower, leader = self.copy_follower(world, name), self.copy_follower(world, "leader")
         follower.send_pull(world.now(name), "leader")
         leader.mark_complete(world.now("leader"))
-        for _, request in follower.out:
+        for _, request in follower.outbox:
             leader.handle_pull(world.now("leader"), name, request)
-        sent = {(name, "leader", msgspec.msgpack.encode(answer)) for _, answer in leader.out}
-        follower.out, leader.out = [], []
+        sent = {(name, "leader", msgspec.msgpack.encode(answer)) for _, answer in leader.outbox}
+        follower.outbox, leader.outbox = [], []
         followers = {**world.followers, name: follower, "leader": leader}
         return [
             (
@@ -285,7 +287,7 @@
             ]
         follower = self.copy_follower(world, receiver)
         follower.handle_pull_answer(now, sender, decoded)
-        follower.out, follower.newly_committed = [], []
+        follower.outbox, follower.newly_committed = [], []
         return [("", replace(world, followers={**world.followers, receiver: follower}))]
 
     def evaluate_work(self, world):
--- a/terndrift/fleet/raft.py
+++ b/terndrift/fleet/raft.py
@@ -4,9 +4,9 @@
 membership changes one voter at a time are those of Ongaro's thesis. `member.Controller` owns a `Voter` on
 each controller that votes, and passes it messages and the time.
 
-`Voter.writes` holds the records that must be durable before anything in `Voter.out` is sent; the host calls
-`Voter.kept` once they are. A host must never send a message before the records written ahead of it are
-durable.
+`Voter.pending_writes` holds the records that must be durable before anything in `Voter.outbox` is sent; the
+host calls `Voter.on_durable` once they are. A host must never send a message before the records written ahead
+of it are durable.
 
 Unlike Raft, a voter doesn't trust its own disk (`docs/fleet.md`). After a start it asks the others which
 log they hold and what they have seen it confirm. It neither votes nor confirms entries until so many have
@@ -169,9 +169,9 @@
     """State machine of one voter.
 
     `voter_names` are the voters that the configuration names, `new_id()` returns a new unique id, and
-    `committed_log` receives the committed entries. Times are in ns. The owner passes on messages (`received`)
-    and the time (`tick`, due at `next_at`), takes messages (name, message) from `out` and records from
-    `writes`, and reports durable records with `kept`.
+    `committed_log` receives the committed entries. Times are in ns. The owner passes on messages (`receive`)
+    and the time (`tick`, due at `next_tick_at`), takes messages (name, message) from `outbox` and records
+    from `pending_writes`, and reports durable records with `on_durable`.
     """
 
     def __init__(self, name, voter_names, stored_state, committed_log, now, new_id, seed=0):
@@ -183,7 +183,7 @@
             new_id,
         )
         self.seed, self.random_draws = zlib.crc32(f"{seed}/{name}".encode()), 0
-        self.out, self.writes = [], []
+        self.outbox, self.pending_writes = [], []
         self.role, self.leader, self.now = Role.RECOVERING, None, now
         self.leader_heard_at, self.leaderless_since = 0, now
         self.votes, self.role_started_at, self.may_vote_from = set(), 0, 0
@@ -191,9 +191,9 @@
         # restarted.
         self.hello_answers, self.min_position = {}, (0, 0)
         self.next_index, self.match_index = {}, {}  # identity -> log index
-        # Number of records handed out in `writes` so far; of each log record that is not durable yet, (this
-        # number, index after which its entries start).
-        self.wrote, self.pending_log_writes = 0, []
+        # Number of records handed out in `pending_writes` so far; of each log record that is not durable yet,
+        # (this number, index after which its entries start).
+        self.write_count, self.pending_log_writes = 0, []
         # Heartbeat round; round -> time sent; identity -> send time of the last round it answered; identity
         # -> name of those that wait to become voters; identity -> index after which the last batch was
         # sent.
@@ -223,7 +223,7 @@
         """Index of the last log entry that is durable here, whatever is still to be written."""
         return min([after for _, after in self.pending_log_writes], default=self.persistent.last_index)
 
-    def next_at(self):
+    def next_tick_at(self):
         """Time (ns) at which `tick` has to be called next."""
         if self.role is Role.LEADER:
             return min(self.send_at, self.quorum_contact_at() + ELECTION_TIMEOUT + 1)
@@ -246,7 +246,7 @@
 
     # Events.
 
-    def received(self, now, sender, message):
+    def receive(self, now, sender, message):
         """Handles a `messages.RaftMessage` message from the controller named `sender`."""
         self._update_time(now)
         if message.epoch != self.persistent.epoch:
@@ -275,7 +275,7 @@
         return handler(now, sender, message) if handler else None
 
     def tick(self, now):
-        """Handles timeouts that are due; has to be called at `next_at`, and may be called earlier."""
+        """Handles timeouts that are due; has to be called at `next_tick_at`, and may be called earlier."""
         self._update_time(now)
         if self.role in (Role.NON_VOTER, Role.RECOVERING) and now >= self.announce_at:
             self.announce_at = now + ANNOUNCE_INTERVAL
@@ -301,8 +301,8 @@
         elif self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE) and now >= self.send_at:
             self._request_votes(now, self.role is Role.PRE_CANDIDATE)  # again, as answers may have been lost
 
-    def kept(self, now, record_count):
-        """Reports that the first `record_count` records handed out in `writes` are durable."""
+    def on_durable(self, now, record_count):
+        """Reports that the first `record_count` records handed out in `pending_writes` are durable."""
         self.pending_log_writes = [write for write in self.pending_log_writes if write[0] > record_count]
         if self.role is Role.LEADER:
             self._advance_commit(now)
@@ -325,7 +325,7 @@
             self.send_at = now  # batches everything that is proposed at this moment
         return True
 
-    def stop(self, now):
+    def transfer_leadership(self, now):
         """Transfers leadership before a planned stop: the voter with the longest log starts an election."""
         self._update_time(now)
         if self.role is Role.LEADER:
@@ -336,9 +336,9 @@
             }
             if others:
                 successor = max(others, key=lambda voter_name: self.match_index.get(others[voter_name], 0))
-                self.out.append((successor, self._message(TimeoutNow)))
+                self.outbox.append((successor, self._message(TimeoutNow)))
 
-    def restart(self, now, state=None):
+    def begin_epoch(self, now, state=None):
         """Begins a new epoch on the operator's request.
 
         This voter starts it alone, with the values and proposal ids of `state` if given; the others have to
@@ -424,8 +424,8 @@
     def _store(self, record):
         """Applies a record to the persistent state and queues it for writing."""
         self.persistent.replay(record)
-        self.writes.append(record)
-        self.wrote += 1
+        self.pending_writes.append(record)
+        self.write_count += 1
 
     def _take_new_identity(self):
         self._store({"what": "identity", "identity": f"{self.name}/{self.new_id()}"})
@@ -451,7 +451,7 @@
     def _broadcast(self, message_type, *fields):
         """Sends to all other voters, of the configuration and of the log."""
         for name in sorted({*self.voter_names, *self.persistent.voters()} - {self.name}):
-            self.out.append((name, self._message(message_type, *fields)))
+            self.outbox.append((name, self._message(message_type, *fields)))
 
     # Recovery after a start, and membership changes.
 
@@ -460,7 +460,7 @@
         confirmed = max(
             self.persistent.confirmed.get(message.voter_id, 0), self.match_index.get(message.voter_id, 0)
         )
-        self.out.append(
+        self.outbox.append(
             (
                 sender,
                 self._message(
@@ -569,7 +569,7 @@
         self.send_at = now + 2 * HEARTBEAT_INTERVAL
         for name, identity in self.persistent.voters().items():
             if identity not in self.votes:
-                self.out.append(
+                self.outbox.append(
                     (name, self._message(RequestVote, last_term, last_index, pre_vote, leadership_transfer))
                 )
         self._count_votes(now)
@@ -596,7 +596,7 @@
             if granted and not self.persistent.voted_for:
                 self._store_term(message.term, message.voter_id)
                 self._reset_election_timer(now)
-        self.out.append((sender, self._message(VoteResponse, granted, message.pre_vote, requested_term)))
+        self.outbox.append((sender, self._message(VoteResponse, granted, message.pre_vote, requested_term)))
 
     def _handle_vote(self, now, sender, message):
         expected_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
@@ -642,7 +642,7 @@
                 "seen": dict(self.persistent.confirmed),
             }
         )
-        self.pending_log_writes.append((self.wrote, after))
+        self.pending_log_writes.append((self.write_count, after))
 
     def _send_heartbeats(self, now):
         """Starts a round: sends to all other voters, and to those that wait to become voters."""
@@ -664,7 +664,7 @@
         previous_term = self.persistent.term_at(next_index - 1)
         if previous_term is None:
             state = self.persistent.snapshot
-            self.out.append(
+            self.outbox.append(
                 (
                     name,
                     self._message(
@@ -676,7 +676,7 @@
         entries = self.persistent.entries[next_index - 1 - self.persistent.snapshot["last"] :][
             :MAX_ENTRIES_PER_MESSAGE
         ]
-        self.out.append(
+        self.outbox.append(
             (
                 name,
                 self._message(
@@ -697,7 +697,7 @@
         A voter that is still checking its stored state notes the leader but confirms nothing.
         """
         if message.term < self.persistent.term:
-            self.out.append(
+            self.outbox.append(
                 (
                     sender,
                     self._message(AppendResponse, False, self.persistent.last_index, message.request_round),
@@ -722,7 +722,7 @@
                 else max(self.persistent.snapshot["last"], message.prev_log_index - 1)
             )
             if message.prev_log_index >= self.persistent.snapshot["last"]:
-                return self.out.append(
+                return self.outbox.append(
                     (sender, self._message(AppendResponse, False, retry_after, message.request_round))
                 )
         self.persistent.confirmed.update(
@@ -742,7 +742,7 @@
         last_index = message.prev_log_index + len(message.entries)
         self._commit_up_to(now, min(message.commit_index, last_index))
         self._apply_membership(now)
-        self.out.append((sender, self._message(AppendResponse, True, last_index, message.request_round)))
+        self.outbox.append((sender, self._message(AppendResponse, True, last_index, message.request_round)))
 
     def _handle_base(self, now, sender, message):
         if not self._accept_leader(now, sender, message):
@@ -755,7 +755,7 @@
             if message.last_index > self.committed_log.last_index:
                 self.committed_log.load_snapshot(message.state)
         self._apply_membership(now)
-        self.out.append(
+        self.outbox.append(
             (sender, self._message(AppendResponse, True, message.last_index, message.request_round))
         )
 
--- a/terndrift/fleet/ranks.py
+++ b/terndrift/fleet/ranks.py
@@ -65,7 +65,7 @@
             return None
         return _make_entry(row, row["gen"] + 1, names, row["names"])
 
-    def turn(self, now, state, own_name, state_age):
+    def slow_start_share(self, now, state, own_name, state_age):
         """Returns (number of sharing controllers, (rank, number of ranks)) for the controller `own_name`.
 
         The first is None where it is not known, the second where the controller has no share. Returns None
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -152,7 +152,7 @@
             f"http://{viewer_address}" if front == "listen" and viewer_address else front.rstrip("/")
         )
         loop = asyncio.get_running_loop()
-        self.controller.copies.begin(self.clock.now())
+        self.controller.catalogue_sync.begin(self.clock.now())
         host, _, port = self.value["datagrams"].rpartition(":")
         self.transport, _ = await loop.create_datagram_endpoint(lambda: Datagrams(self), (host, int(port)))
         self.addresses = [
@@ -165,11 +165,11 @@
 
     def packet(self, data):
         """Handles a received message, of a datagram or an HTTP body; counts it if it is dropped."""
-        message = decode(data, self.value["name"], self.me, self.controller.known)
+        message = decode(data, self.value["name"], self.me, self.controller.configured_names)
         if isinstance(message, str):
             self.dropped[message] += 1
             return
-        self.controller.received(self.clock.now(), message)
+        self.controller.receive(self.clock.now(), message)
         self._process_output()
 
     async def _request(self, exchange):
@@ -190,10 +190,10 @@
     def _process_output(self):
         """Sends and writes what the controller has produced, logs its changes and sets the timer anew."""
         controller, now = self.controller, self.clock.now()
-        messages, controller.out = controller.out, []
+        messages, controller.outbox = controller.outbox, []
         for to, data in messages:
             self._send(to, data)
-        if controller.writes and self.write_task is None and not self.closing:
+        if controller.pending_writes and self.write_task is None and not self.closing:
             self.write_task = asyncio.ensure_future(self._write())
         for _, name, before, after in controller.membership.standing_changes:
             self.log.info("member", name=name, was=before.name.lower(), now=after.name.lower())
@@ -203,18 +203,25 @@
             if entry.kind == "value" and REV in entry.value:
                 self.worked.set()
         controller.committed_log.newly_committed.clear()
-        if (is_cut_off := controller.cut_off(now) > 0) != self.logged_cut_off:
+        if (is_cut_off := controller.cut_off_for(now) > 0) != self.logged_cut_off:
             self.logged_cut_off = is_cut_off
             self.log.warning("cut off from the record" if is_cut_off else "the record is heard again")
         for waiter in self.waiters:
             waiter.set()
-        next_at = controller.next_at()
-        if self.transport is None or self.closing or self.timer_at is not None and self.timer_at <= next_at:
+        next_tick_at = controller.next_tick_at()
+        if (
+            self.transport is None
+            or self.closing
+            or self.timer_at is not None
+            and self.timer_at <= next_tick_at
+        ):
             return
         if self.timer:
             self.timer.cancel()
-        self.timer_at = next_at
-        self.timer = asyncio.get_running_loop().call_later(max(0, next_at - now) / SECOND, self._on_timer)
+        self.timer_at = next_tick_at
+        self.timer = asyncio.get_running_loop().call_later(
+            max(0, next_tick_at - now) / SECOND, self._on_timer
+        )
 
     def _send(self, to, data):
         addresses = self.value["members"].get(to)
@@ -250,8 +257,8 @@
         Messages that depend on a record are sent once it is durable.
         """
         controller = self.controller
-        while controller.writes:
-            batch, controller.writes, written = controller.writes, [], controller.wrote
+        while controller.pending_writes:
+            batch, controller.pending_writes, written = controller.pending_writes, [], controller.write_count
             while True:
                 try:
                     await self.committer.append([(STREAM, record) for record in batch])
@@ -263,7 +270,7 @@
                 except OSError as error:
                     self.log.error("fleet: not kept, tried again", what=str(error))
                     await asyncio.sleep(0.5)
-            controller.kept(self.clock.now(), written)
+            controller.on_durable(self.clock.now(), written)
             if self.committer.store.since_snapshot > RECORDS_PER_SNAPSHOT:
                 async for _ in self.committer.snapshot():
                     pass
@@ -273,7 +280,7 @@
     def tell_work(self):
         """Reports this controller's playbacks on draining machines now, before the next regular report."""
         now = self.clock.now()
-        self.controller.work_at = now
+        self.controller.next_work_at = now
         self.controller.tick(now)
         self._process_output()
 
@@ -322,7 +329,7 @@
         self.elsewhere.announce(now)
         if self.surge and (level := round(self.surge.level(), 1)) != self.logged_level:
             self.logged_level = level
-            self.log.info("shed", at=level, why=self.controller.shed.why)
+            self.log.info("shed", at=level, why=self.controller.shedding.why)
         self._process_output()
         self.back.look(
             now, listed, self.controller.committed_log.complete_as_of is not None, *self.answers.recent(now)
@@ -335,19 +342,19 @@
     def serves(self, catalogue):
         """Sets the catalogue service; titles are served only once the other members' state is known."""
         self.catalogue, controller = catalogue, self.controller
-        controller.copies = Copies(
-            self.me, self.clock.now(), lambda: catalogue.versions.ids, len(controller.known) - 1
+        controller.catalogue_sync = Copies(
+            self.me, self.clock.now(), lambda: catalogue.versions.ids, len(controller.configured_names) - 1
         )
 
     def unsure(self):
         """Tells whether no title may be served yet; starts to copy the catalogue if a member is ahead."""
-        copies = self.controller.copies
+        copies = self.controller.catalogue_sync
         if copies.standing is CopyStanding.BEHIND and (self.copy_task is None or self.copy_task.done()):
             self.copy_task = asyncio.ensure_future(self._copy_catalogue(copies))
         return not copies.sure()
 
     async def _send_catalogue(self, exchange):
-        if self.sending_copy or self.controller.copies.standing is CopyStanding.BEHIND:
+        if self.sending_copy or self.controller.catalogue_sync.standing is CopyStanding.BEHIND:
             return await exchange.reply(503, text="busy")
         self.sending_copy = True
         try:
@@ -360,7 +367,7 @@
                         await asyncio.sleep(0)
             finally:
                 versions.unpin()
-            value = {"ids": self.controller.copies.ids()[-MAX_CHANGE_IDS:], "titles": titles}
+            value = {"ids": self.controller.catalogue_sync.ids()[-MAX_CHANGE_IDS:], "titles": titles}
             body = await asyncio.get_running_loop().run_in_executor(None, msgspec.msgpack.encode, value)
             return await exchange.reply(200, body=body)
         finally:
@@ -508,8 +515,10 @@
             "why": controller.work.why if leads else {},
             "leader": controller.leader(),
             "leads": leads,
-            "likely_s": controller.work.likely(self.clock.now(), state, controller.seen()) if leads else {},
-            "left": sorted(controller.left),
+            "likely_s": controller.work.likely(self.clock.now(), state, controller.work_view())
+            if leads
+            else {},
+            "left": sorted(controller.out_in_earlier_epoch),
         }
 
     async def propose(self, value):
@@ -561,7 +570,7 @@
                 state = {**initial_state((0, "")), "map": dict(state["map"]), "ids": dict(state["ids"])}
             except (TypeError, KeyError, ValueError):
                 return 422, {"error": "state: must be an object with map and ids"}
-        self.controller.restart(self.clock.now(), state)
+        self.controller.begin_epoch(self.clock.now(), state)
         self._process_output()
         await self._until(lambda: self.controller.committed_log.last_index > 0, 5.0)
         self.log.warning("fleet: the record begins anew on an operator's word", epoch=self.record()["epoch"])
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -35,10 +35,15 @@
     """
 
     def __init__(self, controller, listing, runner, cold_for, configured_rank, is_recovering):
-        self.store, self.controller, self.listing, self.runner = controller.warm, controller, listing, runner
+        self.store, self.controller, self.listing, self.runner = (
+            controller.observations,
+            controller,
+            listing,
+            runner,
+        )
         self.core, self.clock, self.is_recovering = runner.core, runner.clock, is_recovering
         self.configured_rank = configured_rank
-        self.store.cold_for, controller.ranked = cold_for, True
+        self.store.cold_for, controller.uses_ranks = cold_for, True
         self.last_success = {}  # streamer id -> when it last started a playback or sent media
         # what the core was told: (number of controllers, slow start share); ids of streamers proven warm
         self.reported, self.reported_warm = (), set()
@@ -87,7 +92,7 @@
         Until this run has received the agreed state it uses the share that its last run had, as long as that
         state would count: without a share the first seconds of a recovery turn viewers away.
         """
-        agreed = self.controller.turn(now) if self.controller.voters else None
+        agreed = self.controller.slow_start_share(now) if self.controller.voter_names else None
         if agreed is None:
             return self.configured_rank
         has_no_state = self.controller.committed_log.complete_as_of is None
--- a/terndrift/fleet/simulated_fleet.py
+++ b/terndrift/fleet/simulated_fleet.py
@@ -182,13 +182,13 @@
     def _process_output(self, name):
         """Runs after each event of a controller: sends, writes, and schedules its next tick."""
         controller = self.controllers[name]
-        outgoing, controller.out = controller.out, []
+        outgoing, controller.outbox = controller.outbox, []
         for to, packet in outgoing:
             self._send(name, to, packet)
-        if controller.writes:
+        if controller.pending_writes:
             self._write(name, controller)
         self._record_changes(name, controller)
-        tick_time = max(self.now, controller.next_at())
+        tick_time = max(self.now, controller.next_tick_at())
         if name not in self.tick_at or tick_time < self.tick_at[name] or self.tick_at[name] < self.now:
             self.tick_at[name] = tick_time
             self.schedule(tick_time, lambda: self._tick(name, controller, tick_time))
@@ -203,8 +203,8 @@
         self._process_output(name)
 
     def _write(self, name, controller):
-        batch, controller.writes = controller.writes, []
-        record_count = controller.wrote
+        batch, controller.pending_writes = controller.pending_writes, []
+        record_count = controller.write_count
 
         def finish():
             if self.controllers.get(name) is not controller:
@@ -213,7 +213,7 @@
                 self.paused[name].append(finish)
                 return
             self.disks[name].records += batch
-            controller.kept(self.now, record_count)
+            controller.on_durable(self.now, record_count)
             self._process_output(name)
 
         self.schedule(self.now + self.sync, finish)
@@ -238,9 +238,9 @@
             return
         controller = self.controllers.get(to)
         if controller is not None:
-            sealed = decode(packet, "arena", to, controller.known)
+            sealed = decode(packet, "arena", to, controller.configured_names)
             assert not isinstance(sealed, str), sealed
-            controller.received(self.now, sealed)
+            controller.receive(self.now, sealed)
             self._process_output(to)
 
     def _record_changes(self, name, controller):
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -80,13 +80,13 @@
         self.titles_by_holder, self.titles_version = {}, None
         # [(Line, standing)]; machine name -> (Line, Machine); the list and catalogue versions of both
         self.listed_lines, self.listed_machines, self.listed_version = [], {}, None
-        self.machine_name = CONTROLLER + controller.me
-        controller.machines, controller.holding = self.machines, self.holding
-        controller.wall, controller.turned = (
+        self.machine_name = CONTROLLER + controller.own_name
+        controller.list_machines, controller.count_placements = self.machines, self.holding
+        controller.wall_ms, controller.recent_requests = (
             lambda: self.clock.to_wall_ns(self.clock.now()) // 1_000_000,
             self.rejections.recent,
         )
-        controller.ill = self.ill
+        controller.failing_machines = self.ill
 
     def watch(self, event, playback, **facts):
         """Counts requests and rejections; called by the core for each event, with the event's facts."""
@@ -185,7 +185,7 @@
         The list lags by up to a second, or by as long as this process was paused.
         """
         line = self.listing.line_of(streamer_id)
-        draining, may_place = self.controller.off(self.clock.now())
+        draining, may_place = self.controller.exclusions(self.clock.now())
         return may_place and (line is None or line.name not in draining)
 
     # Drains in force.
@@ -200,7 +200,7 @@
         Called after each change of the planned work, else at the interval of `look_again`.
         """
         now = self.clock.now()
-        draining, may_place = self.controller.off(now)
+        draining, may_place = self.controller.exclusions(now)
         lines = {
             line.address: replace(line, standing="draining")
             for line, _ in self.rows()
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -50,14 +50,18 @@
         self.strain, self.told = Strain(len(plans)), (None, {}, ())
         self.last_level, self.raised_at = 0.0, 0  # the level at the last `look`, and when it last rose
         self.leases = controller.leases = Leases(
-            controller.me, dict(limits), len(controller.known), bool(controller.voters), now
+            controller.own_name,
+            dict(limits),
+            len(controller.configured_names),
+            bool(controller.voter_names),
+            now,
         )
         self.connection_limiter = KeyedRateLimiter(self.leases, "connects", MAX_CONNECT_WAIT_NS)
         # A call to a source is delayed but never refused.
         self.call_limiter = KeyedRateLimiter(self.leases, "calls", 10**18)
-        controller.loads.own = lambda now: self.counter.recent(now, self.core.unanswered_count)
-        controller.loads.own_beside = self._beside
-        controller.shed = Level(self.order)
+        controller.load_reports.own = lambda now: self.counter.recent(now, self.core.unanswered_count)
+        controller.load_reports.own_beside = self._beside
+        controller.shedding = Level(self.order)
 
     # Events of the core and the front.
 
@@ -135,13 +139,13 @@
         )
         self.connection_limiter.update_demand(now)
         self.call_limiter.update_demand(now)
-        rides = self.controller.loads.rides(now)
-        alive = {self.controller.me, *self.controller.membership.alive_names()}
-        judged = findings.judged(now, self.controller.me, rides.failures, alive, self.findings.tried)
+        rides = self.controller.load_reports.rides(now)
+        alive = {self.controller.own_name, *self.controller.membership.alive_names()}
+        judged = findings.judged(now, self.controller.own_name, rides.failures, alive, self.findings.tried)
         may_attempt = (
             {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
         )
-        plans, _, _ = self.controller.loads.total(now)
+        plans, _, _ = self.controller.load_reports.total(now)
         wanted_rate = sum(row[load.WANTED] for row in plans.values()) / WINDOW_SECONDS
         self.return_times.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW_SECONDS)
         told = (
@@ -159,8 +163,8 @@
         return {self.address(id): s.failed_at is not None for id, s in streamers.items() if s.backoff}
 
     def _beside(self, now):
-        found = self.findings.table(now, self._set_aside(), self.controller.loads.rides(now).failures)
-        strained = [self.controller.me] if self.strain.level else []
+        found = self.findings.table(now, self._set_aside(), self.controller.load_reports.rides(now).failures)
+        strained = [self.controller.own_name] if self.strain.level else []
         return Piggyback(found, self.return_times.table(now), self.key_counter.table(now), strained)
 
     # Shedding of viewers.
@@ -170,7 +174,7 @@
         now, held = self.clock.now(), self.controller.committed_log.state["map"].get(HOLD_KEY)
         if held and self.clock.to_wall_ns(now) < held["until"] * 1_000_000:
             return held["level"]
-        return self.controller.loads.in_force(now)
+        return self.controller.load_reports.in_force(now)
 
     def sheds(self, plan, viewer, *keys):
         """Decides on a viewer's request and counts it; `keys`: his title and address as in crowds.py.
@@ -181,7 +185,7 @@
         now, keys = self.clock.now(), [key[:MAX_KEY_LENGTH] for key in keys]
         self.key_counter.count(now, keys)
         level, own_level = self.level(), self.strain.level
-        caps = self.controller.loads.caps_in_force(now)
+        caps = self.controller.load_reports.caps_in_force(now)
         if any(is_shed(now, caps.get(key, 0.0), viewer) for key in keys):
             self.counter.count(now, plan, load.WANTED)
         elif level and is_shed(now, shed_parts(level, self.order).get(plan, 0.0), viewer):
@@ -208,16 +212,16 @@
         Counts of plans, attempts and connections are per second.
         """
         now, level = self.clock.now(), self.level()
-        plans, others, members = self.controller.loads.total(now)
-        rides = self.controller.loads.rides(now)
-        value, by, at = self.controller.loads.level
+        plans, others, members = self.controller.load_reports.total(now)
+        rides = self.controller.load_reports.rides(now)
+        value, by, at = self.controller.load_reports.level
         names = ("wanted", "shed", "answered", "in_target", "late", "turned_away")
         rows = {
             n: dict(zip(names, [x / WINDOW_SECONDS for x in row], strict=True)) for n, row in plans.items()
         }
-        decides = by == self.controller.me
+        decides = by == self.controller.own_name
         return {
-            "name": self.controller.me,
+            "name": self.controller.own_name,
             "members": members,
             "plans": rows,
             "extra_tries": others[load.EXTRA_ATTEMPTS] / WINDOW_SECONDS,
@@ -227,7 +231,7 @@
             "decided_by": by,
             "age_s": round((now - at) / SECOND, 1),
             "sheds": {n: round(p, 3) for n, p in shed_parts(level, self.order).items() if p},
-            "crowds": self.controller.loads.caps_in_force(now),
+            "crowds": self.controller.load_reports.caps_in_force(now),
             "come_back": rides.expected_returns,
             "failing": {
                 a: {
@@ -243,7 +247,7 @@
             "strained": rides.overloaded,
             "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
             "order": self.order,
-            "why": self.controller.shed.why if decides else "",
+            "why": self.controller.shedding.why if decides else "",
             "held": self.controller.committed_log.state["map"].get(HOLD_KEY),
         }
 
--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/warm.py
@@ -57,15 +57,15 @@
 class Known:
     """Observations of all streamers by this and other controllers.
 
-    `me` is this controller's name and `run` the number of its run; `now` and `cold_for`, the time of a
-    warm-up, are in ns. The owner calls `tick` when `next_at` is due and sends the messages in `out`.
+    `own_name` is this controller's name and `run` the number of its run; `now` and `cold_for`, the time of a
+    warm-up, are in ns. The owner calls `tick` when `next_tick_at` is due and sends the messages in `out`.
     """
 
-    def __init__(self, me, run, now, cold_for=0):
-        self.me, self.run, self.cold_for = me, run, cold_for
+    def __init__(self, own_name, run, now, cold_for=0):
+        self.own_name, self.run, self.cold_for = own_name, run, cold_for
         self.seen = {}  # address -> {observer: StreamerObservation}
         # out: (member, message) to send; requested_at: member -> when; responders: members that responded
-        self.out, self.requested_at, self.responders = [], {}, set()
+        self.outbox, self.requested_at, self.responders = [], {}, set()
         self.next_gossip_at, self.next_request_at, self.gossip_rounds, self.response_times = now, now, 0, []
         self.requesting = True  # until SUFFICIENT_RESPONSES have come, or the recovery is over
         self.responses_sent = 0
@@ -79,7 +79,7 @@
         seen to fail, 0 if not since it ran.
         """
         for address, started, seen_until, failed_at, use in rows:
-            previous = self.seen.get(address, {}).get(self.me)
+            previous = self.seen.get(address, {}).get(self.own_name)
             continues = (
                 previous
                 and previous.observer_run == self.run
@@ -89,7 +89,7 @@
             self._put(
                 address,
                 StreamerObservation(
-                    self.me,
+                    self.own_name,
                     self.run,
                     started,
                     previous.seen_from if continues else seen_until,
@@ -107,9 +107,9 @@
         since 1970 and `wall` is `now` in that scale.
         """
         own = [
-            (address, by_observer[self.me])
+            (address, by_observer[self.own_name])
             for address, by_observer in sorted(self.seen.items())
-            if self.me in by_observer
+            if self.own_name in by_observer
         ]
         return [
             [
@@ -153,7 +153,7 @@
 
     # Exchange with other members.
 
-    def next_at(self):
+    def next_tick_at(self):
         """Returns when `tick` is due."""
         return min(self.next_gossip_at, self.next_request_at) if self.requesting else self.next_gossip_at
 
@@ -169,8 +169,10 @@
             self._expire(now)
             if alive and self.seen:
                 self.gossip_rounds += 1
-                to = alive[zlib.crc32(b"%d" % self.gossip_rounds, zlib.crc32(self.me.encode())) % len(alive)]
-                self.out.append((to, self._make_message(now, self._next_batch())))
+                to = alive[
+                    zlib.crc32(b"%d" % self.gossip_rounds, zlib.crc32(self.own_name.encode())) % len(alive)
+                ]
+                self.outbox.append((to, self._make_message(now, self._next_batch())))
 
     def _next_batch(self):
         """Returns the next GOSSIP_BATCH addresses, round robin."""
@@ -181,13 +183,13 @@
     def _request(self, now, alive):
         """Asks one member; those already asked come again only when all others have been asked."""
         self.next_request_at = now + REQUEST_INTERVAL_NS
-        order = shuffled_by_salt(alive, f"{self.me}/")
+        order = shuffled_by_salt(alive, f"{self.own_name}/")
         remaining = [n for n in order if n not in self.requested_at] or [
             n for n in order if n not in self.responders
         ]
         if remaining:
             self.requested_at[remaining[0]] = now
-            self.out.append((remaining[0], ObservationsRequest()))
+            self.outbox.append((remaining[0], ObservationsRequest()))
 
     def asked(self, now, sender):
         """Responds to a request, unless the limit of this second is reached.
@@ -198,7 +200,7 @@
         if len(self.response_times) < MAX_RESPONSES_PER_SECOND and self.seen:
             self.response_times.append(now)
             self.responses_sent += 1
-            self.out.append((sender, self._make_message(now, list(self.seen), answers=True)))
+            self.outbox.append((sender, self._make_message(now, list(self.seen), answers=True)))
 
     def _make_message(self, now, addresses, answers=False):
         """Returns a message with observations of the addresses.
@@ -246,7 +248,7 @@
             self.requesting = len(self.responders) < SUFFICIENT_RESPONSES
         for fact in message.observations:
             if (
-                fact.observer == self.me
+                fact.observer == self.own_name
                 or runs.get(fact.observer) != fact.run
                 or min(fact.observed_ms, fact.seen_ago_ms) < 0
             ):
--- a/terndrift/fleet/work.py
+++ b/terndrift/fleet/work.py
@@ -75,12 +75,13 @@
 
     machines: dict  # name -> room.Machine
     members: frozenset  # all controllers that may place, as configured
-    holds: dict = field(default_factory=dict)  # controller -> (messages.PlacementReport, time received)
+    # controller -> (messages.PlacementReport, time received)
+    placement_reports: dict = field(default_factory=dict)
     wall_ms: int = 0  # ms since 1970 by this controller's clock
 
     def recent_reports(self, now):
         """The placement reports that are younger than REPORT_LIFETIME_NS."""
-        return [report for report, at in self.holds.values() if now - at < REPORT_LIFETIME_NS]
+        return [report for report, at in self.placement_reports.values() if now - at < REPORT_LIFETIME_NS]
 
     def median_wall_ms(self, now):
         """ms since 1970, the median of the reported clocks, so that one clock an hour ahead has no effect."""
@@ -283,7 +284,7 @@
         if current is State.WARMING:
             failing = [
                 controller
-                for controller, (report, at) in sorted(observed.holds.items())
+                for controller, (report, at) in sorted(observed.placement_reports.items())
                 if now - at < REPORT_LIFETIME_NS and name in report.failing_machines
             ]
             if waited >= plan["warm"] and not failing:
@@ -307,7 +308,7 @@
         placing, holding = [], 0
         own_controller = controller_named(name)
         for controller in sorted(observed.members) if own_controller is None else [own_controller]:
-            report, _ = observed.holds.get(controller, (None, 0))
+            report, _ = observed.placement_reports.get(controller, (None, 0))
             if report is not None and name in report.placements and report.work_revision >= row["rev"]:
                 holding += report.placements[name]
             else:
@@ -382,7 +383,7 @@
     @staticmethod
     def _playbacks_by_machine(observed):
         playbacks = {}
-        for report, _ in observed.holds.values():
+        for report, _ in observed.placement_reports.values():
             for name, count in report.placements.items():
                 playbacks[name] = playbacks.get(name, 0) + count
         return playbacks
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -68,7 +68,7 @@
         for name in names:
             self.attach(name)
         assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 30) is not None
-        self.simulated_fleet.call_controller("c0", "restart", None)
+        self.simulated_fleet.call_controller("c0", "begin_epoch", None)
         followers = [c.committed_log for c in self.simulated_fleet.controllers.values()]
 
         def all_voters_in():
@@ -79,8 +79,8 @@
     def attach(self, name):
         """Connect a controller to the streamers and playbacks; needed after each of its starts."""
         c = self.simulated_fleet.controllers[name]
-        c.machines = self.machines
-        c.holding = lambda names: {m: sum(p[0] == m for p in self.playbacks[name]) for m in names}
+        c.list_machines = self.machines
+        c.count_placements = lambda names: {m: sum(p[0] == m for p in self.playbacks[name]) for m in names}
 
     def machines(self):
         """Return {name: Machine} of the streamers, as a controller's list has them."""
@@ -126,7 +126,7 @@
             if name in self.simulated_fleet.paused:
                 continue
             self.playbacks[name] = [p for p in self.playbacks[name] if p[1] > now]
-            drained, may_place = c.off(now)
+            drained, may_place = c.exclusions(now)
             available = [m for m, (_, is_up, _) in self.standing.items() if is_up and m not in drained]
             if may_place and available and self.random.random() < self.rate:
                 self.placement_count += 1
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -204,7 +204,7 @@
         self.simulated_fleet = SimulatedFleet(names, names[:VOTERS], seed, loss)
         self.simulated_fleet.start()
         assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 90) is not None
-        self.simulated_fleet.call_controller(names[0], "restart", None)
+        self.simulated_fleet.call_controller(names[0], "begin_epoch", None)
         assert (
             self.simulated_fleet.run_until(
                 lambda: all(
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -453,7 +453,7 @@
         while self.front.unsure:
             await asyncio.sleep(0.01)
             self._shut()
-        self.log.info("catalogue", standing=self.fleet.controller.copies.why)
+        self.log.info("catalogue", standing=self.fleet.controller.catalogue_sync.why)
 
     async def _obeys(self):
         """Looks at planned work when any of it was agreed, else once a second, and oftener while it drains
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -32,12 +32,12 @@
                     self.now,
                     [] if n in self.isolated else [m for m in self.copies if m not in self.isolated | {n}],
                 )
-                for to, m in sync.out:
+                for to, m in sync.outbox:
                     requests += isinstance(m, CatalogueHeadRequest)
                     self.copies[to].asked(n) if isinstance(m, CatalogueHeadRequest) else self.copies[
                         to
                     ].heard(n, m)
-                sync.out.clear()
+                sync.outbox.clear()
                 if sync.standing is Standing.BEHIND and self.now % (3 * S // 10) < S // 10:
                     whole = sync.source not in self.broken
                     if whole:
@@ -133,6 +133,6 @@
     sync = Copies("c0", 0, lambda: OLD, 3)
     sync.begin(20 * S)
     sync.tick(20 * S, ["c1"])
-    assert sync.standing is Standing.COMPARING and sync.out
+    assert sync.standing is Standing.COMPARING and sync.outbox
     sync.tick(20 * S + SYNC_TIMEOUT_NS, ["c1"])
     assert sync.sure() and not sync.confirmed_by_peers
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -46,7 +46,7 @@
     simulated_fleet = SimulatedFleet(NAMES, VOTERS, seed, **options)
     simulated_fleet.start()
     assert simulated_fleet.run_until(simulated_fleet.membership_converged, 30) is not None
-    simulated_fleet.call_controller("c0", "restart", None)
+    simulated_fleet.call_controller("c0", "begin_epoch", None)
     assert_eventually(
         simulated_fleet,
         lambda: all(len(c.committed_log.state["voters"]) == 5 for c in simulated_fleet.controllers.values()),
@@ -130,16 +130,16 @@
     majority = [n for n in NAMES if n not in minority]
     assert propose_and_wait(simulated_fleet, "majority", majority[-1], at=majority) is not None
     simulated_fleet.run(8)
-    assert simulated_fleet.controllers[old_leader].cut_off(simulated_fleet.now) > 5 * raft.SECOND
+    assert simulated_fleet.controllers[old_leader].cut_off_for(simulated_fleet.now) > 5 * raft.SECOND
     assert "x" not in simulated_fleet.controllers[old_leader].committed_log.state["map"]
-    assert not any(simulated_fleet.controllers[n].cut_off(simulated_fleet.now) for n in majority)
+    assert not any(simulated_fleet.controllers[n].cut_off_for(simulated_fleet.now) for n in majority)
     simulated_fleet.drops_message = lambda a, b: False
     assert_eventually(simulated_fleet, lambda: committed_everywhere(simulated_fleet, "minority"))
     assert (
         simulated_fleet.run_until(simulated_fleet.membership_converged, 40) is not None
         and not simulated_fleet.violations
     )
-    assert not simulated_fleet.controllers[old_leader].cut_off(simulated_fleet.now)
+    assert not simulated_fleet.controllers[old_leader].cut_off_for(simulated_fleet.now)
 
 
 def test_a_leader_that_can_send_but_not_receive_is_replaced():
@@ -256,7 +256,7 @@
     assert not simulated_fleet.leaders() and not any(
         "p2" in c.committed_log.state["ids"] for c in simulated_fleet.controllers.values()
     )
-    simulated_fleet.call_controller("c1", "restart", {"map": {"p1": 1}, "ids": {"p1": 1}})
+    simulated_fleet.call_controller("c1", "begin_epoch", {"map": {"p1": 1}, "ids": {"p1": 1}})
     assert (
         simulated_fleet.run_until(
             lambda: all(c.committed_log.epoch[0] == 2 for c in simulated_fleet.controllers.values()), 20
@@ -393,13 +393,13 @@
 
 def test_suspicions_are_refuted_and_updates_of_earlier_incarnations_are_ignored():
     membership = Membership("a", "ab", 1, 0)
-    membership.received(0, "b", Ping(1, [member_update("b", 5, 0, Standing.ALIVE)]))
-    membership.received(0, "b", Ping(2, [member_update("b", 5, 1, Standing.SUSPECT)]))
+    membership.receive(0, "b", Ping(1, [member_update("b", 5, 0, Standing.ALIVE)]))
+    membership.receive(0, "b", Ping(2, [member_update("b", 5, 1, Standing.SUSPECT)]))
     assert membership.members["b"].standing is Standing.SUSPECT
-    membership.received(0, "b", Ping(3, [member_update("b", 5, 2, Standing.ALIVE)]))
-    membership.received(0, "b", Ping(4, [member_update("b", 5, 1, Standing.DEAD)]))
+    membership.receive(0, "b", Ping(3, [member_update("b", 5, 2, Standing.ALIVE)]))
+    membership.receive(0, "b", Ping(4, [member_update("b", 5, 1, Standing.DEAD)]))
     assert membership.members["b"].standing is Standing.ALIVE
-    membership.received(0, "b", Ping(5, [member_update("a", 1, 0, Standing.SUSPECT)]))
+    membership.receive(0, "b", Ping(5, [member_update("a", 1, 0, Standing.SUSPECT)]))
     assert membership.incarnation == 1, "a suspicion of the member itself is refuted"
 
 
@@ -472,11 +472,11 @@
 def test_a_ping_with_the_longest_names_and_most_updates_fits_a_datagram():
     names = [f"{n:040d}" for n in range(120)]
     membership = Membership(names[0], names, 1 << 42, 0)
-    membership.received(0, names[1], FullState([MemberUpdate(n, 1 << 42, 1000, 1) for n in names[1:]], True))
-    membership.out.clear()
+    membership.receive(0, names[1], FullState([MemberUpdate(n, 1 << 42, 1000, 1) for n in names[1:]], True))
+    membership.outbox.clear()
     for _ in range(9):
-        membership.tick(membership.next_at())
-    pings = [m for _, m in membership.out if isinstance(m, Ping)]
+        membership.tick(membership.next_tick_at())
+    pings = [m for _, m in membership.outbox if isinstance(m, Ping)]
     sizes = [len(encode("f" * 40, names[0], names[1], m, 9, 1 << 40, 1 << 20)) for m in pings]
     assert pings and len(pings[0].updates) > 15 and max(sizes) <= MAX_DATAGRAM_BYTES
 
@@ -489,24 +489,24 @@
     """
     membership = Membership("a", "abcdef", 1, 0)
     for name in "bcdef":
-        membership.received(0, name, Ping(1, [MemberUpdate(name, 5, 0, 0)]))
-    membership.received(0, "c", Ping(2, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
+        membership.receive(0, name, Ping(1, [MemberUpdate(name, 5, 0, 0)]))
+    membership.receive(0, "c", Ping(2, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
     now = 0
     while now < 15 * raft.SECOND:
-        now = max(now + raft.SECOND // 10, membership.next_at())
+        now = max(now + raft.SECOND // 10, membership.next_tick_at())
         membership.tick(now)
         if membership.probe:  # all other members answer
-            membership.received(now, membership.probe.target, Ack(membership.probe.seq, []))
+            membership.receive(now, membership.probe.target, Ack(membership.probe.seq, []))
         membership.members["b"].suspected_by = {"c"}
     assert membership.members["b"].standing is Standing.SUSPECT and not membership.members["b"].warnings_sent
-    membership.out.clear()
+    membership.outbox.clear()
     for name in "def":
-        membership.received(now, name, Ping(3, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
+        membership.receive(now, name, Ping(3, [MemberUpdate("b", 5, 0, int(Standing.SUSPECT))]))
     membership.tick(now)
     assert membership.members["b"].standing is Standing.SUSPECT
     assert [
         m
-        for to, m in membership.out
+        for to, m in membership.outbox
         if to == "b" and isinstance(m, Ping) and MemberUpdate("b", 5, 0, 1) in m.updates
     ]
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -33,7 +33,7 @@
         self.highest_sum, self.least_lent = 0.0, None
         self.start(*names)
         assert self.simulated_fleet.run_until(self.simulated_fleet.membership_converged, 60) is not None
-        self.simulated_fleet.call_controller("c0", "restart", None)
+        self.simulated_fleet.call_controller("c0", "begin_epoch", None)
         assert (
             self.simulated_fleet.run_until(
                 lambda: all(
@@ -188,7 +188,9 @@
 
 def test_without_voters_each_controller_has_a_permanent_even_part():
     leases = Leases("a", {"extra": 12.0, "calls": 0.0}, 4, False, 0)
-    assert leases.part(5, "extra") == 3.0 and leases.part(5, "calls") is None and leases.next_at() is None
+    assert (
+        leases.part(5, "extra") == 3.0 and leases.part(5, "calls") is None and leases.next_tick_at() is None
+    )
 
 
 def test_max_min_shares_are_even_and_none_exceeds_its_demand_while_others_want_more():
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -47,8 +47,8 @@
             self.now += SECOND // 4
             for name, member in list(self.running.items()):
                 member.tick(self.now, self.alive(name))
-                self.sent[name] += len(member.out)
-                messages, member.out = member.out, []
+                self.sent[name] += len(member.outbox)
+                messages, member.outbox = member.outbox, []
                 for to, message in messages:
                     if to in self.running and not self.is_cut(name, to) and self.random.random() >= self.loss:
                         self.running[to].heard(self.now, name, message)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -298,7 +298,7 @@
                         answers,
                     )
 
-                front.controller.warm._make_message = false_message
+                front.controller.observations._make_message = false_message
 
         world._kill = kill
         world.run()
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -16,13 +16,13 @@
     controller."""
     service = testbed.service
     fleet = SimpleNamespace(
-        me="c0",
-        loads=Loads("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
-        shed=None,
-        known={"c0"},
-        voters=[],
-        members=SimpleNamespace(alive=lambda: []),
-        follower=SimpleNamespace(state={"map": {}}),
+        own_name="c0",
+        load_reports=Loads("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
+        shedding=None,
+        configured_names={"c0"},
+        voter_names=[],
+        membership=SimpleNamespace(alive_names=lambda: []),
+        committed_log=SimpleNamespace(state={"map": {}}),
     )
     surge = Surge(fleet, service.core_runner, service.core.deployment.plans)
     core_watch = service.core.watch
@@ -32,7 +32,7 @@
         surge.watch(event, playback, **facts)
 
     service.core.watch, service.front.sheds, service.front.refused = watch, surge.sheds, surge.gate
-    fleet.loads.decided(service.clock.now(), level)
+    fleet.load_reports.decided(service.clock.now(), level)
     return surge, fleet
 
 
@@ -49,7 +49,7 @@
     assert surge.order == ["free", "seated", "paid"]
     assert [(await testbed.request_playback(t))[0] for t in ("clip", "lesson")] == [200, 200]
     held_before = len(testbed.service.core.playbacks)
-    fleet.loads.decided(testbed.service.clock.now(), 1.0)
+    fleet.load_reports.decided(testbed.service.clock.now(), 1.0)
     attempts_before = len(testbed.streamer_events("try"))
     code, headers, *_ = await testbed.request_playback("clip")
     assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with the time to come back"
@@ -70,7 +70,7 @@
 async def test_without_overload_no_viewer_is_shed_and_a_level_that_is_no_longer_reported_expires(testbed):
     surge, fleet = add_surge(testbed)
     assert not any(surge.sheds(plan, f"v{n}", "title x") for plan in surge.order for n in range(50))
-    fleet.loads.level = 3.0, "c9", testbed.service.clock.now() - REPORT_LIFETIME_NS - 1
+    fleet.load_reports.level = 3.0, "c9", testbed.service.clock.now() - REPORT_LIFETIME_NS - 1
     assert surge.level() == 0 and not surge.sheds("free", "v1", "title x")
     assert (await testbed.request_playback("clip"))[0] == 200
 
@@ -108,7 +108,7 @@
 async def test_viewers_of_a_capped_title_are_shed_and_told_to_come_back_when_the_fleet_has_capacity(testbed):
     surge, fleet = add_surge(testbed)
     now = testbed.service.clock.now()
-    fleet.loads.decided(now, 0.0, {"title clip": 1.0})
+    fleet.load_reports.decided(now, 0.0, {"title clip": 1.0})
     surge.told = None, {}, (10**9, 2 * 10**9)
     answers = [(await testbed.request_playback("clip"))[:2] for _ in range(12)]
     assert {code for code, _ in answers} == {503} and {h["Retry-After"] for _, h in answers} == {"1", "2"}
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -49,7 +49,7 @@
 
     def deliver_all(self):
         """Delivers all messages that wait, until no more come."""
-        while moved := [(who, *store.out.pop(0)) for who, store in self.stores.items() if store.out]:
+        while moved := [(who, *store.outbox.pop(0)) for who, store in self.stores.items() if store.outbox]:
             for who, to, message in moved:
                 if isinstance(message, ObservationsRequest):
                     self.stores[to].asked(self.now, who)
@@ -141,7 +141,7 @@
         for who, store in fleet.stores.items():
             if who not in old:
                 store.tick(fleet.now, [n for n in fleet.stores if n != who])
-                for to, m in store.out:
+                for to, m in store.outbox:
                     asked[to] += isinstance(m, ObservationsRequest)
         before = {n: fleet.stores[n].responses_sent for n in old}
         fleet.deliver_all()
@@ -181,7 +181,7 @@
     """Returns the sum of all shares; `views`: name -> (its Ranks, its state, age of the state in ns)."""
     total = 0.0
     for name, (ranks, seen, age) in views.items():
-        found = ranks.turn(at, seen, name, age)
+        found = ranks.slow_start_share(at, seen, name, age)
         if found is not None and found[1] is not None:
             total += 1 / found[1][1]
     return total
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -123,11 +123,13 @@
     assert not site.go(15, lambda: site.taken_down_at), "taken down while c5 could still have placed there"
     assert site.go(30, lambda: site.taken_down_at)
     assert site.simulated_fleet.now - began > work.LIMIT and not site.wrong
-    assert not site.simulated_fleet.controllers[cut].off(site.simulated_fleet.now)[1], (
+    assert not site.simulated_fleet.controllers[cut].exclusions(site.simulated_fleet.now)[1], (
         "it no longer places on anything"
     )
     site.simulated_fleet.drops_message = lambda a, b: False
-    assert site.go(60, site.done) and site.simulated_fleet.controllers[cut].off(site.simulated_fleet.now) == (
+    assert site.go(60, site.done) and site.simulated_fleet.controllers[cut].exclusions(
+        site.simulated_fleet.now
+    ) == (
         set(),
         True,
     )
@@ -140,11 +142,11 @@
     site.simulated_fleet.start("c4")
     site.attach("c4")
     site.simulated_fleet.run(5)
-    assert site.simulated_fleet.controllers["c4"].off(site.simulated_fleet.now) == (set(), False)
+    assert site.simulated_fleet.controllers["c4"].exclusions(site.simulated_fleet.now) == (set(), False)
     site.simulated_fleet.drops_message = lambda a, b: False
     assert (
         site.simulated_fleet.run_until(
-            lambda: site.simulated_fleet.controllers["c4"].off(site.simulated_fleet.now)[1], 20
+            lambda: site.simulated_fleet.controllers["c4"].exclusions(site.simulated_fleet.now)[1], 20
         )
         is not None
     )
@@ -164,7 +166,9 @@
     def record_view(to, packet):
         arrive(to, packet)
         if to == "c5":
-            placement_views.append(site.simulated_fleet.controllers["c5"].off(site.simulated_fleet.now))
+            placement_views.append(
+                site.simulated_fleet.controllers["c5"].exclusions(site.simulated_fleet.now)
+            )
 
     site.simulated_fleet._deliver = record_view
     site.simulated_fleet.resume("c5")
@@ -173,7 +177,10 @@
     )
     assert (
         site.simulated_fleet.run_until(
-            lambda: site.simulated_fleet.controllers["c5"].off(site.simulated_fleet.now) == ({"s3"}, True), 10
+            lambda: (
+                site.simulated_fleet.controllers["c5"].exclusions(site.simulated_fleet.now) == ({"s3"}, True)
+            ),
+            10,
         )
         is not None
     )
@@ -183,18 +190,18 @@
     site = Site(seed=8)
     lead, simulated_fleet = site.simulated_fleet.controllers["c0"], site.simulated_fleet
     site.add("kernel", plan(["s0"]))
-    assert site.go(60, site.done) and lead.holds["c5"][0].work_revision > 1
+    assert site.go(60, site.done) and lead.placement_reports["c5"][0].work_revision > 1
     # its last report, from a drain that ended long ago
-    lead.holds["c5"] = PlacementReport(50, {"s0": 0}), simulated_fleet.now
+    lead.placement_reports["c5"] = PlacementReport(50, {"s0": 0}), simulated_fleet.now
     simulated_fleet.drops_message = lambda a, b: "c5" in (a, b)
-    simulated_fleet.call_controller("c0", "restart", None)
+    simulated_fleet.call_controller("c0", "begin_epoch", None)
     assert (
         simulated_fleet.run_until(lambda: simulated_fleet.controllers["c4"].committed_log.epoch[0] == 2, 20)
         is not None
     )
     late = messages.encode("arena", "c5", "c0", PlacementReport(50, {"s0": 0}), 1, 20, 0)
     simulated_fleet._deliver("c0", late)
-    assert "c5" not in lead.holds
+    assert "c5" not in lead.placement_reports
     site.taken_down_at.clear()
     site.add("again", plan(["s0"]))
     assert not site.go(15, lambda: site.taken_down_at), "c5 has not heard of this drain"
@@ -251,7 +258,7 @@
         }
     }
     observed = make_observations()
-    observed.holds = {"c0": (PlacementReport(1, {"s0": 9, "s1": 2}), 0)}
+    observed.placement_reports = {"c0": (PlacementReport(1, {"s0": 9, "s1": 2}), 0)}
     scheduler = Work()
     [(id, _)] = scheduler.steps(0, state, observed)
     assert id == "work/s1/p/1/1" and scheduler.why["s0"] == "s1 goes first"
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -42,7 +42,7 @@
 
 def with_reports(observed, now=0, **reports):
     """Set the controllers' placement reports, received at `now`, in `observed`, and return it."""
-    observed.holds = {name: (report, now) for name, report in reports.items()}
+    observed.placement_reports = {name: (report, now) for name, report in reports.items()}
     return observed
 
 
@@ -72,7 +72,7 @@
     scheduler = Work()
     changes = next_states(scheduler, 0, make_state({"s0": (State.WAITING, {})}, {"p": value}), observed)
     assert (changes, scheduler.why["s0"]) == (({}, why) if why else ({"s0": State.TOLD.value}, ""))
-    alone = with_reports(make_observations(), c2=observed.holds["c2"][0])
+    alone = with_reports(make_observations(), c2=observed.placement_reports["c2"][0])
     alone.members = frozenset({"c0", "c1", "c2"})
     assert "no majority of the controllers has reported its clock yet" in scheduler.plan_hold_reason(
         0, {**value, "paused": False}, alone
@@ -254,7 +254,7 @@
     def restart_permitted_controllers():
         for name in CONTROLLER_NAMES:
             c = simulated_fleet.controllers.get(name)
-            if c and f"controller:{name}" in c.off(simulated_fleet.now)[0]:
+            if c and f"controller:{name}" in c.exclusions(simulated_fleet.now)[0]:
                 site.playbacks[name] = []
                 if (
                     simulated_fleet.now - told_at.setdefault(name, simulated_fleet.now) > 3 * SECOND
