--- a/benchmarks/work.py
+++ b/benchmarks/work.py
@@ -31,7 +31,7 @@
     # a playback lasts 1 to 4 s here, and the worker holds a machine for 2 s
     least = 4 + 2 + WARM
     bound = math.ceil(streamers / min(most, racks * value["most_rack"])) * least
-    entries = work.rev(simulated_fleet.controllers[names[-1]].committed_log.state)
+    entries = work.current_revision(simulated_fleet.controllers[names[-1]].committed_log.state)
     return {
         "controllers": controllers,
         "streamers": streamers,
--- a/terndrift/audit/fleet.py
+++ b/terndrift/audit/fleet.py
@@ -4,7 +4,7 @@
 
 from terndrift.audit.judge import APART, controller_of
 from terndrift.audit.seconds import played
-from terndrift.fleet.work import ROUTES, State
+from terndrift.fleet.work import TRANSITIONS, WorkState
 
 SECOND = 1_000_000_000
 # A death told so long after the last disturbance of either side is told of one who was there and could be
@@ -111,7 +111,9 @@
 
 def _follows(log):
     steps = zip(log, log[1:], strict=False)
-    return log[0] == State.WAITING.value and all(State(b) in ROUTES[State(a)] for a, b in steps)
+    return log[0] == WorkState.WAITING.value and all(
+        WorkState(b) in TRANSITIONS[WorkState(a)] for a, b in steps
+    )
 
 
 def disturbances(facts):
--- a/terndrift/cli/timeline.py
+++ b/terndrift/cli/timeline.py
@@ -1,18 +1,18 @@
 """A time line of planned work, by rack: PNG, matplotlib."""
 
-from terndrift.fleet.work import State
+from terndrift.fleet.work import WorkState
 
 COLOURS = {
-    State.WAITING: "#dddddd",
-    State.TOLD: "#f0c36d",
-    State.EMPTY: "#e69138",
-    State.OUT: "#cc4125",
-    State.OVERDUE: "#7f0000",
-    State.BACK: "#6fa8dc",
-    State.WARMING: "#a4c2f4",
-    State.DONE: "#6aa84f",
-    State.GIVEN_BACK: "#b4a7d6",
-    State.FOUND: "#000000",
+    WorkState.WAITING: "#dddddd",
+    WorkState.DRAINING: "#f0c36d",
+    WorkState.DRAINED: "#e69138",
+    WorkState.OUT: "#cc4125",
+    WorkState.OVERDUE: "#7f0000",
+    WorkState.RETURNING: "#6fa8dc",
+    WorkState.WARMING_UP: "#a4c2f4",
+    WorkState.DONE: "#6aa84f",
+    WorkState.GIVEN_BACK: "#b4a7d6",
+    WorkState.OUT_IN_EARLIER_EPOCH: "#000000",
 }
 
 
@@ -33,7 +33,7 @@
                 (until - since) / 1000,
                 left=(since - begin) / 1000,
                 height=0.8,
-                color=COLOURS[State(state)],
+                color=COLOURS[WorkState(state)],
             )
     axes.set_yticks(range(len(names)), [f"{racks.get(m, '?')}  {m}" for m in names], fontsize=7)
     axes.set_xlabel("s")
--- a/terndrift/cli/work.py
+++ b/terndrift/cli/work.py
@@ -11,7 +11,7 @@
 from terndrift.cli.stored import address, ask, fail, shown
 from terndrift.fleet import work as agreed
 from terndrift.fleet.room import CONTROLLER, Machine
-from terndrift.fleet.work import State
+from terndrift.fleet.work import WorkState
 
 TRIES = 5  # an act is worked out anew if another one was agreed meanwhile
 # s for which what does not fit is read anew: a controller asks for what is agreed every 2 s at the latest.
@@ -113,15 +113,15 @@
     def made(state, found):
         machines = machines_of(found)
         value = {**make(state), "machines": expanded(names, machines)}
-        never = agreed.never(value, machines)
-        left = [line for line in never if not any(line.startswith(f"{a}: ") for a in allow)]
+        impossible = agreed.impossible_machines(value, machines)
+        left = [line for line in impossible if not any(line.startswith(f"{a}: ") for a in allow)]
         if left:
             fail("this plan could never go on:\n" + "\n".join(left), 2)
         value["machines"] = [m for m in value["machines"] if m not in allow]
-        if taken := agreed.busy(state, value["machines"]):
+        if taken := agreed.names_in_active_plans(state, value["machines"]):
             raise Unfit(f"already in another plan: {', '.join(taken)}")
         wanted.append(len(value["machines"]))
-        return agreed.added(state, value, name, who(), wall())
+        return agreed.propose_plan(state, value, name, who(), wall())
 
     wanted = []
     act(admin, made)
@@ -145,7 +145,7 @@
     name = value.pop("name")
 
     def make(state):
-        if name in agreed.plans(state):
+        if name in agreed.plans_by_name(state):
             fail(f"there is a plan '{name}' already; `work add` puts more machines into it", 2)
         return value
 
@@ -153,7 +153,7 @@
 
 
 def _known(state, name):
-    found = agreed.plans(state).get(name)
+    found = agreed.plans_by_name(state).get(name)
     if found is None:
         raise Unfit(f"no plan '{name}'")
     return found
@@ -171,12 +171,12 @@
 
 def marked(admin, machine, to):
     def make(state, found):
-        row = agreed.rows(state).get(machine)
+        row = agreed.machine_rows(state).get(machine)
         if row is None:
             raise Unfit(f"no plan names '{machine}'")
-        if to not in agreed.ROUTES[State(row["state"])]:
+        if to not in agreed.TRANSITIONS[WorkState(row["state"])]:
             raise Unfit(f"{machine} is {row['state']}; it can't become {to.value} from there")
-        return agreed.step(agreed.rev(state), machine, row, to, who(), wall())
+        return agreed.propose_step(agreed.current_revision(state), machine, row, to, who(), wall())
 
     act(admin, make)
     click.echo(f"{machine}: {to.value}")
@@ -187,7 +187,7 @@
 @click.argument("machine")
 def done(admin, machine):
     """The work on MACHINE is done; it is taken back once the list says that it is ready."""
-    marked(admin, machine, State.BACK)
+    marked(admin, machine, WorkState.RETURNING)
 
 
 @work.command("give-back")
@@ -196,23 +196,23 @@
 def give_back(admin, machine):
     """MACHINE stays in service after all; not once it may be touched: then it is `done`. One that is overdue
     or was found out is left to what the list says of it."""
-    marked(admin, machine, State.GIVEN_BACK)
+    marked(admin, machine, WorkState.GIVEN_BACK)
 
 
 def _plan(admin, name, change):
     def make(state, _):
-        r = agreed.rev(state)
+        r = agreed.current_revision(state)
         value = {
-            "?": {agreed.REV: r},
-            agreed.REV: r + 1,
+            "?": {agreed.REVISION_KEY: r},
+            agreed.REVISION_KEY: r + 1,
             f"work/plan/{name}": {**_known(state, name), **change, "by": who(), "at": wall()},
         }
         if change.get("withdrawn"):
-            for machine, row in agreed.rows(state).items():
-                here = State(row["state"])
-                back = State.GIVEN_BACK in agreed.ROUTES[here] and here is not State.OVERDUE
+            for machine, row in agreed.machine_rows(state).items():
+                here = WorkState(row["state"])
+                back = WorkState.GIVEN_BACK in agreed.TRANSITIONS[here] and here is not WorkState.OVERDUE
                 if row["plan"] == name and back:
-                    _, one = agreed.step(r, machine, row, State.GIVEN_BACK, who(), wall())
+                    _, one = agreed.propose_step(r, machine, row, WorkState.GIVEN_BACK, who(), wall())
                     value[f"work/m/{machine}"] = one[f"work/m/{machine}"]
         return f"work/plan/{name}/{r}", value
 
@@ -244,7 +244,7 @@
 
 
 def listed(found):
-    table = agreed.rows({"map": found["map"]})
+    table = agreed.machine_rows({"map": found["map"]})
     out = [("machine", "plan", "state", "step", "by", "likely in s", "waits for")]
     for m, r in sorted(table.items()):
         likely = found["likely_s"].get(m)
@@ -279,8 +279,8 @@
         if plain:
             state = {"map": found["map"]}
             value = {
-                "machines": agreed.rows(state),
-                "plans": agreed.plans(state),
+                "machines": agreed.machine_rows(state),
+                "plans": agreed.plans_by_name(state),
                 "why": found["why"],
                 "likely_s": found["likely_s"],
                 "left": found["left"],
@@ -311,7 +311,9 @@
         {
             "name": name,
             **found,
-            "steps": {m: r["log"] for m, r in sorted(agreed.rows(state).items()) if r["plan"] == name},
+            "steps": {
+                m: r["log"] for m, r in sorted(agreed.machine_rows(state).items()) if r["plan"] == name
+            },
         },
     )
 
@@ -323,7 +325,7 @@
 def report(admin, out, plain):
     """How long each machine was in each state, by rack, and when; clocks are those of who took the steps."""
     found = got(admin, "/fleet/work")
-    spans = agreed.spans({"map": found["map"]}, wall())
+    spans = agreed.state_spans({"map": found["map"]}, wall())
     racks = {
         m: f"rack {row['rack']}" if not m.startswith(CONTROLLER) else "controllers"
         for m, row in found["machines"].items()
@@ -343,13 +345,13 @@
     lines = [("machine", "of", "drained s", "out s", "back s", "now")]
     for m, parts in sorted(spans.items(), key=lambda x: (racks.get(x[0], "?"), x[0])):
         took = {state: sum(b - a for s, a, b in parts if s == state) / 1000 for state, _, _ in parts}
-        back = took.get(State.BACK.value, 0) + took.get(State.WARMING.value, 0)
-        outside = took.get(State.OUT.value, 0) + took.get(State.OVERDUE.value, 0)
+        back = took.get(WorkState.RETURNING.value, 0) + took.get(WorkState.WARMING_UP.value, 0)
+        outside = took.get(WorkState.OUT.value, 0) + took.get(WorkState.OVERDUE.value, 0)
         lines.append(
             (
                 m,
                 racks.get(m, "?"),
-                round(took.get(State.TOLD.value, 0), 1),
+                round(took.get(WorkState.DRAINING.value, 0), 1),
                 round(outside, 1),
                 round(back, 1),
                 parts[-1][0],
@@ -365,7 +367,7 @@
 def why(admin, machine):
     """What MACHINE waits for, in a sentence."""
     found = got(admin, "/fleet/work")
-    row = agreed.rows({"map": found["map"]}).get(machine)
+    row = agreed.machine_rows({"map": found["map"]}).get(machine)
     if row is None:
         fail(f"no plan names '{machine}'", 2)
     waits = found["why"].get(machine) or ("" if found["leads"] else f"ask the leader, {found['leader']}")
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -29,7 +29,7 @@
 from terndrift.fleet.messages import LeaseRequest, LeaseResponse
 from terndrift.fleet.raft import ELECTION_TIMEOUT
 from terndrift.fleet.recent_counts import WINDOW_SECONDS, CountsBySecond
-from terndrift.fleet.work import DRIFT
+from terndrift.fleet.work import MAX_CLOCK_DRIFT
 
 NS_PER_MS = 1_000_000
 SECOND = 1000 * NS_PER_MS
@@ -39,7 +39,7 @@
 # Of the limit: a fifth leaves most of it to controllers with demand, and a controller that is cut off can
 # still act.
 GUARANTEED_SHARE = 0.2
-LEADER_WAIT_NS = int((ELECTION_TIMEOUT + LEASE_NS) * (1 + DRIFT)) + ELECTION_TIMEOUT // 4
+LEADER_WAIT_NS = int((ELECTION_TIMEOUT + LEASE_NS) * (1 + MAX_CLOCK_DRIFT)) + ELECTION_TIMEOUT // 4
 MAX_HOPS = 2
 # Demand is the recent use and what had to wait, times this: in a surge the parts then grow to the need
 # within two or three requests.
@@ -87,7 +87,7 @@
             part = max(0.0, min(part, self.pools[kind] - self.granted_sum(now, kind, name)))
             leases = self.granted[kind].setdefault(name, deque())
             # A smaller lease does not replace a larger one before it: the larger may be the one that arrived.
-            leases.append((part, now + int(LEASE_NS * (1 + DRIFT))))
+            leases.append((part, now + int(LEASE_NS * (1 + MAX_CLOCK_DRIFT))))
             parts[kind] = part
         return parts
 
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permits.py
@@ -35,8 +35,8 @@
 }
 # Clock seconds per true second: the leader's clock runs 2% faster than that of a; b's is between the two.
 CLOCK_RATES = {"leader": 1.02, "a": 1.0, "b": 1.01}
-# ns that pass in one step: nearly half of work.LIMIT, and about the error that drift adds to it.
-TIME_STEPS_NS = (49 * work.LIMIT // 100, 6 * SECOND // 5)
+# ns that pass in one step: nearly half of work.MAX_RECORD_AGE_NS, and about the error that drift adds to it.
+TIME_STEPS_NS = (49 * work.MAX_RECORD_AGE_NS // 100, 6 * SECOND // 5)
 FAULTS = (
     "permit before the last confirmation",
     "limit counted from when the work was planned",
@@ -47,7 +47,7 @@
 decode_message = msgspec.msgpack.Decoder(PlacementReport | PullResponse).decode
 
 
-class FaultyWork(work.Work):
+class FaultyWorkScheduler(work.WorkScheduler):
     """The leader's scheduler, with `fault` injected if it is one of the first two FAULTS."""
 
     fault, planned_at = None, 0
@@ -55,7 +55,8 @@
     def _state_after_drain(self, now, name, row, plan, observed, waited, restarted):
         if self.fault == FAULTS[0]:
             observed = replace(
-                observed, members=frozenset(list(observed.placement_reports)[:1]) or observed.members
+                observed,
+                controller_names=frozenset(list(observed.placement_reports)[:1]) or observed.controller_names,
             )
         if self.fault == FAULTS[1]:  # not from when the drain was agreed
             waited = now - self.planned_at
@@ -83,7 +84,7 @@
     """
 
     followers: dict  # "leader", "a" and "b" -> FaultyFollower
-    leader_work: FaultyWork
+    leader_scheduler: FaultyWorkScheduler
     true_time: int = 1000 * SECOND  # ns
     placement_reports: dict = field(
         default_factory=dict
@@ -101,7 +102,7 @@
 
     def machine_row(self):
         """Return the machine's row in the leader's copy of the record."""
-        return work.rows(self.followers["leader"].state)[MACHINE]
+        return work.machine_rows(self.followers["leader"].state)[MACHINE]
 
     def key(self):
         """Return the hash by which the search recognises states that it has visited."""
@@ -114,7 +115,7 @@
             self.reports_left,
             self.crashes_left,
         ]
-        parts += [tuple(sorted(self.leader_work.step_seen_at.items()))]
+        parts += [tuple(sorted(self.leader_scheduler.step_seen_at.items()))]
         parts += [
             tuple(sorted((n, msgspec.msgpack.encode(h), at) for n, (h, at) in self.placement_reports.items()))
         ]
@@ -134,7 +135,7 @@
 
     def __init__(self, fault=None, max_states=100_000, **bounds):
         self.fault, self.max_states, self.states, self.bounds = fault, max_states, 0, bounds
-        self.work_class = type("CheckedWork", (FaultyWork,), {"fault": fault})
+        self.work_class = type("CheckedWork", (FaultyWorkScheduler,), {"fault": fault})
         self.follower_class = type(
             "CheckedFollower", (FaultyFollower,), {"age_from_arrival": fault == FAULTS[2]}
         )
@@ -142,14 +143,16 @@
     def start(self):
         """Return the first world: the plan is agreed and every process knows it."""
         state = initial_state(EPOCH)
-        id, value = work.added(state, PLAN, "p", "ops")
+        id, value = work.propose_plan(state, PLAN, "p", "ops")
         apply_entry(state, 1, Entry(1, "value", id, value))
         world = World({}, self.work_class(), **self.bounds)
         for name in CLOCK_RATES:
             world.followers[name] = follower = self.follower_class(world.now(name))
             follower.load_snapshot(state)
             follower.mark_complete(world.now(name))
-        world.leader_work.planned_at = world.leader_work.step_seen_at[MACHINE, 0, 0] = world.now("leader")
+        world.leader_scheduler.planned_at = world.leader_scheduler.step_seen_at[MACHINE, 0, 0] = world.now(
+            "leader"
+        )
         return world
 
     def run(self):
@@ -176,13 +179,15 @@
             yield f"{message[1]} to {message[0]}: arrives", lambda m=message: self.deliver(world, m)
         if world.crashes_left:
             new_work, crashes_left = self.work_class(), world.crashes_left - 1
-            new_work.planned_at = world.leader_work.planned_at
+            new_work.planned_at = world.leader_scheduler.planned_at
             yield (
                 "another controller leads",
                 lambda: [
                     (
                         "",
-                        replace(world, leader_work=new_work, placement_reports={}, crashes_left=crashes_left),
+                        replace(
+                            world, leader_scheduler=new_work, placement_reports={}, crashes_left=crashes_left
+                        ),
                     )
                 ],
             )
@@ -194,10 +199,13 @@
         follower, now = world.followers[name], world.now(name)
         if world.pulls_left:
             yield f"{name} pulls", lambda: self.pull(world, name)
-        drained, may_place = work.told_off(follower.state), work.may_place(follower.age(now))
+        drained, may_place = (
+            work.names_without_placement(follower.state),
+            work.is_fresh_enough_to_place(follower.age(now)),
+        )
         if drained and world.reports_left:
             counts = {m: int(name in world.playing) for m in drained}
-            data = msgspec.msgpack.encode(PlacementReport(work.rev(follower.state), counts))
+            data = msgspec.msgpack.encode(PlacementReport(work.current_revision(follower.state), counts))
             yield (
                 f"{name} reports",
                 lambda: [
@@ -237,7 +245,7 @@
 
     def has_permit(self, world):
         """Whether workers may take the machine down now."""
-        return work.State(world.machine_row()["state"]) in (work.State.OUT, work.State.OVERDUE)
+        return work.WorkState(world.machine_row()["state"]) in (work.WorkState.OUT, work.WorkState.OVERDUE)
 
     def place(self, world, name):
         """A controller places on the machine; raises InvariantViolationError if there is a permit."""
@@ -295,21 +303,25 @@
 
         Its proposals are agreed at once, as the record has its own checker, `terndrift.fleet.model_checker`.
         """
-        leader_work, follower, now = (
-            copy_node(world.leader_work),
+        leader_scheduler, follower, now = (
+            copy_node(world.leader_scheduler),
             copy_node(world.followers["leader"]),
             world.now("leader"),
         )
-        observed = work.Seen(
+        observed = work.WorkObservations(
             {MACHINE: Machine(MACHINE, 0, "", 1.0, True, 0)}, frozenset("ab"), world.placement_reports
         )
-        while steps := leader_work.steps(now, follower.state, observed):
+        while steps := leader_scheduler.next_proposals(now, follower.state, observed):
             for id, value in steps:
                 follower.apply_committed(Entry(1, "value", id, value))
         follower.newly_committed = []
         return [
             (
                 "",
-                replace(world, leader_work=leader_work, followers={**world.followers, "leader": follower}),
+                replace(
+                    world,
+                    leader_scheduler=leader_scheduler,
+                    followers={**world.followers, "leader": follower},
+                ),
             )
         ]
--- a/terndrift/fleet/ranks.py
+++ b/terndrift/fleet/ranks.py
@@ -7,9 +7,11 @@
 Each of the n controllers that share the pace takes 1/n. Who shares is an entry of the record; it has the
 names of the controllers and those of the entry before. The rules:
 
-- A controller whose state of the record is older than LIMIT, or that has none yet, takes no share.
-- For TRANSITION_NS after it first saw an entry, a controller that the previous entry named uses the longer of
-  the two lists; TRANSITION_NS covers LIMIT on any controller's clock. After that it uses the current names.
+- A controller whose state of the record is older than MAX_RECORD_AGE_NS, or that has none yet, takes no
+share. - For TRANSITION_NS after it first saw an entry, a controller that the previous entry named uses the
+longer of
+  the two lists; TRANSITION_NS covers MAX_RECORD_AGE_NS on any controller's clock. After that it uses the
+  current names.
 - A controller that the previous entry didn't name takes no share during that time.
 - A name is removed only after the controller was missing for TRANSITION_NS. An entry follows another after
   2 TRANSITION_NS; the last one of a series has equal lists, so that a restarted controller need not wait.
@@ -21,10 +23,15 @@
 no current state. tests/test_warm.py checks combinations of views.
 """
 
-from terndrift.fleet.work import DRIFT, LIMIT, NOTICED, may_place
+from terndrift.fleet.work import (
+    MAX_CLOCK_DRIFT,
+    MAX_DETECTION_DELAY_NS,
+    MAX_RECORD_AGE_NS,
+    is_fresh_enough_to_place,
+)
 
 RECORD_KEY = "ranks"
-TRANSITION_NS = int(LIMIT * (1 + DRIFT)) + NOTICED
+TRANSITION_NS = int(MAX_RECORD_AGE_NS * (1 + MAX_CLOCK_DRIFT)) + MAX_DETECTION_DELAY_NS
 
 
 class Ranks:
@@ -74,8 +81,12 @@
         """
         self.look(now, state)
         row = state["map"].get(RECORD_KEY)
-        if row is None or not may_place(state_age):
-            return None if row is None and may_place(state_age) and state["epoch"][0] == 1 else (None, None)
+        if row is None or not is_fresh_enough_to_place(state_age):
+            return (
+                None
+                if row is None and is_fresh_enough_to_place(state_age) and state["epoch"][0] == 1
+                else (None, None)
+            )
         names, before = row["names"], row["before"]
         sharing = names
         if now - self.entry_seen_at < TRANSITION_NS:
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -30,7 +30,7 @@
 from terndrift.fleet.site import OfLate
 from terndrift.fleet.stages import HOLDS, Return
 from terndrift.fleet.surge import LOOKS
-from terndrift.fleet.work import REV
+from terndrift.fleet.work import REVISION_KEY
 from terndrift.http.client import Broken, Pool, Unreached, fetch
 from terndrift.http.server import Server
 from terndrift.store.commit import Committer
@@ -200,7 +200,7 @@
         controller.membership.standing_changes.clear()
         for index, entry in controller.committed_log.newly_committed:
             self.log.debug("agreed", index=index, kind=entry.kind, id=entry.id)
-            if entry.kind == "value" and REV in entry.value:
+            if entry.kind == "value" and REVISION_KEY in entry.value:
                 self.worked.set()
         controller.committed_log.newly_committed.clear()
         if (is_cut_off := controller.cut_off_for(now) > 0) != self.logged_cut_off:
@@ -512,10 +512,12 @@
             "map": {key: row for key, row in state["map"].items() if key.startswith("work/")},
             "age_s": None if age is None else age / SECOND,
             "machines": machines,
-            "why": controller.work.why if leads else {},
+            "why": controller.work_scheduler.hold_reasons if leads else {},
             "leader": controller.leader(),
             "leads": leads,
-            "likely_s": controller.work.likely(self.clock.now(), state, controller.work_view())
+            "likely_s": controller.work_scheduler.estimate_starts(
+                self.clock.now(), state, controller.work_view()
+            )
             if leads
             else {},
             "left": sorted(controller.out_in_earlier_epoch),
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -11,7 +11,7 @@
 from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet.membership import Standing
 from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
-from terndrift.fleet.work import LIMIT, may_place
+from terndrift.fleet.work import MAX_RECORD_AGE_NS, is_fresh_enough_to_place
 
 # Mean rate of bytes that saving may write to the disk, and the least time between saves.
 SAVE_BYTES_PER_SECOND, MIN_SAVE_INTERVAL_NS = 4096, 10 * SECOND
@@ -167,5 +167,5 @@
         wall = self.clock.to_wall_ns(now)
         self.store.restore(now, wall, kept.rows)
         age = None if kept.age is None else kept.age + wall - kept.at
-        if kept.turn and wall >= kept.at and may_place(age):
-            self.restored_share = tuple(kept.turn), now + LIMIT - age
+        if kept.turn and wall >= kept.at and is_fresh_enough_to_place(age):
+            self.restored_share = tuple(kept.turn), now + MAX_RECORD_AGE_NS - age
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -11,7 +11,7 @@
 
 from terndrift.core.active_playback import AnswerKind, PlaybackStage
 from terndrift.fleet.room import CONTROLLER, Machine
-from terndrift.fleet.work import plans, restarts, rows
+from terndrift.fleet.work import machine_rows, plans_by_name, should_restart
 from terndrift.interface import Ending
 from terndrift.listing.lines import worst
 
@@ -218,7 +218,7 @@
             self.drains = drains
             self.set_draining(drains)
         self._end_overdue_playbacks(now, draining)
-        if not self.stopping and restarts(
+        if not self.stopping and should_restart(
             self.controller.committed_log.state, self.machine_name, self.controller.membership.run
         ):
             self.stopping = True
@@ -231,7 +231,7 @@
         that their viewers do not reach the other controllers in one wave.
         """
         state = self.controller.committed_log.state
-        table, plans_by_name = rows(state), plans(state)
+        table, plans_by_name = machine_rows(state), plans_by_name(state)
         drains = {(name, table[name]["n"]) for name in draining if name in table}
         self.drains_seen_at = {key: self.drains_seen_at.get(key, now) for key in drains}
         overdue = set()
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -10,7 +10,7 @@
 from terndrift.fleet import work
 from terndrift.fleet.room import Machine
 from terndrift.fleet.simulated_fleet import SimulatedFleet
-from terndrift.fleet.work import State
+from terndrift.fleet.work import WorkState
 
 SECOND = 1_000_000_000
 CONTROLLER_NAMES = [f"c{n}" for n in range(6)]
@@ -90,13 +90,15 @@
         }
 
     def states(self, through=None):
-        """Return {machine: State} by one controller's copy of the record, by default the last one's."""
-        rows = work.rows(self.simulated_fleet.controllers[through or self.names[-1]].committed_log.state)
-        return {m: State(row["state"]) for m, row in rows.items()}
+        """Return {machine: WorkState} by one controller's copy of the record, by default the last one's."""
+        rows = work.machine_rows(
+            self.simulated_fleet.controllers[through or self.names[-1]].committed_log.state
+        )
+        return {m: WorkState(row["state"]) for m, row in rows.items()}
 
     def add(self, name, value, through="c4"):
         """Propose a plan through a controller and wait until it is applied there."""
-        id, entry_value = work.added(
+        id, entry_value = work.propose_plan(
             self.simulated_fleet.controllers[through].committed_log.state, value, name, "ops"
         )
         self.simulated_fleet.call_controller(through, "propose", id, entry_value)
@@ -145,8 +147,8 @@
                 self.last_read[name] = c.committed_log.last_index
                 permits |= {
                     (m, row["n"])
-                    for m, row in work.rows(c.committed_log.state).items()
-                    if row["state"] == State.OUT.value and m in self.standing
+                    for m, row in work.machine_rows(c.committed_log.state).items()
+                    if row["state"] == WorkState.OUT.value and m in self.standing
                 }
         permits -= self.taken_down_at.keys()
         for machine, n in sorted(permits):
@@ -170,4 +172,4 @@
     def done(self):
         """Whether the work on all machines of all plans has ended."""
         states = self.states()
-        return bool(states) and all(s in work.ENDED for s in states.values())
+        return bool(states) and all(s in work.ENDED_STATES for s in states.values())
--- a/terndrift/rehearse/working.py
+++ b/terndrift/rehearse/working.py
@@ -69,18 +69,22 @@
         }
 
         def handed_over(state):
-            return None if work.plans(state) else work.added(state, plan, "rehearsed", "runner", _wall())
+            return (
+                None
+                if work.plans_by_name(state)
+                else work.propose_plan(state, plan, "rehearsed", "runner", _wall())
+            )
 
         await self._propose(handed_over)
         touching, table = [], {}
         while not self._late():
-            table = work.rows(await self._state()) or table
+            table = work.machine_rows(await self._state()) or table
             for name, row in table.items():
-                if row["state"] == work.State.OUT.value and name not in self.out:
+                if row["state"] == work.WorkState.OUT.value and name not in self.out:
                     self.out[name] = row["n"]
                     touching.append(asyncio.ensure_future(self._touched(name)))
             if len(table) == len(plan["machines"]) and all(
-                work.State(row["state"]) in work.ENDED for row in table.values()
+                work.WorkState(row["state"]) in work.ENDED_STATES for row in table.values()
             ):
                 break
             await asyncio.sleep(LOOK)
@@ -93,10 +97,12 @@
         await self._touch(name)
 
         def done(state):
-            row = work.rows(state).get(name)
-            if row is None or work.State.BACK not in work.ROUTES[work.State(row["state"])]:
+            row = work.machine_rows(state).get(name)
+            if row is None or work.WorkState.RETURNING not in work.TRANSITIONS[work.WorkState(row["state"])]:
                 return None  # its own start has told already
-            return work.step(work.rev(state), name, row, work.State.BACK, "runner", _wall())
+            return work.propose_step(
+                work.current_revision(state), name, row, work.WorkState.RETURNING, "runner", _wall()
+            )
 
         await self._propose(done)
 
@@ -150,8 +156,8 @@
             if self._late():
                 break
             await asyncio.gather(*(self._by_hand(name) for name in group))
-            states.update(dict.fromkeys(group, work.State.DONE.value))
-        return {name: states.get(name, work.State.WAITING.value) for name in streamers + controllers}
+            states.update(dict.fromkeys(group, work.WorkState.DONE.value))
+        return {name: states.get(name, work.WorkState.WAITING.value) for name in streamers + controllers}
 
     async def _by_hand(self, name):
         if controller_named(name) is None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -188,7 +188,7 @@
 
     from terndrift.fleet.member import Controller
     from terndrift.fleet.sight import Kept, Sight
-    from terndrift.fleet.work import LIMIT
+    from terndrift.fleet.work import MAX_RECORD_AGE_NS
 
     def sight(at, kept):
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
@@ -214,7 +214,7 @@
     kept = Kept(1000 * SECOND, [], (1, 2), 2 * SECOND)
     assert sight(1000 * SECOND, None) == (2, None), "no state yet, so it has no share"
     assert sight(1017 * SECOND, kept) == (2, (1, 2))
-    for at in (1000 * SECOND + LIMIT - 2 * SECOND, 999 * SECOND):  # state too old; clock set back
+    for at in (1000 * SECOND + MAX_RECORD_AGE_NS - 2 * SECOND, 999 * SECOND):  # state too old; clock set back
         assert sight(at, kept) == (2, None)
 
 
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -7,7 +7,7 @@
 from terndrift.fleet.messages import Observations, ObservationsRequest
 from terndrift.fleet.ranks import RECORD_KEY, TRANSITION_NS, Ranks
 from terndrift.fleet.warm import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
-from terndrift.fleet.work import LIMIT
+from terndrift.fleet.work import MAX_RECORD_AGE_NS
 
 WARM_UP_NS = 8 * SECOND
 
@@ -196,7 +196,9 @@
     pairs = [("abcdef", "abcd"), ("abcd", "abcdef"), ("abcd", "abef"), ("ab", "abcdef"), ("abcde", "abf")]
     for before, names in pairs:
         old, new = state((before, before)), state((before, before), (names, before))
-        for seen_at in itertools.product((0, LIMIT - SECOND, None, "restarted"), repeat=len(controllers)):
+        for seen_at in itertools.product(
+            (0, MAX_RECORD_AGE_NS - SECOND, None, "restarted"), repeat=len(controllers)
+        ):
             if seen_at.count("restarted") > 2:
                 continue
             views, at = {n: Ranks() for n in controllers}, START
@@ -205,11 +207,11 @@
             for passed in (
                 0,
                 SECOND,
-                LIMIT - 1,
-                LIMIT,
+                MAX_RECORD_AGE_NS - 1,
+                MAX_RECORD_AGE_NS,
                 TRANSITION_NS - 1,
                 TRANSITION_NS,
-                LIMIT + TRANSITION_NS,
+                MAX_RECORD_AGE_NS + TRANSITION_NS,
                 2 * TRANSITION_NS,
             ):
                 now, here = at + passed, {}
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -10,7 +10,7 @@
 from terndrift.fleet.messages import PlacementReport
 from terndrift.fleet.raft import Role
 from terndrift.fleet.room import Machine, WorkBudget
-from terndrift.fleet.work import Seen, State, Work
+from terndrift.fleet.work import WorkObservations, WorkScheduler, WorkState
 from terndrift.fleet.yard import SECOND, Site, plan
 
 
@@ -19,7 +19,7 @@
     site.add("kernel", plan(site.standing))
     assert site.go(240, site.done)
     assert not site.wrong and site.most_out <= 2 and len(site.taken_down_at) == 8
-    assert set(site.states().values()) == {State.DONE} and site.placement_count > 200
+    assert set(site.states().values()) == {WorkState.DONE} and site.placement_count > 200
 
 
 SIMULATION_SCRIPT = """
@@ -61,7 +61,14 @@
     return site.simulated_fleet.leaders()[0]
 
 
-STEPS = [State.TOLD, State.EMPTY, State.OUT, State.BACK, State.WARMING, State.DONE]
+STEPS = [
+    WorkState.DRAINING,
+    WorkState.DRAINED,
+    WorkState.OUT,
+    WorkState.RETURNING,
+    WorkState.WARMING_UP,
+    WorkState.DONE,
+]
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -95,16 +102,16 @@
     site.add("kernel", plan(["s0", "s1"], most=1))
     assert site.go(300, site.done) and len(killed) == 1
     assert not site.wrong and site.most_out == 1 and len(site.taken_down_at) == 2
-    revision = work.rev(simulated_fleet.controllers["c5"].committed_log.state)
+    revision = work.current_revision(simulated_fleet.controllers["c5"].committed_log.state)
     assert revision == 1 + 2 * len(STEPS), "a step was taken twice, or skipped"
-    for row in work.rows(simulated_fleet.controllers["c5"].committed_log.state).values():
+    for row in work.machine_rows(simulated_fleet.controllers["c5"].committed_log.state).values():
         assert [s for s, _, _ in row["log"]] == ["waiting", *(s.value for s in STEPS)]
 
 
 def test_paused_leader_that_resumes_with_stale_state_changes_nothing():
     site = Site(seed=3)
     site.add("kernel", plan(site.standing))
-    assert site.go(60, lambda: State.TOLD in site.states().values())
+    assert site.go(60, lambda: WorkState.DRAINING in site.states().values())
     old_leader = wait_for_leader(site)
     site.simulated_fleet.pause(old_leader)
     site.go(10)
@@ -119,10 +126,10 @@
     site.simulated_fleet.drops_message = lambda a, b: (a == cut) != (b == cut)
     site.add("kernel", plan(["s3"]))
     began = site.simulated_fleet.now
-    assert site.go(15, lambda: site.states("c4").get("s3") is State.TOLD)
+    assert site.go(15, lambda: site.states("c4").get("s3") is WorkState.DRAINING)
     assert not site.go(15, lambda: site.taken_down_at), "taken down while c5 could still have placed there"
     assert site.go(30, lambda: site.taken_down_at)
-    assert site.simulated_fleet.now - began > work.LIMIT and not site.wrong
+    assert site.simulated_fleet.now - began > work.MAX_RECORD_AGE_NS and not site.wrong
     assert not site.simulated_fleet.controllers[cut].exclusions(site.simulated_fleet.now)[1], (
         "it no longer places on anything"
     )
@@ -209,11 +216,12 @@
 
 
 def make_observations(count=4, **changes):
-    """Return Seen with `count` healthy streamers in two racks; `changes` is {name: {field: value}}."""
+    """Return WorkObservations with `count` healthy streamers in two racks; `changes` is {name: {field:
+    value}}."""
     machines = {f"s{n}": Machine(f"s{n}", n % 2, "z", 1.0, True, 0, frozenset()) for n in range(count)}
     for name, changed in changes.items():
         machines[name] = Machine(**{**machines[name].__dict__, **changed})
-    return Seen(machines, frozenset())
+    return WorkObservations(machines, frozenset())
 
 
 def test_failures_and_unplanned_drains_count_against_the_budget():
@@ -234,7 +242,8 @@
     share = plan(["s0"], most=3, most_rack=2, ready_share=0.8, paused=False)
     assert "minimum 80%" in hold_reason(share)
     assert (
-        Work().plan_hold_reason(0, {**rack_plan, "paused": True}, make_observations()) == "its plan is paused"
+        WorkScheduler().plan_hold_reason(0, {**rack_plan, "paused": True}, make_observations())
+        == "its plan is paused"
     )
 
 
@@ -242,16 +251,16 @@
     machines = make_observations(
         s0={"titles": frozenset({"lesson"})}, s1={"titles": frozenset({"lesson"})}
     ).machines
-    reasons = work.never(plan(["s0", "s2"], holders=2), machines)
+    reasons = work.impossible_machines(plan(["s0", "s2"], holders=2), machines)
     assert reasons == ["s0: lesson would have 1 ready holders where 2 are required"]
-    assert work.never(plan(["s9"]), machines) == ["s9: no list contains it"]
+    assert work.impossible_machines(plan(["s9"]), machines) == ["s9: no list contains it"]
 
 
 def test_machine_that_costs_viewers_least_goes_first_and_none_starves():
     row = {"plan": "p", "state": "waiting", "n": 0, "by": "ops", "log": []}
     state = {
         "map": {
-            work.REV: 1,
+            work.REVISION_KEY: 1,
             "work/plan/p": plan(["s0", "s1"], most=1, paused=False),
             "work/m/s0": row,
             "work/m/s1": row,
@@ -259,22 +268,22 @@
     }
     observed = make_observations()
     observed.placement_reports = {"c0": (PlacementReport(1, {"s0": 9, "s1": 2}), 0)}
-    scheduler = Work()
-    [(id, _)] = scheduler.steps(0, state, observed)
-    assert id == "work/s1/p/1/1" and scheduler.why["s0"] == "s1 goes first"
+    scheduler = WorkScheduler()
+    [(id, _)] = scheduler.next_proposals(0, state, observed)
+    assert id == "work/s1/p/1/1" and scheduler.hold_reasons["s0"] == "s1 goes first"
     for _ in range(work.MAX_TIMES_PASSED_OVER + 1):
-        [(id, value)] = scheduler.steps(0, state, observed)
-    assert id == "work/s0/p/1/1" and value["?"] == {work.REV: 1}
+        [(id, value)] = scheduler.next_proposals(0, state, observed)
+    assert id == "work/s0/p/1/1" and value["?"] == {work.REVISION_KEY: 1}
 
 
 def test_machine_out_for_too_long_is_overdue_and_one_that_returns_by_itself_is_taken_back():
     row = {"plan": "p", "state": "out", "n": 3, "by": "leader", "rev": 2, "was": 0, "log": []}
-    state = {"map": {work.REV: 5, "work/plan/p": plan(["s0"], paused=False), "work/m/s0": row}}
-    scheduler, without_s0 = Work(), make_observations(s0={"ready": False})
-    assert scheduler.steps(0, state, without_s0) == []
-    [(_, value)] = scheduler.steps(6 * SECOND, state, without_s0)
+    state = {"map": {work.REVISION_KEY: 5, "work/plan/p": plan(["s0"], paused=False), "work/m/s0": row}}
+    scheduler, without_s0 = WorkScheduler(), make_observations(s0={"ready": False})
+    assert scheduler.next_proposals(0, state, without_s0) == []
+    [(_, value)] = scheduler.next_proposals(6 * SECOND, state, without_s0)
     assert value["work/m/s0"]["state"] == "overdue"
-    [(_, value)] = scheduler.steps(7 * SECOND, state, make_observations(s0={"started": 3 * SECOND}))
+    [(_, value)] = scheduler.next_proposals(7 * SECOND, state, make_observations(s0={"started": 3 * SECOND}))
     assert value["work/m/s0"]["state"] == "coming back"
 
 
@@ -284,16 +293,20 @@
 
     def answer(state, age):
         row = {"plan": "p", "state": state.value, "n": 2, "by": "leader", "log": []}
-        return {"map": {work.REV: 3, "work/m/s1": row}, "age_s": age}
+        return {"map": {work.REVISION_KEY: 3, "work/m/s1": row}, "age_s": age}
 
-    answers, proposals = [answer(State.TOLD, 30.0), answer(State.TOLD, None), answer(State.OUT, 0.1)], []
+    answers, proposals = (
+        [answer(WorkState.DRAINING, 30.0), answer(WorkState.DRAINING, None), answer(WorkState.OUT, 0.1)],
+        [],
+    )
     monkeypatch.setattr(cli, "got", lambda admin, path: answers.pop(0))
     monkeypatch.setattr(cli, "ask", lambda *a: (proposals.append(a[3]), (200, {"counted": True}))[1])
-    cli.marked("x", "s1", State.BACK)
+    cli.marked("x", "s1", WorkState.RETURNING)
     assert [s["value"]["work/m/s1"]["state"] for s in proposals] == ["coming back"] and not answers
-    answers += [answer(State.TOLD, 0.0)] * 9  # current as of after the command began, so the state is final
+    # current as of after the command began, so the state is final
+    answers += [answer(WorkState.DRAINING, 0.0)] * 9
     with pytest.raises(SystemExit):
-        cli.marked("x", "s1", State.BACK)
+        cli.marked("x", "s1", WorkState.RETURNING)
     assert len(answers) >= 7 and len(proposals) == 1
 
 
@@ -316,7 +329,9 @@
     chosen = [redirects["c5"].choose(simulated_fleet.now) for _ in range(400)]
     assert all(70 < chosen.count(f"http://c{n}") < 130 for n in range(4)), "all are equally likely"
     site.add("own", plan(["controller:c3"], drain=SECOND))
-    assert simulated_fleet.run_until(lambda: site.states().get("controller:c3") is State.OUT, 30) is not None
+    assert (
+        simulated_fleet.run_until(lambda: site.states().get("controller:c3") is WorkState.OUT, 30) is not None
+    )
     simulated_fleet.kill("c1")
     assert simulated_fleet.run_until(lambda: simulated_fleet.observers("c1", "suspect"), 30) is not None
     simulated_fleet.run(2)
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -7,7 +7,7 @@
 from terndrift.fleet import permits, work
 from terndrift.fleet.messages import PlacementReport
 from terndrift.fleet.room import Machine, WorkBudget
-from terndrift.fleet.work import State, Work
+from terndrift.fleet.work import WorkScheduler, WorkState
 from terndrift.fleet.yard import CONTROLLER_NAMES, SECOND, VOTER_NAMES, Site, plan
 
 DAY_MS = 24 * 3600 * 1000
@@ -16,7 +16,7 @@
 def make_state(rows, plans=None, rev=5):
     """Return a record's state with rows {machine: (state, fields)}, all of plan p, which by default has them
     all."""
-    map = {work.REV: rev}
+    map = {work.REVISION_KEY: rev}
     for name, (machine_state, fields) in rows.items():
         map[f"work/m/{name}"] = {
             "plan": "p",
@@ -35,7 +35,7 @@
 def next_states(scheduler, now, state, observed):
     """Return {machine: state} as set by the next step, or {}."""
     out = {}
-    for _, value in scheduler.steps(now, state, observed):
+    for _, value in scheduler.next_proposals(now, state, observed):
         out |= {k.removeprefix("work/m/"): v["state"] for k, v in value.items() if k.startswith("work/m/")}
     return out
 
@@ -69,11 +69,13 @@
         c2=PlacementReport(5, {}, wall_ms + 3_600_000),
     )
     observed.wall_ms = wall_ms + 3_600_000  # the leader's own clock is the one an hour ahead
-    scheduler = Work()
-    changes = next_states(scheduler, 0, make_state({"s0": (State.WAITING, {})}, {"p": value}), observed)
-    assert (changes, scheduler.why["s0"]) == (({}, why) if why else ({"s0": State.TOLD.value}, ""))
+    scheduler = WorkScheduler()
+    changes = next_states(scheduler, 0, make_state({"s0": (WorkState.WAITING, {})}, {"p": value}), observed)
+    assert (changes, scheduler.hold_reasons["s0"]) == (
+        ({}, why) if why else ({"s0": WorkState.DRAINING.value}, "")
+    )
     alone = with_reports(make_observations(), c2=observed.placement_reports["c2"][0])
-    alone.members = frozenset({"c0", "c1", "c2"})
+    alone.controller_names = frozenset({"c0", "c1", "c2"})
     assert "no majority of the controllers has reported its clock yet" in scheduler.plan_hold_reason(
         0, {**value, "paused": False}, alone
     )
@@ -81,34 +83,34 @@
 
 def test_overload_holds_waiting_machines_and_begun_drains_continue_or_are_cancelled_as_planned():
     load = {"c0": PlacementReport(5, {"s0": 1}, 0, 40, 0), "c1": PlacementReport(5, {"s0": 0}, 0, 10, 20)}
-    rows = {"s0": (State.TOLD, {}), "s1": (State.WAITING, {})}
-    for begun, changes in (("go on", {}), ("back", {"s0": State.WAITING.value})):
-        scheduler, observed = Work(), with_reports(make_observations(), **load)
-        observed.members = frozenset(load)
+    rows = {"s0": (WorkState.DRAINING, {}), "s1": (WorkState.WAITING, {})}
+    for begun, changes in (("go on", {}), ("back", {"s0": WorkState.WAITING.value})):
+        scheduler, observed = WorkScheduler(), with_reports(make_observations(), **load)
+        observed.controller_names = frozenset(load)
         value = plan(rows, overload=0.1, begun=begun, most=2)
         assert next_states(scheduler, 0, make_state(rows, {"p": value}), observed) == changes
         if not changes:
-            assert scheduler.why["s1"] == "40% of viewer requests are rejected (limit 10%)"
+            assert scheduler.hold_reasons["s1"] == "40% of viewer requests are rejected (limit 10%)"
             assert next_states(
                 scheduler,
                 10 * SECOND,
                 make_state(rows, {"p": value}),
                 with_reports(observed, 10 * SECOND, c0=PlacementReport(5, {"s0": 1}, 0, 40, 1)),
-            ) == {"s1": State.TOLD.value}
+            ) == {"s1": WorkState.DRAINING.value}
     few = with_reports(make_observations(), c0=PlacementReport(5, {}, 0, 4, 4))
     assert few.rejected_share(0) == 0, "four requests are too few for a share"
 
 
 def test_machine_that_reports_ready_but_fails_set_ups_stays_warming_up_and_becomes_overdue():
-    rows = {"s0": (State.WARMING, {})}
-    scheduler, state = Work(), make_state(rows)
+    rows = {"s0": (WorkState.WARMING_UP, {})}
+    scheduler, state = WorkScheduler(), make_state(rows)
     failing = PlacementReport(5, {}, failing_machines=["s0"])
     assert next_states(scheduler, 0, state, with_reports(make_observations(), c1=failing)) == {}
     assert (
         next_states(scheduler, 3 * SECOND, state, with_reports(make_observations(), 3 * SECOND, c1=failing))
         == {}
     )
-    assert scheduler.why["s0"] == "it reports ready, but set-ups from c1 fail"
+    assert scheduler.hold_reasons["s0"] == "it reports ready, but set-ups from c1 fail"
     assert next_states(
         scheduler, 4 * SECOND, state, with_reports(make_observations(), 4 * SECOND, c1=PlacementReport(5, {}))
     ) == {"s0": "done"}
@@ -116,21 +118,28 @@
         scheduler, 9 * SECOND, state, with_reports(make_observations(), 9 * SECOND, c1=failing)
     ) == {"s0": "overdue"}
     restarted = make_observations(s0={"started": 77})
-    [(_, value)] = Work().steps(0, make_state({"s0": (State.OVERDUE, {"was": 5})}), restarted)
+    [(_, value)] = WorkScheduler().next_proposals(
+        0, make_state({"s0": (WorkState.OVERDUE, {"was": 5})}), restarted
+    )
     row = value["work/m/s0"]
     assert (row["state"], row["was"]) == ("coming back", 77), "that start counts as a return only once"
-    assert next_states(Work(), 0, make_state({"s0": (State.OVERDUE, {"was": 77})}), restarted) == {}
+    assert (
+        next_states(WorkScheduler(), 0, make_state({"s0": (WorkState.OVERDUE, {"was": 77})}), restarted) == {}
+    )
 
 
 def test_machine_with_a_new_start_time_is_taken_back_by_any_leader_and_an_early_restart_is_ignored():
     restarted = make_observations(s0={"started": 77})
-    assert next_states(Work(), 0, make_state({"s0": (State.OUT, {"was": 5})}), restarted) == {
+    assert next_states(WorkScheduler(), 0, make_state({"s0": (WorkState.OUT, {"was": 5})}), restarted) == {
         "s0": "coming back"
     }
-    assert next_states(Work(), 0, make_state({"s0": (State.OUT, {"was": 77})}), restarted) == {}
+    assert next_states(WorkScheduler(), 0, make_state({"s0": (WorkState.OUT, {"was": 77})}), restarted) == {}
     assert (
         next_states(
-            Work(), 0, make_state({"s0": (State.BACK, {"was": 5})}), make_observations(s0={"ready": False})
+            WorkScheduler(),
+            0,
+            make_state({"s0": (WorkState.RETURNING, {"was": 5})}),
+            make_observations(s0={"ready": False}),
         )
         == {}
     )
@@ -139,48 +148,51 @@
         make_observations(s0={"started": 400_000_000}),
         make_observations(s0={"started": 600_000_000}),
     )
-    unknown_start = make_state({"s0": (State.OUT, {"was": 0, "log": log})})
-    assert next_states(Work(), 0, unknown_start, before_drain) == {}, (
+    unknown_start = make_state({"s0": (WorkState.OUT, {"was": 0, "log": log})})
+    assert next_states(WorkScheduler(), 0, unknown_start, before_drain) == {}, (
         "an old start that a clock ahead had reported as long ago"
     )
-    assert next_states(Work(), 0, unknown_start, after_drain) == {"s0": "coming back"}
-    early, scheduler = with_reports(restarted, c0=PlacementReport(5, {"s0": 2})), Work()
-    early.members = frozenset({"c0"})
-    assert next_states(scheduler, 0, make_state({"s0": (State.TOLD, {"was": 5})}), early) == {}
-    assert "restarted without a permit" in scheduler.why["s0"]
+    assert next_states(WorkScheduler(), 0, unknown_start, after_drain) == {"s0": "coming back"}
+    early, scheduler = with_reports(restarted, c0=PlacementReport(5, {"s0": 2})), WorkScheduler()
+    early.controller_names = frozenset({"c0"})
+    assert next_states(scheduler, 0, make_state({"s0": (WorkState.DRAINING, {"was": 5})}), early) == {}
+    assert "restarted without a permit" in scheduler.hold_reasons["s0"]
 
 
 def test_controller_that_leads_again_times_a_later_drain_of_the_same_machine_from_its_start():
     """It saw the first drain agreed long ago, and not how that drain ended."""
-    scheduler, observed = Work(), with_reports(make_observations())
-    observed.members = frozenset({"c0"})
-    assert next_states(scheduler, 0, make_state({"s0": (State.TOLD, {"rev": 2})}), observed) == {}
+    scheduler, observed = WorkScheduler(), with_reports(make_observations())
+    observed.controller_names = frozenset({"c0"})
+    assert next_states(scheduler, 0, make_state({"s0": (WorkState.DRAINING, {"rev": 2})}), observed) == {}
     later = 1000 * SECOND
     assert (
-        next_states(scheduler, later, make_state({"s0": (State.TOLD, {"rev": 30})}, rev=30), observed) == {}
+        next_states(scheduler, later, make_state({"s0": (WorkState.DRAINING, {"rev": 30})}, rev=30), observed)
+        == {}
     )
-    assert "c0 may still place on it" in scheduler.why["s0"]
-    limit = int((work.LIMIT + 6 * SECOND) * 1.02) + SECOND
+    assert "c0 may still place on it" in scheduler.hold_reasons["s0"]
+    limit = int((work.MAX_RECORD_AGE_NS + 6 * SECOND) * 1.02) + SECOND
     assert (
-        next_states(scheduler, later + limit, make_state({"s0": (State.TOLD, {"rev": 30})}, rev=30), observed)
+        next_states(
+            scheduler, later + limit, make_state({"s0": (WorkState.DRAINING, {"rev": 30})}, rev=30), observed
+        )
         == {}
     )
     assert next_states(
-        scheduler, later + limit + 1, make_state({"s0": (State.TOLD, {"rev": 30})}, rev=30), observed
+        scheduler, later + limit + 1, make_state({"s0": (WorkState.DRAINING, {"rev": 30})}, rev=30), observed
     ) == {"s0": "empty"}
 
 
 def test_drain_is_cancelled_when_the_other_holder_of_a_title_fails():
     holders = {"titles": frozenset({"lesson"})}
-    rows, scheduler = {"s0": (State.TOLD, {})}, Work()
+    rows, scheduler = {"s0": (WorkState.DRAINING, {})}, WorkScheduler()
     both = with_reports(make_observations(s0=holders, s1=holders), c0=PlacementReport(5, {"s0": 1}))
-    both.members = frozenset({"c0"})
+    both.controller_names = frozenset({"c0"})
     assert next_states(scheduler, 0, make_state(rows), both) == {}
     left = with_reports(
         make_observations(s0=holders, s1={**holders, "ready": False}), c0=PlacementReport(5, {"s0": 1})
     )
     assert next_states(scheduler, 0, make_state(rows), left) == {"s0": "waiting"}
-    assert next_states(scheduler, 0, make_state({"s0": (State.OUT, {})}), left) == {}, (
+    assert next_states(scheduler, 0, make_state({"s0": (WorkState.OUT, {})}), left) == {}, (
         "a machine that is out is not recalled"
     )
 
@@ -188,25 +200,30 @@
 def test_machine_out_in_an_earlier_epoch_is_entered_and_left_alone_until_an_operator_acts():
     row = {"plan": "old", "state": "out", "n": 3, "by": "leader", "rev": 2, "was": 0, "log": []}
     empty = {"map": {}}
-    [(_, value)] = Work().steps(
+    [(_, value)] = WorkScheduler().next_proposals(
         0,
         empty,
         with_reports(make_observations(), c1=PlacementReport(0, {}, out_in_earlier_epoch={"s2": row})),
     )
     assert value["work/m/s2"]["state"] == "found out" and value["work/m/s2"]["plan"] == "old"
     state = {"map": {k: v for k, v in value.items() if k != "?"}}
-    assert work.told_off(state) == {"s2"} and work.busy(state, ["s2", "s3"]) == ["s2"]
-    scheduler = Work()
+    assert work.names_without_placement(state) == {"s2"} and work.names_in_active_plans(
+        state, ["s2", "s3"]
+    ) == ["s2"]
+    scheduler = WorkScheduler()
     assert (
-        scheduler.steps(0, state, make_observations()) == [] and "an operator must run" in scheduler.why["s2"]
+        scheduler.next_proposals(0, state, make_observations()) == []
+        and "an operator must run" in scheduler.hold_reasons["s2"]
     )
-    new, _ = work.added(state, plan(["s0"], most=1), "new", "ops"), None
+    new, _ = work.propose_plan(state, plan(["s0"], most=1), "new", "ops"), None
     state = {"map": {**state["map"], **{k: v for k, v in new[1].items() if k != "?"}}}
     assert (
-        scheduler.steps(0, state, make_observations()) == []
-        and "1 unavailable, limit 1: s2" in scheduler.why["s0"]
+        scheduler.next_proposals(0, state, make_observations()) == []
+        and "1 unavailable, limit 1: s2" in scheduler.hold_reasons["s0"]
+    )
+    _, value = work.propose_step(
+        work.current_revision(state), "s2", work.machine_rows(state)["s2"], WorkState.RETURNING, "ops"
     )
-    _, value = work.step(work.rev(state), "s2", work.rows(state)["s2"], State.BACK, "ops")
     state = {"map": {**state["map"], **{k: v for k, v in value.items() if k != "?"}}}
     assert next_states(scheduler, 1, state, make_observations()) == {"s2": "warming up"}
 
@@ -261,7 +278,7 @@
                     and c.leader() == name
                 ):
                     led_while_draining.append(name)
-        rows = work.rows(
+        rows = work.machine_rows(
             simulated_fleet.controllers[next(iter(simulated_fleet.controllers))].committed_log.state
         )
         for machine, row in rows.items():
@@ -287,23 +304,32 @@
 
 
 def test_estimated_starts_follow_the_order_and_the_budgets():
-    rows = {f"s{n}": (State.WAITING, {}) for n in range(4)}
+    rows = {f"s{n}": (WorkState.WAITING, {}) for n in range(4)}
     state = make_state(rows, {"p": plan(rows, most=2, ready_share=0.0)})  # each takes 6 + 4 + 2 s
-    assert Work().likely(0, state, make_observations()) == {"s0": 0.0, "s1": 0.0, "s2": 12.0, "s3": 12.0}
-    rows["s0"] = State.OUT, {}
-    scheduler, state = Work(), make_state(rows, {"p": plan(rows, most=1, ready_share=0.0)})
-    scheduler.steps(0, state, make_observations())
-    assert scheduler.likely(4 * SECOND, state, make_observations()) == {"s1": 2.0, "s3": 14.0, "s2": 26.0}, (
-        "s2 is the only machine left in its rack"
-    )
+    assert WorkScheduler().estimate_starts(0, state, make_observations()) == {
+        "s0": 0.0,
+        "s1": 0.0,
+        "s2": 12.0,
+        "s3": 12.0,
+    }
+    rows["s0"] = WorkState.OUT, {}
+    scheduler, state = WorkScheduler(), make_state(rows, {"p": plan(rows, most=1, ready_share=0.0)})
+    scheduler.next_proposals(0, state, make_observations())
+    assert scheduler.estimate_starts(4 * SECOND, state, make_observations()) == {
+        "s1": 2.0,
+        "s3": 14.0,
+        "s2": 26.0,
+    }, "s2 is the only machine left in its rack"
     paused = make_state(rows, {"p": plan(rows, most=1, paused=True)})
-    assert set(scheduler.likely(0, paused, make_observations()).values()) == {None}
+    assert set(scheduler.estimate_starts(0, paused, make_observations()).values()) == {None}
 
 
 def test_spans_follow_the_log_and_an_ended_state_has_no_duration():
     log = [["waiting", "ops", 1000], ["told to drain", "leader", 3000], ["given back", "ops", 4000]]
-    state = make_state({"s0": (State.GIVEN_BACK, {"log": log}), "s1": (State.TOLD, {"log": log[:2]})})
-    assert work.spans(state, 9000) == {
+    state = make_state(
+        {"s0": (WorkState.GIVEN_BACK, {"log": log}), "s1": (WorkState.DRAINING, {"log": log[:2]})}
+    )
+    assert work.state_spans(state, 9000) == {
         "s0": [("waiting", 1000, 3000), ("told to drain", 3000, 4000), ("given back", 4000, 4000)],
         "s1": [("waiting", 1000, 3000), ("told to drain", 3000, 9000)],
     }
@@ -312,8 +338,8 @@
 def test_second_plan_for_a_machine_is_refused_even_if_both_are_proposed_from_the_same_revision():
     empty = {"map": {}}
     first, second = (
-        work.added(empty, plan(["s0"]), "a", "ops"),
-        work.added(empty, plan(["s0", "s1"]), "b", "ops"),
+        work.propose_plan(empty, plan(["s0"]), "a", "ops"),
+        work.propose_plan(empty, plan(["s0", "s1"]), "b", "ops"),
     )
     from terndrift.fleet.committed_state import apply_entry, initial_state
     from terndrift.fleet.messages import Entry
@@ -322,7 +348,9 @@
     for n, (id, value) in enumerate((first, second), 1):
         apply_entry(state, n, Entry(1, "value", f"{id}{n}", value))
     assert list(state["ids"].values()) == [1, -2], "its proposer can tell that it had no effect"
-    assert set(work.plans(state)) == {"a"} and work.busy(state, ["s0", "s1"]) == ["s0"]
+    assert set(work.plans_by_name(state)) == {"a"} and work.names_in_active_plans(state, ["s0", "s1"]) == [
+        "s0"
+    ]
 
 
 @pytest.mark.parametrize("fault", permits.FAULTS)
