--- a/terndrift/cli/fleet.py
+++ b/terndrift/cli/fleet.py
@@ -276,7 +276,7 @@
         "holders": 0,
         "restart": True,
     }
-    machines = ["controllers"] if every else [f"{work.CONTROLLER}{name}" for name in names]
+    machines = ["controllers"] if every else [f"{work.CONTROLLER_PREFIX}{name}" for name in names]
     work.put_in(admin, f"restart-{time.time_ns() // 10**9}", machines, (), lambda state: value)
 
 
--- a/terndrift/cli/work.py
+++ b/terndrift/cli/work.py
@@ -10,7 +10,7 @@
 from terndrift.cli.fleet import AS_JSON, got, rows
 from terndrift.cli.stored import address, ask, fail, shown
 from terndrift.fleet import work as agreed
-from terndrift.fleet.room import CONTROLLER, Machine
+from terndrift.fleet.room import CONTROLLER_PREFIX, Machine
 from terndrift.fleet.work import WorkState
 
 TRIES = 5  # an act is worked out anew if another one was agreed meanwhile
@@ -83,11 +83,11 @@
 
 
 BY = {
-    "rack": lambda m, what: str(m.rack) == what and not m.controller,
-    "zone": lambda m, what: m.zone == what and not m.controller,
+    "rack": lambda m, what: str(m.rack) == what and not m.is_controller,
+    "zone": lambda m, what: m.zone == what and not m.is_controller,
     "label": lambda m, what: what in m.labels,
 }
-ALL = {"all": lambda m: not m.controller, "controllers": lambda m: m.controller}
+ALL = {"all": lambda m: not m.is_controller, "controllers": lambda m: m.is_controller}
 
 
 def expanded(names, machines):
@@ -327,7 +327,7 @@
     found = got(admin, "/fleet/work")
     spans = agreed.state_spans({"map": found["map"]}, wall())
     racks = {
-        m: f"rack {row['rack']}" if not m.startswith(CONTROLLER) else "controllers"
+        m: f"rack {row['rack']}" if not m.startswith(CONTROLLER_PREFIX) else "controllers"
         for m, row in found["machines"].items()
     }
     if out:
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/elsewhere.py
@@ -12,7 +12,7 @@
 import zlib
 
 from terndrift.fleet.membership import Standing
-from terndrift.fleet.room import CONTROLLER
+from terndrift.fleet.room import CONTROLLER_PREFIX
 
 FRONT_KEY_PREFIX = "front/"  # keys of the record's map: prefix and name -> URL without a path
 # A member alive for a shorter time may have just started and not accept viewers yet (copies.py: 6 s at most).
@@ -56,7 +56,7 @@
             if name != controller.own_name
             and (url := agreed_map.get(FRONT_KEY_PREFIX + name))
             and members[name].standing is Standing.ALIVE
-            and CONTROLLER + name not in draining
+            and CONTROLLER_PREFIX + name not in draining
         }
         strained = controller.load_reports.rides(now).overloaded
         unstrained = {name: url for name, url in found.items() if name not in strained} or found
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -26,7 +26,7 @@
     PullResponse,
 )
 from terndrift.fleet.raft import ELECTION_TIMEOUT, Role, Voter
-from terndrift.fleet.room import CONTROLLER, Machine
+from terndrift.fleet.room import CONTROLLER_PREFIX, Machine
 from terndrift.fleet.warm import Known
 
 MS = 1_000_000
@@ -244,7 +244,7 @@
     def _run_work(self, now):
         """Reports to the voters what is held on excluded machines; as the leader, proposes the next step."""
         self.next_work_at = now + WORK_INTERVAL
-        state, own_machine = self.committed_log.state, CONTROLLER + self.own_name
+        state, own_machine = self.committed_log.state, CONTROLLER_PREFIX + self.own_name
         off, table = self.exclusions(now)[0], work.machine_rows(state)
         if off or any(work.WorkState(row["state"]) not in work.ENDED_STATES for row in table.values()):
             placement_report = self._placement_report(now, state, off, table)
@@ -336,7 +336,7 @@
             is_alive = name == self.own_name and not self.membership.leaving or name in alive
             run = self.membership.run if name == self.own_name else self.membership.members[name].run
             ready = is_alive and (not is_voter or name in state["voters"])
-            machine = Machine(CONTROLLER + name, -1, "", 0.0, ready, run, voter=is_voter)
+            machine = Machine(CONTROLLER_PREFIX + name, -1, "", 0.0, ready, run, voter=is_voter)
             out[machine.name] = machine
         return out
 
--- a/terndrift/fleet/room.py
+++ b/terndrift/fleet/room.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, replace
 from functools import cached_property
 
-CONTROLLER = "controller:"  # prefix of the machine name of a controller
+CONTROLLER_PREFIX = "controller:"  # prefix of the machine name of a controller
 
 
-def controller_named(machine):
+def controller_name(machine):
     """Return the controller's name in a machine name, or None if the machine is a streamer."""
-    return machine.removeprefix(CONTROLLER) if machine.startswith(CONTROLLER) else None
+    return machine.removeprefix(CONTROLLER_PREFIX) if machine.startswith(CONTROLLER_PREFIX) else None
 
 
 @dataclass(frozen=True)
@@ -34,9 +34,9 @@
     cold: bool = False  # by the start time in the list and the configured warm-up
 
     @property
-    def controller(self):
+    def is_controller(self):
         """Whether this is a controller and not a streamer."""
-        return self.name.startswith(CONTROLLER)
+        return self.name.startswith(CONTROLLER_PREFIX)
 
     def as_healthy(self):
         """Return a copy that is ready and warm."""
@@ -52,10 +52,10 @@
 
     def __init__(self, machines, in_work):
         self.machines, self.in_work = machines, in_work
-        streamers = [m for m in machines.values() if not m.controller]
-        controllers = [m for m in machines.values() if m.controller]
+        streamers = [m for m in machines.values() if not m.is_controller]
+        controllers = [m for m in machines.values() if m.is_controller]
         self.unavailable = {m.name for m in streamers if not m.ready or m.cold or m.name in in_work}
-        self.unavailable |= {n for n in in_work if n not in machines and controller_named(n) is None}
+        self.unavailable |= {n for n in in_work if n not in machines and controller_name(n) is None}
         self.unavailable_controllers = {m.name for m in controllers if not m.ready or m.name in in_work}
         self.voter_count = sum(m.voter for m in controllers)
         self.total_weight, self.ready_weight = sum(m.weight for m in streamers), 0.0
@@ -85,8 +85,8 @@
         """Return why the machine may not be taken out now, a sentence, or "" if it may."""
         machine = self.machines.get(name)
         if machine is None:
-            return "no list contains it" if controller_named(name) is None else "no fleet record contains it"
-        if machine.controller:
+            return "no list contains it" if controller_name(name) is None else "no fleet record contains it"
+        if machine.is_controller:
             return self._controller_hold_reason(machine, plan)
         if not machine.ready:
             return "the list reports it as not ready, and this work is not the cause"
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 from terndrift.core.active_playback import AnswerKind, PlaybackStage
-from terndrift.fleet.room import CONTROLLER, Machine
+from terndrift.fleet.room import CONTROLLER_PREFIX, Machine
 from terndrift.fleet.work import machine_rows, plans_by_name, should_restart
 from terndrift.interface import Ending
 from terndrift.listing.lines import worst
@@ -80,7 +80,7 @@
         self.titles_by_holder, self.titles_version = {}, None
         # [(Line, standing)]; machine name -> (Line, Machine); the list and catalogue versions of both
         self.listed_lines, self.listed_machines, self.listed_version = [], {}, None
-        self.machine_name = CONTROLLER + controller.own_name
+        self.machine_name = CONTROLLER_PREFIX + controller.own_name
         controller.list_machines, controller.count_placements = self.machines, self.holding
         controller.wall_ms, controller.recent_requests = (
             lambda: self.clock.to_wall_ns(self.clock.now()) // 1_000_000,
--- a/terndrift/fleet/work.py
+++ b/terndrift/fleet/work.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from statistics import median_low
 
-from terndrift.fleet.room import WorkBudget, controller_named
+from terndrift.fleet.room import WorkBudget, controller_name
 
 SECOND = 1_000_000_000
 REVISION_KEY = "work/rev"
@@ -330,7 +330,7 @@
         the drain time, and breaks.
         """
         placing, holding = [], 0
-        own_controller = controller_named(name)
+        own_controller = controller_name(name)
         for controller in sorted(observed.controller_names) if own_controller is None else [own_controller]:
             report, _ = observed.placement_reports.get(controller, (None, 0))
             if report is not None and name in report.placements and report.work_revision >= row["rev"]:
--- a/terndrift/rehearse/working.py
+++ b/terndrift/rehearse/working.py
@@ -7,7 +7,7 @@
 import time
 
 from terndrift.fleet import work
-from terndrift.fleet.room import CONTROLLER, controller_named
+from terndrift.fleet.room import CONTROLLER_PREFIX, controller_name
 
 SECOND = 1_000_000_000
 LOOK = 0.2  # s between looks at what is agreed
@@ -28,7 +28,7 @@
         streamers = sorted(r.lines, key=lambda n: r.lines[n]["id"])
         streamers = streamers[: max(1, round(told["share"] * len(streamers)))]
         count = round(told["controllers"] * r.controllers)
-        return streamers, [f"{CONTROLLER}c{n}" for n in range(r.controllers)][:count]
+        return streamers, [f"{CONTROLLER_PREFIX}c{n}" for n in range(r.controllers)][:count]
 
     async def _work(self):
         r, told = self.r, self.told
@@ -160,7 +160,7 @@
         return {name: states.get(name, work.WorkState.WAITING.value) for name in streamers + controllers}
 
     async def _by_hand(self, name):
-        if controller_named(name) is None:
+        if controller_name(name) is None:
             self._listed(name, "draining")
             await asyncio.sleep(self.told["drain"] / SECOND)
         await self._touch(name)
@@ -171,7 +171,7 @@
 
     async def _touch(self, name):
         r, needs = self.r, self.told["needs"]
-        if member := controller_named(name):
+        if member := controller_name(name):
             r.ledger.note("permit", machine=name, controller=member)
             await r._planned(int(member[1:]), needs)
             return r.ledger.note("handed back", machine=name, controller=member)
