--- a/benchmarks/work.py
+++ b/benchmarks/work.py
@@ -9,23 +9,25 @@
 import time
 
 from terndrift.fleet import work
-from terndrift.fleet.yard import SECOND, Site, plan
+from terndrift.fleet.yard import SECOND, WorkSimulation, make_plan
 
 DRAIN, NEEDS, WARM = 6, 4, 2  # s
 
 
 def measured(controllers, streamers, most, racks, seed=1, loss=0.0):
     names, began = [f"c{n}" for n in range(controllers)], time.time()
-    site = Site(seed, names, names[:5], streamers, racks, rate=0.03, loss=loss)
-    simulated_fleet = site.simulated_fleet
-    site.go(10)
+    simulation = WorkSimulation(seed, names, names[:5], streamers, racks, placement_rate=0.03, loss=loss)
+    simulated_fleet = simulation.simulated_fleet
+    simulation.run_until(10)
     before = {n: list(s) for n, s in simulated_fleet.sent.items()}
-    site.go(20)
+    simulation.run_until(20)
     quiet = [sum(simulated_fleet.sent[n][k] - before[n][k] for n in names) / 20 for k in (0, 1)]
-    value = plan(site.standing, most=most, needs=NEEDS * SECOND, drain=DRAIN * SECOND, warm=WARM * SECOND)
-    site.add("all", value)
+    value = make_plan(
+        simulation.streamers, most=most, needs=NEEDS * SECOND, drain=DRAIN * SECOND, warm=WARM * SECOND
+    )
+    simulation.add_plan("all", value)
     before, at = {n: list(s) for n, s in simulated_fleet.sent.items()}, simulated_fleet.now
-    done = site.go(1200, site.done)
+    done = simulation.run_until(1200, simulation.is_done)
     took = (simulated_fleet.now - at) / SECOND
     sent = [sum(simulated_fleet.sent[n][k] - before[n][k] for n in names) - quiet[k] * took for k in (0, 1)]
     # a playback lasts 1 to 4 s here, and the worker holds a machine for 2 s
@@ -39,8 +41,8 @@
         "racks": racks,
         "loss": loss,
         "done": done,
-        "wrong": len(site.wrong),
-        "most_out": site.most_out,
+        "wrong": len(simulation.violations),
+        "most_out": simulation.max_out_count,
         "took_s": round(took, 1),
         "bound_s": bound,
         "over_bound": round(took / bound, 3),
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/yard.py
@@ -17,7 +17,7 @@
 VOTER_NAMES = CONTROLLER_NAMES[:3]
 
 
-def plan(machines, **more):
+def make_plan(machines, **more):
     """Return a plan for `machines`; keywords override its fields."""
     return {
         "machines": list(machines),
@@ -35,13 +35,13 @@
     }
 
 
-class Site:
+class WorkSimulation:
     """Streamers in racks, a SimulatedFleet of controllers that place where they may, and workers that use
     permits.
 
-    `rate` is the probability that a controller places a playback in a tenth of a second; other keywords go to
-    SimulatedFleet. `wrong` collects violations: a machine taken down or out while a controller has playbacks
-    there.
+    `placement_rate` is the probability that a controller places a playback in a tenth of a second; other
+    keywords go to SimulatedFleet. `violations` collects violations: a machine taken down or out while a
+    controller has playbacks there.
     """
 
     def __init__(
@@ -51,18 +51,18 @@
         voters=VOTER_NAMES,
         streamers=8,
         racks=4,
-        rate=0.3,
+        placement_rate=0.3,
         **more,
     ):
-        self.names, self.rate = names, rate
+        self.names, self.placement_rate = names, placement_rate
         self.simulated_fleet = SimulatedFleet(names, voters, seed, **more)
         self.random = random.Random(f"site/{seed}")
         # name -> [rack, whether it is up, time of its last start in ns]
-        self.standing = {f"s{n}": [n % racks, True, 0] for n in range(streamers)}
+        self.streamers = {f"s{n}": [n % racks, True, 0] for n in range(streamers)}
         self.playbacks = {n: [] for n in names}  # controller -> [(machine, end in ns)]
         # (machine, step) -> when it was taken down; violations; machine -> when it is started again
-        self.taken_down_at, self.wrong, self.out_until = {}, [], {}
-        self.most_out, self.placement_count = 0, 0
+        self.taken_down_at, self.violations, self.out_until = {}, [], {}
+        self.max_out_count, self.placement_count = 0, 0
         self.last_read = {}  # controller -> last entry of its copy of the record that was read
         self.simulated_fleet.start()
         for name in names:
@@ -86,7 +86,7 @@
         """Return {name: Machine} of the streamers, as a controller's list has them."""
         return {
             n: Machine(n, rack, "", 1.0, is_up, started, frozenset())
-            for n, (rack, is_up, started) in self.standing.items()
+            for n, (rack, is_up, started) in self.streamers.items()
         }
 
     def states(self, through=None):
@@ -96,7 +96,7 @@
         )
         return {m: WorkState(row["state"]) for m, row in rows.items()}
 
-    def add(self, name, value, through="c4"):
+    def add_plan(self, name, value, through="c4"):
         """Propose a plan through a controller and wait until it is applied there."""
         id, entry_value = work.propose_plan(
             self.simulated_fleet.controllers[through].committed_log.state, value, name, "ops"
@@ -109,7 +109,7 @@
             is not None
         )
 
-    def go(self, seconds, until=lambda: False):
+    def run_until(self, seconds, until=lambda: False):
         """Run the simulation, at most `seconds`, in steps of 0.1 s.
 
         Returns True as soon as `until()` holds, else False.
@@ -129,8 +129,8 @@
                 continue
             self.playbacks[name] = [p for p in self.playbacks[name] if p[1] > now]
             drained, may_place = c.exclusions(now)
-            available = [m for m, (_, is_up, _) in self.standing.items() if is_up and m not in drained]
-            if may_place and available and self.random.random() < self.rate:
+            available = [m for m, (_, is_up, _) in self.streamers.items() if is_up and m not in drained]
+            if may_place and available and self.random.random() < self.placement_rate:
                 self.placement_count += 1
                 until = now + int(self.random.uniform(1, 4) * SECOND)
                 self.playbacks[name].append((self.random.choice(available), until))
@@ -140,7 +140,7 @@
         for machine, until in list(self.out_until.items()):
             if now >= until:
                 del self.out_until[machine]
-                self.standing[machine][1:] = True, now
+                self.streamers[machine][1:] = True, now
         permits = set()
         for name, c in self.simulated_fleet.controllers.items():
             if self.last_read.get(name) != c.committed_log.last_index:
@@ -148,7 +148,7 @@
                 permits |= {
                     (m, row["n"])
                     for m, row in work.machine_rows(c.committed_log.state).items()
-                    if row["state"] == WorkState.OUT.value and m in self.standing
+                    if row["state"] == WorkState.OUT.value and m in self.streamers
                 }
         permits -= self.taken_down_at.keys()
         for machine, n in sorted(permits):
@@ -159,17 +159,19 @@
                 if any(p[0] == machine for p in playbacks) and n in self.simulated_fleet.controllers
             ]
             if holding:
-                self.wrong.append(f"{machine} was taken down while {holding} have playbacks there")
-            self.standing[machine][1] = False
+                self.violations.append(f"{machine} was taken down while {holding} have playbacks there")
+            self.streamers[machine][1] = False
             self.out_until[machine] = now + 2 * SECOND
-        self.most_out = max(self.most_out, sum(not is_up for _, is_up, _ in self.standing.values()))
+        self.max_out_count = max(
+            self.max_out_count, sum(not is_up for _, is_up, _ in self.streamers.values())
+        )
         for name, playbacks in self.playbacks.items():
             placed = [m for m, _ in playbacks if m in self.out_until]
             if placed and name in self.simulated_fleet.controllers:
-                self.wrong.append(f"{name} has playbacks on {placed}, which is out")
+                self.violations.append(f"{name} has playbacks on {placed}, which is out")
                 self.playbacks[name] = [p for p in playbacks if p[0] not in self.out_until]
 
-    def done(self):
+    def is_done(self):
         """Whether the work on all machines of all plans has ended."""
         states = self.states()
         return bool(states) and all(s in work.ENDED_STATES for s in states.values())
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -11,31 +11,31 @@
 from terndrift.fleet.raft import Role
 from terndrift.fleet.room import Machine, WorkBudget
 from terndrift.fleet.work import WorkObservations, WorkScheduler, WorkState
-from terndrift.fleet.yard import SECOND, Site, plan
+from terndrift.fleet.yard import SECOND, WorkSimulation, make_plan
 
 
 def test_plan_for_all_machines_completes_within_budget_and_takes_down_no_machine_with_playbacks():
-    site = Site()
-    site.add("kernel", plan(site.standing))
-    assert site.go(240, site.done)
-    assert not site.wrong and site.most_out <= 2 and len(site.taken_down_at) == 8
-    assert set(site.states().values()) == {WorkState.DONE} and site.placement_count > 200
+    simulation = WorkSimulation()
+    simulation.add_plan("kernel", make_plan(simulation.streamers))
+    assert simulation.run_until(240, simulation.is_done)
+    assert not simulation.violations and simulation.max_out_count <= 2 and len(simulation.taken_down_at) == 8
+    assert set(simulation.states().values()) == {WorkState.DONE} and simulation.placement_count > 200
 
 
 SIMULATION_SCRIPT = """
 import sys, zlib
 sys.path[:0] = {0!r}
-from terndrift.fleet.yard import Site, plan
-site = Site(seed=4)
-checksum, before, send = [0], 0, site.simulated_fleet._send
+from terndrift.fleet.yard import WorkSimulation, make_plan
+simulation = WorkSimulation(seed=4)
+checksum, before, send = [0], 0, simulation.simulated_fleet._send
 def recorded(n, to, packet):
-    checksum[0] = zlib.crc32(packet + n.encode() + to.encode() + b"%d" % site.simulated_fleet.now,
+    checksum[0] = zlib.crc32(packet + n.encode() + to.encode() + b"%d" % simulation.simulated_fleet.now,
         checksum[0])
     send(n, to, packet)
-site.simulated_fleet._send = recorded
-site.add("all", plan([*site.standing, "controller:c0"]))
-site.go(60)
-print(checksum[0], sorted(site.simulated_fleet.sent.items()))
+simulation.simulated_fleet._send = recorded
+simulation.add_plan("all", make_plan([*simulation.streamers, "controller:c0"]))
+simulation.run_until(60)
+print(checksum[0], sorted(simulation.simulated_fleet.sent.items()))
 """
 
 
@@ -55,10 +55,13 @@
     assert len({run_simulation(hash_seed) for hash_seed in (1, 2, 3)}) == 1
 
 
-def wait_for_leader(site):
+def wait_for_leader(simulation):
     """Run the simulation until there is exactly one leader, and return its name."""
-    assert site.simulated_fleet.run_until(lambda: len(site.simulated_fleet.leaders()) == 1, 15) is not None
-    return site.simulated_fleet.leaders()[0]
+    assert (
+        simulation.simulated_fleet.run_until(lambda: len(simulation.simulated_fleet.leaders()) == 1, 15)
+        is not None
+    )
+    return simulation.simulated_fleet.leaders()[0]
 
 
 STEPS = [
@@ -75,8 +78,8 @@
 @pytest.mark.parametrize("at", STEPS)
 def test_new_leader_continues_after_its_predecessor_is_killed_at_any_step(at, told):
     """The leader dies as soon as the step is agreed there, before or (`told`) after it can tell others."""
-    site, killed = Site(seed=2), []
-    simulated_fleet, after = site.simulated_fleet, site.simulated_fleet._process_output
+    simulation, killed = WorkSimulation(seed=2), []
+    simulated_fleet, after = simulation.simulated_fleet, simulation.simulated_fleet._process_output
 
     def kill_leader_at_step(n):
         c = simulated_fleet.controllers[n]
@@ -93,15 +96,15 @@
         if is_killed:
             killed.append(n)
             simulated_fleet.kill(n)
-            site.playbacks[n] = []
+            simulation.playbacks[n] = []
             simulated_fleet.schedule(
-                simulated_fleet.now + 5 * SECOND, lambda: (simulated_fleet.start(n), site.attach(n))
+                simulated_fleet.now + 5 * SECOND, lambda: (simulated_fleet.start(n), simulation.attach(n))
             )
 
     simulated_fleet._process_output = kill_leader_at_step
-    site.add("kernel", plan(["s0", "s1"], most=1))
-    assert site.go(300, site.done) and len(killed) == 1
-    assert not site.wrong and site.most_out == 1 and len(site.taken_down_at) == 2
+    simulation.add_plan("kernel", make_plan(["s0", "s1"], most=1))
+    assert simulation.run_until(300, simulation.is_done) and len(killed) == 1
+    assert not simulation.violations and simulation.max_out_count == 1 and len(simulation.taken_down_at) == 2
     revision = work.current_revision(simulated_fleet.controllers["c5"].committed_log.state)
     assert revision == 1 + 2 * len(STEPS), "a step was taken twice, or skipped"
     for row in work.machine_rows(simulated_fleet.controllers["c5"].committed_log.state).values():
@@ -109,51 +112,59 @@
 
 
 def test_paused_leader_that_resumes_with_stale_state_changes_nothing():
-    site = Site(seed=3)
-    site.add("kernel", plan(site.standing))
-    assert site.go(60, lambda: WorkState.DRAINING in site.states().values())
-    old_leader = wait_for_leader(site)
-    site.simulated_fleet.pause(old_leader)
-    site.go(10)
-    site.simulated_fleet.resume(old_leader)
-    assert site.go(300, site.done)
-    assert not site.wrong and site.most_out <= 2
+    simulation = WorkSimulation(seed=3)
+    simulation.add_plan("kernel", make_plan(simulation.streamers))
+    assert simulation.run_until(60, lambda: WorkState.DRAINING in simulation.states().values())
+    old_leader = wait_for_leader(simulation)
+    simulation.simulated_fleet.pause(old_leader)
+    simulation.run_until(10)
+    simulation.simulated_fleet.resume(old_leader)
+    assert simulation.run_until(300, simulation.is_done)
+    assert not simulation.violations and simulation.max_out_count <= 2
 
 
 def test_permit_waits_until_a_partitioned_controller_can_no_longer_place():
-    site = Site(seed=4)
+    simulation = WorkSimulation(seed=4)
     cut = "c5"
-    site.simulated_fleet.drops_message = lambda a, b: (a == cut) != (b == cut)
-    site.add("kernel", plan(["s3"]))
-    began = site.simulated_fleet.now
-    assert site.go(15, lambda: site.states("c4").get("s3") is WorkState.DRAINING)
-    assert not site.go(15, lambda: site.taken_down_at), "taken down while c5 could still have placed there"
-    assert site.go(30, lambda: site.taken_down_at)
-    assert site.simulated_fleet.now - began > work.MAX_RECORD_AGE_NS and not site.wrong
-    assert not site.simulated_fleet.controllers[cut].exclusions(site.simulated_fleet.now)[1], (
+    simulation.simulated_fleet.drops_message = lambda a, b: (a == cut) != (b == cut)
+    simulation.add_plan("kernel", make_plan(["s3"]))
+    began = simulation.simulated_fleet.now
+    assert simulation.run_until(15, lambda: simulation.states("c4").get("s3") is WorkState.DRAINING)
+    assert not simulation.run_until(15, lambda: simulation.taken_down_at), (
+        "taken down while c5 could still have placed there"
+    )
+    assert simulation.run_until(30, lambda: simulation.taken_down_at)
+    assert simulation.simulated_fleet.now - began > work.MAX_RECORD_AGE_NS and not simulation.violations
+    assert not simulation.simulated_fleet.controllers[cut].exclusions(simulation.simulated_fleet.now)[1], (
         "it no longer places on anything"
     )
-    site.simulated_fleet.drops_message = lambda a, b: False
-    assert site.go(60, site.done) and site.simulated_fleet.controllers[cut].exclusions(
-        site.simulated_fleet.now
-    ) == (
+    simulation.simulated_fleet.drops_message = lambda a, b: False
+    assert simulation.run_until(60, simulation.is_done) and simulation.simulated_fleet.controllers[
+        cut
+    ].exclusions(simulation.simulated_fleet.now) == (
         set(),
         True,
     )
 
 
 def test_restarted_controller_places_on_nothing_before_it_knows_which_machines_drain():
-    site = Site(seed=5)
-    site.simulated_fleet.kill("c4")
-    site.simulated_fleet.drops_message = lambda a, b: "c4" in (a, b)
-    site.simulated_fleet.start("c4")
-    site.attach("c4")
-    site.simulated_fleet.run(5)
-    assert site.simulated_fleet.controllers["c4"].exclusions(site.simulated_fleet.now) == (set(), False)
-    site.simulated_fleet.drops_message = lambda a, b: False
+    simulation = WorkSimulation(seed=5)
+    simulation.simulated_fleet.kill("c4")
+    simulation.simulated_fleet.drops_message = lambda a, b: "c4" in (a, b)
+    simulation.simulated_fleet.start("c4")
+    simulation.attach("c4")
+    simulation.simulated_fleet.run(5)
+    assert simulation.simulated_fleet.controllers["c4"].exclusions(simulation.simulated_fleet.now) == (
+        set(),
+        False,
+    )
+    simulation.simulated_fleet.drops_message = lambda a, b: False
     assert (
-        site.simulated_fleet.run_until(
-            lambda: site.simulated_fleet.controllers["c4"].exclusions(site.simulated_fleet.now)[1], 20
+        simulation.simulated_fleet.run_until(
+            lambda: simulation.simulated_fleet.controllers["c4"].exclusions(simulation.simulated_fleet.now)[
+                1
+            ],
+            20,
         )
         is not None
     )
@@ -162,30 +173,31 @@
 def test_resumed_controller_does_not_take_messages_buffered_during_its_pause_for_current():
     """The first messages after a pause date from before it. The controller must not place by them on a
     machine that has been taken out since."""
-    site = Site(seed=6)
-    site.go(3)
-    site.simulated_fleet.pause("c5")
-    site.go(1)
-    site.add("kernel", plan(["s3"], needs=60 * SECOND))
-    assert site.go(60, lambda: site.taken_down_at)
-    placement_views, arrive = [], site.simulated_fleet._deliver
+    simulation = WorkSimulation(seed=6)
+    simulation.run_until(3)
+    simulation.simulated_fleet.pause("c5")
+    simulation.run_until(1)
+    simulation.add_plan("kernel", make_plan(["s3"], needs=60 * SECOND))
+    assert simulation.run_until(60, lambda: simulation.taken_down_at)
+    placement_views, arrive = [], simulation.simulated_fleet._deliver
 
     def record_view(to, packet):
         arrive(to, packet)
         if to == "c5":
             placement_views.append(
-                site.simulated_fleet.controllers["c5"].exclusions(site.simulated_fleet.now)
+                simulation.simulated_fleet.controllers["c5"].exclusions(simulation.simulated_fleet.now)
             )
 
-    site.simulated_fleet._deliver = record_view
-    site.simulated_fleet.resume("c5")
+    simulation.simulated_fleet._deliver = record_view
+    simulation.simulated_fleet.resume("c5")
     assert len(placement_views) > 10 and not any(
         may_place and "s3" not in drained for drained, may_place in placement_views
     )
     assert (
-        site.simulated_fleet.run_until(
+        simulation.simulated_fleet.run_until(
             lambda: (
-                site.simulated_fleet.controllers["c5"].exclusions(site.simulated_fleet.now) == ({"s3"}, True)
+                simulation.simulated_fleet.controllers["c5"].exclusions(simulation.simulated_fleet.now)
+                == ({"s3"}, True)
             ),
             10,
         )
@@ -194,10 +206,10 @@
 
 
 def test_report_with_a_revision_of_an_earlier_epoch_confirms_no_later_drain():
-    site = Site(seed=8)
-    lead, simulated_fleet = site.simulated_fleet.controllers["c0"], site.simulated_fleet
-    site.add("kernel", plan(["s0"]))
-    assert site.go(60, site.done) and lead.placement_reports["c5"][0].work_revision > 1
+    simulation = WorkSimulation(seed=8)
+    lead, simulated_fleet = simulation.simulated_fleet.controllers["c0"], simulation.simulated_fleet
+    simulation.add_plan("kernel", make_plan(["s0"]))
+    assert simulation.run_until(60, simulation.is_done) and lead.placement_reports["c5"][0].work_revision > 1
     # its last report, from a drain that ended long ago
     lead.placement_reports["c5"] = PlacementReport(50, {"s0": 0}), simulated_fleet.now
     simulated_fleet.drops_message = lambda a, b: "c5" in (a, b)
@@ -209,10 +221,10 @@
     late = messages.encode("arena", "c5", "c0", PlacementReport(50, {"s0": 0}), 1, 20, 0)
     simulated_fleet._deliver("c0", late)
     assert "c5" not in lead.placement_reports
-    site.taken_down_at.clear()
-    site.add("again", plan(["s0"]))
-    assert not site.go(15, lambda: site.taken_down_at), "c5 has not heard of this drain"
-    assert site.go(30, lambda: site.taken_down_at) and not site.wrong
+    simulation.taken_down_at.clear()
+    simulation.add_plan("again", make_plan(["s0"]))
+    assert not simulation.run_until(15, lambda: simulation.taken_down_at), "c5 has not heard of this drain"
+    assert simulation.run_until(30, lambda: simulation.taken_down_at) and not simulation.violations
 
 
 def make_observations(count=4, **changes):
@@ -225,7 +237,7 @@
 
 
 def test_failures_and_unplanned_drains_count_against_the_budget():
-    rack_plan = plan(["s0"], most=1, paused=False)
+    rack_plan = make_plan(["s0"], most=1, paused=False)
 
     def hold_reason(plan, **changes):
         return WorkBudget(make_observations(**changes).machines, set()).hold_reason("s0", plan)
@@ -235,11 +247,11 @@
     assert "1 unavailable, limit 1: s3" in hold_reason(rack_plan, s3={"cold": True})
     assert "this work is not the cause" in hold_reason(rack_plan, s0={"ready": False})
     assert "still warming up" in hold_reason(rack_plan, s0={"cold": True})
-    two = plan(["s0"], most=3, paused=False)
+    two = make_plan(["s0"], most=3, paused=False)
     assert "s2 in its rack is unavailable" in hold_reason(two, s2={"ready": False})
-    zone = plan(["s0"], most=3, most_rack=2, most_zone=1, paused=False)
+    zone = make_plan(["s0"], most=3, most_rack=2, most_zone=1, paused=False)
     assert "1 unavailable in its zone" in hold_reason(zone, s3={"ready": False})
-    share = plan(["s0"], most=3, most_rack=2, ready_share=0.8, paused=False)
+    share = make_plan(["s0"], most=3, most_rack=2, ready_share=0.8, paused=False)
     assert "minimum 80%" in hold_reason(share)
     assert (
         WorkScheduler().plan_hold_reason(0, {**rack_plan, "paused": True}, make_observations())
@@ -251,9 +263,9 @@
     machines = make_observations(
         s0={"titles": frozenset({"lesson"})}, s1={"titles": frozenset({"lesson"})}
     ).machines
-    reasons = work.impossible_machines(plan(["s0", "s2"], holders=2), machines)
+    reasons = work.impossible_machines(make_plan(["s0", "s2"], holders=2), machines)
     assert reasons == ["s0: lesson would have 1 ready holders where 2 are required"]
-    assert work.impossible_machines(plan(["s9"]), machines) == ["s9: no list contains it"]
+    assert work.impossible_machines(make_plan(["s9"]), machines) == ["s9: no list contains it"]
 
 
 def test_machine_that_costs_viewers_least_goes_first_and_none_starves():
@@ -261,7 +273,7 @@
     state = {
         "map": {
             work.REVISION_KEY: 1,
-            "work/plan/p": plan(["s0", "s1"], most=1, paused=False),
+            "work/plan/p": make_plan(["s0", "s1"], most=1, paused=False),
             "work/m/s0": row,
             "work/m/s1": row,
         }
@@ -278,7 +290,7 @@
 
 def test_machine_out_for_too_long_is_overdue_and_one_that_returns_by_itself_is_taken_back():
     row = {"plan": "p", "state": "out", "n": 3, "by": "leader", "rev": 2, "was": 0, "log": []}
-    state = {"map": {work.REVISION_KEY: 5, "work/plan/p": plan(["s0"], paused=False), "work/m/s0": row}}
+    state = {"map": {work.REVISION_KEY: 5, "work/plan/p": make_plan(["s0"], paused=False), "work/m/s0": row}}
     scheduler, without_s0 = WorkScheduler(), make_observations(s0={"ready": False})
     assert scheduler.next_proposals(0, state, without_s0) == []
     [(_, value)] = scheduler.next_proposals(6 * SECOND, state, without_s0)
@@ -313,9 +325,9 @@
 def test_viewers_are_redirected_evenly_to_controllers_that_are_up_and_not_draining():
     from terndrift.fleet.elsewhere import Elsewhere
 
-    site = Site(seed=4)
-    simulated_fleet = site.simulated_fleet
-    redirects = {n: Elsewhere(simulated_fleet.controllers[n], 3) for n in site.names}
+    simulation = WorkSimulation(seed=4)
+    simulated_fleet = simulation.simulated_fleet
+    redirects = {n: Elsewhere(simulated_fleet.controllers[n], 3) for n in simulation.names}
     assert redirects["c5"].choose(simulated_fleet.now) is None, "nobody has announced an address"
     for n, redirect in redirects.items():
         redirect.mine = "" if n == "c4" else f"http://{n}"
@@ -328,9 +340,10 @@
     assert sorted(redirects["c5"].places(simulated_fleet.now)) == ["c0", "c1", "c2", "c3"]
     chosen = [redirects["c5"].choose(simulated_fleet.now) for _ in range(400)]
     assert all(70 < chosen.count(f"http://c{n}") < 130 for n in range(4)), "all are equally likely"
-    site.add("own", plan(["controller:c3"], drain=SECOND))
+    simulation.add_plan("own", make_plan(["controller:c3"], drain=SECOND))
     assert (
-        simulated_fleet.run_until(lambda: site.states().get("controller:c3") is WorkState.OUT, 30) is not None
+        simulated_fleet.run_until(lambda: simulation.states().get("controller:c3") is WorkState.OUT, 30)
+        is not None
     )
     simulated_fleet.kill("c1")
     assert simulated_fleet.run_until(lambda: simulated_fleet.observers("c1", "suspect"), 30) is not None
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -8,7 +8,7 @@
 from terndrift.fleet.messages import PlacementReport
 from terndrift.fleet.room import Machine, WorkBudget
 from terndrift.fleet.work import WorkScheduler, WorkState
-from terndrift.fleet.yard import CONTROLLER_NAMES, SECOND, VOTER_NAMES, Site, plan
+from terndrift.fleet.yard import CONTROLLER_NAMES, SECOND, VOTER_NAMES, WorkSimulation, make_plan
 
 DAY_MS = 24 * 3600 * 1000
 
@@ -28,7 +28,7 @@
             "was": 0,
             **fields,
         }
-    plans = plans or {"p": plan(rows)}
+    plans = plans or {"p": make_plan(rows)}
     return {"map": map | {f"work/plan/{n}": {"paused": False, **p} for n, p in plans.items()}}
 
 
@@ -61,7 +61,9 @@
     hours, minutes = map(int, clock.split(":"))
     day_s, wall_ms = 20_000 * 86_400, 20_000 * DAY_MS + (hours * 60 + minutes) * 60_000
     ends = day_s + 20 * 3600 if clock != "23:30" else 0
-    value = plan(["s0"], **{"from": day_s + 8 * 3600, "until": ends}, quiet=["11:30-13:00", "23:00-01:00"])
+    value = make_plan(
+        ["s0"], **{"from": day_s + 8 * 3600, "until": ends}, quiet=["11:30-13:00", "23:00-01:00"]
+    )
     observed = with_reports(
         make_observations(),
         c0=PlacementReport(5, {}, wall_ms),
@@ -87,7 +89,7 @@
     for begun, changes in (("go on", {}), ("back", {"s0": WorkState.WAITING.value})):
         scheduler, observed = WorkScheduler(), with_reports(make_observations(), **load)
         observed.controller_names = frozenset(load)
-        value = plan(rows, overload=0.1, begun=begun, most=2)
+        value = make_plan(rows, overload=0.1, begun=begun, most=2)
         assert next_states(scheduler, 0, make_state(rows, {"p": value}), observed) == changes
         if not changes:
             assert scheduler.hold_reasons["s1"] == "40% of viewer requests are rejected (limit 10%)"
@@ -215,7 +217,7 @@
         scheduler.next_proposals(0, state, make_observations()) == []
         and "an operator must run" in scheduler.hold_reasons["s2"]
     )
-    new, _ = work.propose_plan(state, plan(["s0"], most=1), "new", "ops"), None
+    new, _ = work.propose_plan(state, make_plan(["s0"], most=1), "new", "ops"), None
     state = {"map": {**state["map"], **{k: v for k, v in new[1].items() if k != "?"}}}
     assert (
         scheduler.next_proposals(0, state, make_observations()) == []
@@ -238,7 +240,7 @@
         }
         return WorkBudget({**make_observations().machines, **controllers}, set(in_work))
 
-    value = plan([], most_controllers=2)
+    value = make_plan([], most_controllers=2)
     assert (
         make_budget().hold_reason("controller:c0", value)
         == make_budget().hold_reason("controller:c4", value)
@@ -253,18 +255,18 @@
     assert "2 controllers unavailable" in make_budget({"controller:c1"}, c3=False).hold_reason(
         "controller:c4", value
     )
-    assert make_budget({"controller:c1"}).hold_reason("s0", plan(["s0"])) == "", (
+    assert make_budget({"controller:c1"}).hold_reason("s0", make_plan(["s0"])) == "", (
         "streamers are counted separately"
     )
     assert "not available" in make_budget(c4=False).hold_reason("controller:c4", value)
 
 
 def test_controller_drains_gives_up_leadership_gets_a_permit_and_is_taken_back_after_its_restart():
-    site = Site(seed=7)
-    simulated_fleet = site.simulated_fleet
-    site.add(
+    simulation = WorkSimulation(seed=7)
+    simulated_fleet = simulation.simulated_fleet
+    simulation.add_plan(
         "own",
-        plan([f"controller:{n}" for n in CONTROLLER_NAMES], most_controllers=1, drain=3 * SECOND),
+        make_plan([f"controller:{n}" for n in CONTROLLER_NAMES], most_controllers=1, drain=3 * SECOND),
     )
     restarted, led_while_draining = [], []
 
@@ -272,7 +274,7 @@
         for name in CONTROLLER_NAMES:
             c = simulated_fleet.controllers.get(name)
             if c and f"controller:{name}" in c.exclusions(simulated_fleet.now)[0]:
-                site.playbacks[name] = []
+                simulation.playbacks[name] = []
                 if (
                     simulated_fleet.now - told_at.setdefault(name, simulated_fleet.now) > 3 * SECOND
                     and c.leader() == name
@@ -288,12 +290,12 @@
                 simulated_fleet.kill(name)
                 simulated_fleet.schedule(
                     simulated_fleet.now + 2 * SECOND,
-                    lambda n=name: (simulated_fleet.start(n), site.attach(n)),
+                    lambda n=name: (simulated_fleet.start(n), simulation.attach(n)),
                 )
         return len(rows) == 6 and all(r["state"] == "done" for r in rows.values())
 
     told_at, voters_down = {}, []
-    assert site.go(
+    assert simulation.run_until(
         400,
         lambda: (
             voters_down.append(sum(v not in simulated_fleet.controllers for v in VOTER_NAMES))
@@ -305,7 +307,7 @@
 
 def test_estimated_starts_follow_the_order_and_the_budgets():
     rows = {f"s{n}": (WorkState.WAITING, {}) for n in range(4)}
-    state = make_state(rows, {"p": plan(rows, most=2, ready_share=0.0)})  # each takes 6 + 4 + 2 s
+    state = make_state(rows, {"p": make_plan(rows, most=2, ready_share=0.0)})  # each takes 6 + 4 + 2 s
     assert WorkScheduler().estimate_starts(0, state, make_observations()) == {
         "s0": 0.0,
         "s1": 0.0,
@@ -313,14 +315,14 @@
         "s3": 12.0,
     }
     rows["s0"] = WorkState.OUT, {}
-    scheduler, state = WorkScheduler(), make_state(rows, {"p": plan(rows, most=1, ready_share=0.0)})
+    scheduler, state = WorkScheduler(), make_state(rows, {"p": make_plan(rows, most=1, ready_share=0.0)})
     scheduler.next_proposals(0, state, make_observations())
     assert scheduler.estimate_starts(4 * SECOND, state, make_observations()) == {
         "s1": 2.0,
         "s3": 14.0,
         "s2": 26.0,
     }, "s2 is the only machine left in its rack"
-    paused = make_state(rows, {"p": plan(rows, most=1, paused=True)})
+    paused = make_state(rows, {"p": make_plan(rows, most=1, paused=True)})
     assert set(scheduler.estimate_starts(0, paused, make_observations()).values()) == {None}
 
 
@@ -338,8 +340,8 @@
 def test_second_plan_for_a_machine_is_refused_even_if_both_are_proposed_from_the_same_revision():
     empty = {"map": {}}
     first, second = (
-        work.propose_plan(empty, plan(["s0"]), "a", "ops"),
-        work.propose_plan(empty, plan(["s0", "s1"]), "b", "ops"),
+        work.propose_plan(empty, make_plan(["s0"]), "a", "ops"),
+        work.propose_plan(empty, make_plan(["s0", "s1"]), "b", "ops"),
     )
     from terndrift.fleet.committed_state import apply_entry, initial_state
     from terndrift.fleet.messages import Entry
