--- a/benchmarks/work.py
+++ b/benchmarks/work.py
@@ -8,8 +8,8 @@
 import sys
 import time
 
-from terndrift.fleet import work
-from terndrift.fleet.yard import SECOND, WorkSimulation, make_plan
+from terndrift.fleet import planned_work
+from terndrift.fleet.work_simulation import SECOND, WorkSimulation, make_plan
 
 DRAIN, NEEDS, WARM = 6, 4, 2  # s
 
@@ -33,7 +33,7 @@
     # a playback lasts 1 to 4 s here, and the worker holds a machine for 2 s
     least = 4 + 2 + WARM
     bound = math.ceil(streamers / min(most, racks * value["most_rack"])) * least
-    entries = work.current_revision(simulated_fleet.controllers[names[-1]].committed_log.state)
+    entries = planned_work.current_revision(simulated_fleet.controllers[names[-1]].committed_log.state)
     return {
         "controllers": controllers,
         "streamers": streamers,
--- a/terndrift/audit/fleet.py
+++ b/terndrift/audit/fleet.py
@@ -4,7 +4,7 @@
 
 from terndrift.audit.judge import APART, controller_of
 from terndrift.audit.seconds import played
-from terndrift.fleet.work import TRANSITIONS, WorkState
+from terndrift.fleet.planned_work import TRANSITIONS, WorkState
 
 SECOND = 1_000_000_000
 # A death told so long after the last disturbance of either side is told of one who was there and could be
--- a/terndrift/cli/timeline.py
+++ b/terndrift/cli/timeline.py
@@ -1,6 +1,6 @@
 """A time line of planned work, by rack: PNG, matplotlib."""
 
-from terndrift.fleet.work import WorkState
+from terndrift.fleet.planned_work import WorkState
 
 COLOURS = {
     WorkState.WAITING: "#dddddd",
--- a/terndrift/cli/work.py
+++ b/terndrift/cli/work.py
@@ -9,9 +9,9 @@
 from terndrift import records
 from terndrift.cli.fleet import AS_JSON, got, rows
 from terndrift.cli.stored import address, ask, fail, shown
-from terndrift.fleet import work as agreed
-from terndrift.fleet.room import CONTROLLER_PREFIX, Machine
-from terndrift.fleet.work import WorkState
+from terndrift.fleet import planned_work
+from terndrift.fleet.planned_work import WorkState
+from terndrift.fleet.work_budget import CONTROLLER_PREFIX, Machine
 
 TRIES = 5  # an act is worked out anew if another one was agreed meanwhile
 # s for which what does not fit is read anew: a controller asks for what is agreed every 2 s at the latest.
@@ -113,15 +113,15 @@
     def made(state, found):
         machines = machines_of(found)
         value = {**make(state), "machines": expanded(names, machines)}
-        impossible = agreed.impossible_machines(value, machines)
+        impossible = planned_work.impossible_machines(value, machines)
         left = [line for line in impossible if not any(line.startswith(f"{a}: ") for a in allow)]
         if left:
             fail("this plan could never go on:\n" + "\n".join(left), 2)
         value["machines"] = [m for m in value["machines"] if m not in allow]
-        if taken := agreed.names_in_active_plans(state, value["machines"]):
+        if taken := planned_work.names_in_active_plans(state, value["machines"]):
             raise Unfit(f"already in another plan: {', '.join(taken)}")
         wanted.append(len(value["machines"]))
-        return agreed.propose_plan(state, value, name, who(), wall())
+        return planned_work.propose_plan(state, value, name, who(), wall())
 
     wanted = []
     act(admin, made)
@@ -145,7 +145,7 @@
     name = value.pop("name")
 
     def make(state):
-        if name in agreed.plans_by_name(state):
+        if name in planned_work.plans_by_name(state):
             fail(f"there is a plan '{name}' already; `work add` puts more machines into it", 2)
         return value
 
@@ -153,7 +153,7 @@
 
 
 def _known(state, name):
-    found = agreed.plans_by_name(state).get(name)
+    found = planned_work.plans_by_name(state).get(name)
     if found is None:
         raise Unfit(f"no plan '{name}'")
     return found
@@ -171,12 +171,14 @@
 
 def marked(admin, machine, to):
     def make(state, found):
-        row = agreed.machine_rows(state).get(machine)
+        row = planned_work.machine_rows(state).get(machine)
         if row is None:
             raise Unfit(f"no plan names '{machine}'")
-        if to not in agreed.TRANSITIONS[WorkState(row["state"])]:
+        if to not in planned_work.TRANSITIONS[WorkState(row["state"])]:
             raise Unfit(f"{machine} is {row['state']}; it can't become {to.value} from there")
-        return agreed.propose_step(agreed.current_revision(state), machine, row, to, who(), wall())
+        return planned_work.propose_step(
+            planned_work.current_revision(state), machine, row, to, who(), wall()
+        )
 
     act(admin, make)
     click.echo(f"{machine}: {to.value}")
@@ -201,18 +203,20 @@
 
 def _plan(admin, name, change):
     def make(state, _):
-        r = agreed.current_revision(state)
+        r = planned_work.current_revision(state)
         value = {
-            "?": {agreed.REVISION_KEY: r},
-            agreed.REVISION_KEY: r + 1,
+            "?": {planned_work.REVISION_KEY: r},
+            planned_work.REVISION_KEY: r + 1,
             f"work/plan/{name}": {**_known(state, name), **change, "by": who(), "at": wall()},
         }
         if change.get("withdrawn"):
-            for machine, row in agreed.machine_rows(state).items():
+            for machine, row in planned_work.machine_rows(state).items():
                 here = WorkState(row["state"])
-                back = WorkState.GIVEN_BACK in agreed.TRANSITIONS[here] and here is not WorkState.OVERDUE
+                back = (
+                    WorkState.GIVEN_BACK in planned_work.TRANSITIONS[here] and here is not WorkState.OVERDUE
+                )
                 if row["plan"] == name and back:
-                    _, one = agreed.propose_step(r, machine, row, WorkState.GIVEN_BACK, who(), wall())
+                    _, one = planned_work.propose_step(r, machine, row, WorkState.GIVEN_BACK, who(), wall())
                     value[f"work/m/{machine}"] = one[f"work/m/{machine}"]
         return f"work/plan/{name}/{r}", value
 
@@ -244,7 +248,7 @@
 
 
 def listed(found):
-    table = agreed.machine_rows({"map": found["map"]})
+    table = planned_work.machine_rows({"map": found["map"]})
     out = [("machine", "plan", "state", "step", "by", "likely in s", "waits for")]
     for m, r in sorted(table.items()):
         likely = found["likely_s"].get(m)
@@ -279,8 +283,8 @@
         if plain:
             state = {"map": found["map"]}
             value = {
-                "machines": agreed.machine_rows(state),
-                "plans": agreed.plans_by_name(state),
+                "machines": planned_work.machine_rows(state),
+                "plans": planned_work.plans_by_name(state),
                 "why": found["why"],
                 "likely_s": found["likely_s"],
                 "left": found["left"],
@@ -312,7 +316,7 @@
             "name": name,
             **found,
             "steps": {
-                m: r["log"] for m, r in sorted(agreed.machine_rows(state).items()) if r["plan"] == name
+                m: r["log"] for m, r in sorted(planned_work.machine_rows(state).items()) if r["plan"] == name
             },
         },
     )
@@ -325,7 +329,7 @@
 def report(admin, out, plain):
     """How long each machine was in each state, by rack, and when; clocks are those of who took the steps."""
     found = got(admin, "/fleet/work")
-    spans = agreed.state_spans({"map": found["map"]}, wall())
+    spans = planned_work.state_spans({"map": found["map"]}, wall())
     racks = {
         m: f"rack {row['rack']}" if not m.startswith(CONTROLLER_PREFIX) else "controllers"
         for m, row in found["machines"].items()
@@ -367,7 +371,7 @@
 def why(admin, machine):
     """What MACHINE waits for, in a sentence."""
     found = got(admin, "/fleet/work")
-    row = agreed.machine_rows({"map": found["map"]}).get(machine)
+    row = planned_work.machine_rows({"map": found["map"]}).get(machine)
     if row is None:
         fail(f"no plan names '{machine}'", 2)
     waits = found["why"].get(machine) or ("" if found["leads"] else f"ask the leader, {found['leader']}")
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -27,9 +27,9 @@
 from collections import Counter, deque
 
 from terndrift.fleet.messages import LeaseRequest, LeaseResponse
+from terndrift.fleet.planned_work import MAX_CLOCK_DRIFT
 from terndrift.fleet.raft import ELECTION_TIMEOUT
 from terndrift.fleet.recent_counts import WINDOW_SECONDS, CountsBySecond
-from terndrift.fleet.work import MAX_CLOCK_DRIFT
 
 NS_PER_MS = 1_000_000
 SECOND = 1000 * NS_PER_MS
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -6,7 +6,7 @@
 `on_durable` that the record is durable: no vote or confirmation may rest on records that a crash could lose.
 """
 
-from terndrift.fleet import messages, ranks, work
+from terndrift.fleet import messages, planned_work, ranks
 from terndrift.fleet.committed_state import CommittedLog
 from terndrift.fleet.copies import Copies
 from terndrift.fleet.leases import ASK, Leases
@@ -26,8 +26,8 @@
     PullResponse,
 )
 from terndrift.fleet.raft import ELECTION_TIMEOUT, Role, Voter
-from terndrift.fleet.room import CONTROLLER_PREFIX, Machine
 from terndrift.fleet.warm import Known
+from terndrift.fleet.work_budget import CONTROLLER_PREFIX, Machine
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -74,7 +74,7 @@
         self.pending_proposals = {}  # id -> [value, time of the next retry, retries]
         self.started_at, self.next_pull_at = now, now
         # Planned work on machines. placement_reports: member -> (PlacementReport, time received)
-        self.work_scheduler, self.next_work_at, self.placement_reports = work.WorkScheduler(), now, {}
+        self.work_scheduler, self.next_work_at, self.placement_reports = planned_work.WorkScheduler(), now, {}
         # Set by the host. list_machines(): name -> Machine of its list; count_placements(names): name ->
         # playbacks and set-ups there; wall_ms(): ms since 1970; recent_requests(now): recent (requests,
         # turned away); failing_machines(names): those at which set-ups fail
@@ -237,21 +237,24 @@
         if self.off_cache[0] != cache_key:  # read for each set-up, but changed only by a committed entry
             self.off_cache = (
                 cache_key,
-                work.names_without_placement(self.committed_log.state) | set(self.out_in_earlier_epoch),
+                planned_work.names_without_placement(self.committed_log.state)
+                | set(self.out_in_earlier_epoch),
             )
-        return self.off_cache[1], work.is_fresh_enough_to_place(self.committed_log.age(now))
+        return self.off_cache[1], planned_work.is_fresh_enough_to_place(self.committed_log.age(now))
 
     def _run_work(self, now):
         """Reports to the voters what is held on excluded machines; as the leader, proposes the next step."""
         self.next_work_at = now + WORK_INTERVAL
         state, own_machine = self.committed_log.state, CONTROLLER_PREFIX + self.own_name
-        off, table = self.exclusions(now)[0], work.machine_rows(state)
-        if off or any(work.WorkState(row["state"]) not in work.ENDED_STATES for row in table.values()):
+        off, table = self.exclusions(now)[0], planned_work.machine_rows(state)
+        if off or any(
+            planned_work.WorkState(row["state"]) not in planned_work.ENDED_STATES for row in table.values()
+        ):
             placement_report = self._placement_report(now, state, off, table)
             self.placement_reports[self.own_name] = placement_report, now
             self._enqueue(now, [(v, placement_report) for v in self.voter_names if v != self.own_name])
         if self.voter and self.voter.role is Role.LEADER:
-            self.led_work_rev = work.current_revision(state)
+            self.led_work_rev = planned_work.current_revision(state)
             if own_machine in off:
                 return self.voter.transfer_leadership(
                     now
@@ -261,15 +264,19 @@
         return None
 
     def _placement_report(self, now, state, off, table):
-        waiting = [name for name, row in table.items() if row["state"] == work.WorkState.WAITING.value]
+        waiting = [
+            name for name, row in table.items() if row["state"] == planned_work.WorkState.WAITING.value
+        ]
         counts, bytes_left = self.count_placements(sorted(off)), MAX_WAITING_COUNT_BYTES
         for name, count in sorted(self.count_placements(waiting).items(), key=lambda x: (-x[1], x[0])):
             if not count or (bytes_left := bytes_left - len(name) - 4) < 0:
                 break
             counts[name] = count
-        warming = [name for name, row in table.items() if row["state"] == work.WorkState.WARMING_UP.value]
+        warming = [
+            name for name, row in table.items() if row["state"] == planned_work.WorkState.WARMING_UP.value
+        ]
         return PlacementReport(
-            work.current_revision(state),
+            planned_work.current_revision(state),
             counts,
             self.wall_ms(),
             *self.recent_requests(now),
@@ -320,7 +327,7 @@
 
     def work_view(self):
         """Returns what the leader goes by in planned work, beside the record."""
-        return work.WorkObservations(
+        return planned_work.WorkObservations(
             self.all_machines(), frozenset(self.configured_names), self.placement_reports, self.wall_ms()
         )
 
@@ -345,11 +352,11 @@
         state = self.committed_log.state
         if self.committed_log.epoch != self.last_epoch:
             if self.last_epoch[0]:
-                self.out_in_earlier_epoch |= work.rows_in_budget({"map": self.last_map})
+                self.out_in_earlier_epoch |= planned_work.rows_in_budget({"map": self.last_map})
             self.last_epoch, self.placement_reports, self.work_scheduler = (
                 self.committed_log.epoch,
                 {},
-                work.WorkScheduler(),
+                planned_work.WorkScheduler(),
             )
         self.last_map = state["map"]
         if self.out_in_earlier_epoch:
@@ -358,7 +365,7 @@
             }
 
     def _has_work(self):
-        return bool(self.out_in_earlier_epoch) or work.REVISION_KEY in self.committed_log.state["map"]
+        return bool(self.out_in_earlier_epoch) or planned_work.REVISION_KEY in self.committed_log.state["map"]
 
     def _refresh_record(self, now):
         """Pulls the record when the copy here is old: from the leader if known, else from a voter in turn."""
@@ -418,7 +425,10 @@
         if voter:
             voter.adopt_newer_epoch(now)
             self.leases.led(now, voter.role is Role.LEADER and (committed_log.epoch, voter.persistent.term))
-            if voter.role is Role.LEADER and work.current_revision(committed_log.state) != self.led_work_rev:
+            if (
+                voter.role is Role.LEADER
+                and planned_work.current_revision(committed_log.state) != self.led_work_rev
+            ):
                 self.next_work_at = now  # a step was committed: the next one need not wait for the interval
             self.pending_writes += voter.pending_writes
             voter.pending_writes, self.write_count = [], voter.write_count
--- a/terndrift/fleet/model_checker.py
+++ b/terndrift/fleet/model_checker.py
@@ -4,8 +4,8 @@
 voter's timer fires, time passes, a value is proposed, a voter crashes before or after its writes are
 durable, or it restarts with its stored state or with none. A message that is never delivered is lost.
 States are told apart by their hashes. The search is breadth-first, so the path to a violation is the
-shortest one. `InvariantViolationError` names the invariants. `permits` uses the search for a checker of its
-own.
+shortest one. `InvariantViolationError` names the invariants. `permit_checker` uses the search for a checker
+of its own.
 """
 
 from collections import deque
--- a/terndrift/fleet/permits.py
+++ b/terndrift/fleet/permit_checker.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from terndrift.fleet import work
+from terndrift.fleet import planned_work
 from terndrift.fleet.committed_state import CommittedLog, apply_entry, initial_state
 from terndrift.fleet.messages import Entry, PlacementReport, PullResponse
 from terndrift.fleet.model_checker import InvariantViolationError, copy_node, search
-from terndrift.fleet.room import Machine
+from terndrift.fleet.work_budget import Machine
 
-SECOND = work.SECOND
+SECOND = planned_work.SECOND
 MACHINE, EPOCH = "m", (1, "e")
 PLAN = {
     "machines": [MACHINE],
@@ -35,8 +35,9 @@
 }
 # Clock seconds per true second: the leader's clock runs 2% faster than that of a; b's is between the two.
 CLOCK_RATES = {"leader": 1.02, "a": 1.0, "b": 1.01}
-# ns that pass in one step: nearly half of work.MAX_RECORD_AGE_NS, and about the error that drift adds to it.
-TIME_STEPS_NS = (49 * work.MAX_RECORD_AGE_NS // 100, 6 * SECOND // 5)
+# ns that pass in one step: nearly half of planned_work.MAX_RECORD_AGE_NS, and about the error that drift adds
+# to it.
+TIME_STEPS_NS = (49 * planned_work.MAX_RECORD_AGE_NS // 100, 6 * SECOND // 5)
 FAULTS = (
     "permit before the last confirmation",
     "limit counted from when the work was planned",
@@ -47,7 +48,7 @@
 decode_message = msgspec.msgpack.Decoder(PlacementReport | PullResponse).decode
 
 
-class FaultyWorkScheduler(work.WorkScheduler):
+class FaultyWorkScheduler(planned_work.WorkScheduler):
     """The leader's scheduler, with `fault` injected if it is one of the first two FAULTS."""
 
     fault, planned_at = None, 0
@@ -102,7 +103,7 @@
 
     def machine_row(self):
         """Return the machine's row in the leader's copy of the record."""
-        return work.machine_rows(self.followers["leader"].state)[MACHINE]
+        return planned_work.machine_rows(self.followers["leader"].state)[MACHINE]
 
     def key(self):
         """Return the hash by which the search recognises states that it has visited."""
@@ -143,7 +144,7 @@
     def start(self):
         """Return the first world: the plan is agreed and every process knows it."""
         state = initial_state(EPOCH)
-        id, value = work.propose_plan(state, PLAN, "p", "ops")
+        id, value = planned_work.propose_plan(state, PLAN, "p", "ops")
         apply_entry(state, 1, Entry(1, "value", id, value))
         world = World({}, self.work_class(), **self.bounds)
         for name in CLOCK_RATES:
@@ -200,12 +201,14 @@
         if world.pulls_left:
             yield f"{name} pulls", lambda: self.pull(world, name)
         drained, may_place = (
-            work.names_without_placement(follower.state),
-            work.is_fresh_enough_to_place(follower.age(now)),
+            planned_work.names_without_placement(follower.state),
+            planned_work.is_fresh_enough_to_place(follower.age(now)),
         )
         if drained and world.reports_left:
             counts = {m: int(name in world.playing) for m in drained}
-            data = msgspec.msgpack.encode(PlacementReport(work.current_revision(follower.state), counts))
+            data = msgspec.msgpack.encode(
+                PlacementReport(planned_work.current_revision(follower.state), counts)
+            )
             yield (
                 f"{name} reports",
                 lambda: [
@@ -245,7 +248,10 @@
 
     def has_permit(self, world):
         """Whether workers may take the machine down now."""
-        return work.WorkState(world.machine_row()["state"]) in (work.WorkState.OUT, work.WorkState.OVERDUE)
+        return planned_work.WorkState(world.machine_row()["state"]) in (
+            planned_work.WorkState.OUT,
+            planned_work.WorkState.OVERDUE,
+        )
 
     def place(self, world, name):
         """A controller places on the machine; raises InvariantViolationError if there is a permit."""
@@ -308,7 +314,7 @@
             copy_node(world.followers["leader"]),
             world.now("leader"),
         )
-        observed = work.WorkObservations(
+        observed = planned_work.WorkObservations(
             {MACHINE: Machine(MACHINE, 0, "", 1.0, True, 0)}, frozenset("ab"), world.placement_reports
         )
         while steps := leader_scheduler.next_proposals(now, follower.state, observed):
--- a/terndrift/fleet/work.py
+++ b/terndrift/fleet/planned_work.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from statistics import median_low
 
-from terndrift.fleet.room import WorkBudget, controller_name
+from terndrift.fleet.work_budget import WorkBudget, controller_name
 
 SECOND = 1_000_000_000
 REVISION_KEY = "work/rev"
@@ -82,7 +82,7 @@
 class WorkObservations:
     """What the leader observes besides the agreed record."""
 
-    machines: dict  # name -> room.Machine
+    machines: dict  # name -> work_budget.Machine
     controller_names: frozenset  # all controllers that may place, as configured
     # controller -> (messages.PlacementReport, time received)
     placement_reports: dict = field(default_factory=dict)
--- a/terndrift/fleet/ranks.py
+++ b/terndrift/fleet/ranks.py
@@ -23,7 +23,7 @@
 no current state. tests/test_warm.py checks combinations of views.
 """
 
-from terndrift.fleet.work import (
+from terndrift.fleet.planned_work import (
     MAX_CLOCK_DRIFT,
     MAX_DETECTION_DELAY_NS,
     MAX_RECORD_AGE_NS,
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -25,12 +25,12 @@
 from terndrift.fleet.elsewhere import Elsewhere
 from terndrift.fleet.member import Controller
 from terndrift.fleet.messages import MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, decode
+from terndrift.fleet.planned_work import REVISION_KEY
 from terndrift.fleet.raft import PersistentState
 from terndrift.fleet.sight import Kept
 from terndrift.fleet.site import OfLate
 from terndrift.fleet.stages import HOLDS, Return
 from terndrift.fleet.surge import LOOKS
-from terndrift.fleet.work import REVISION_KEY
 from terndrift.http.client import Broken, Pool, Unreached, fetch
 from terndrift.http.server import Server
 from terndrift.store.commit import Committer
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -10,8 +10,8 @@
 
 from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet.membership import Standing
+from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS, is_fresh_enough_to_place
 from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
-from terndrift.fleet.work import MAX_RECORD_AGE_NS, is_fresh_enough_to_place
 
 # Mean rate of bytes that saving may write to the disk, and the least time between saves.
 SAVE_BYTES_PER_SECOND, MIN_SAVE_INTERVAL_NS = 4096, 10 * SECOND
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 
 from terndrift.core.active_playback import AnswerKind, PlaybackStage
-from terndrift.fleet.room import CONTROLLER_PREFIX, Machine
-from terndrift.fleet.work import machine_rows, plans_by_name, should_restart
+from terndrift.fleet.planned_work import machine_rows, plans_by_name, should_restart
+from terndrift.fleet.work_budget import CONTROLLER_PREFIX, Machine
 from terndrift.interface import Ending
 from terndrift.listing.lines import worst
 
--- a/terndrift/fleet/room.py
+++ b/terndrift/fleet/work_budget.py
@@ -2,8 +2,8 @@
 
 A budget counts every unavailable machine, whatever the cause: planned work until the machine has warmed up,
 failures, drains by another source, and machines that are back and still cold. Used by
-`terndrift.fleet.work`, whose leader checks it before a drain begins. This module does no I/O and changes
-nothing.
+`terndrift.fleet.planned_work`, whose leader checks it before a drain begins. This module does no I/O and
+changes nothing.
 """
 
 from collections import Counter
--- a/terndrift/fleet/yard.py
+++ b/terndrift/fleet/work_simulation.py
@@ -7,10 +7,10 @@
 
 import random
 
-from terndrift.fleet import work
-from terndrift.fleet.room import Machine
+from terndrift.fleet import planned_work
+from terndrift.fleet.planned_work import WorkState
 from terndrift.fleet.simulated_fleet import SimulatedFleet
-from terndrift.fleet.work import WorkState
+from terndrift.fleet.work_budget import Machine
 
 SECOND = 1_000_000_000
 CONTROLLER_NAMES = [f"c{n}" for n in range(6)]
@@ -91,14 +91,14 @@
 
     def states(self, through=None):
         """Return {machine: WorkState} by one controller's copy of the record, by default the last one's."""
-        rows = work.machine_rows(
+        rows = planned_work.machine_rows(
             self.simulated_fleet.controllers[through or self.names[-1]].committed_log.state
         )
         return {m: WorkState(row["state"]) for m, row in rows.items()}
 
     def add_plan(self, name, value, through="c4"):
         """Propose a plan through a controller and wait until it is applied there."""
-        id, entry_value = work.propose_plan(
+        id, entry_value = planned_work.propose_plan(
             self.simulated_fleet.controllers[through].committed_log.state, value, name, "ops"
         )
         self.simulated_fleet.call_controller(through, "propose", id, entry_value)
@@ -147,7 +147,7 @@
                 self.last_read[name] = c.committed_log.last_index
                 permits |= {
                     (m, row["n"])
-                    for m, row in work.machine_rows(c.committed_log.state).items()
+                    for m, row in planned_work.machine_rows(c.committed_log.state).items()
                     if row["state"] == WorkState.OUT.value and m in self.streamers
                 }
         permits -= self.taken_down_at.keys()
@@ -174,4 +174,4 @@
     def is_done(self):
         """Whether the work on all machines of all plans has ended."""
         states = self.states()
-        return bool(states) and all(s in work.ENDED_STATES for s in states.values())
+        return bool(states) and all(s in planned_work.ENDED_STATES for s in states.values())
--- a/terndrift/rehearse/working.py
+++ b/terndrift/rehearse/working.py
@@ -6,8 +6,8 @@
 import random
 import time
 
-from terndrift.fleet import work
-from terndrift.fleet.room import CONTROLLER_PREFIX, controller_name
+from terndrift.fleet import planned_work
+from terndrift.fleet.work_budget import CONTROLLER_PREFIX, controller_name
 
 SECOND = 1_000_000_000
 LOOK = 0.2  # s between looks at what is agreed
@@ -71,20 +71,20 @@
         def handed_over(state):
             return (
                 None
-                if work.plans_by_name(state)
-                else work.propose_plan(state, plan, "rehearsed", "runner", _wall())
+                if planned_work.plans_by_name(state)
+                else planned_work.propose_plan(state, plan, "rehearsed", "runner", _wall())
             )
 
         await self._propose(handed_over)
         touching, table = [], {}
         while not self._late():
-            table = work.machine_rows(await self._state()) or table
+            table = planned_work.machine_rows(await self._state()) or table
             for name, row in table.items():
-                if row["state"] == work.WorkState.OUT.value and name not in self.out:
+                if row["state"] == planned_work.WorkState.OUT.value and name not in self.out:
                     self.out[name] = row["n"]
                     touching.append(asyncio.ensure_future(self._touched(name)))
             if len(table) == len(plan["machines"]) and all(
-                work.WorkState(row["state"]) in work.ENDED_STATES for row in table.values()
+                planned_work.WorkState(row["state"]) in planned_work.ENDED_STATES for row in table.values()
             ):
                 break
             await asyncio.sleep(LOOK)
@@ -97,11 +97,20 @@
         await self._touch(name)
 
         def done(state):
-            row = work.machine_rows(state).get(name)
-            if row is None or work.WorkState.RETURNING not in work.TRANSITIONS[work.WorkState(row["state"])]:
+            row = planned_work.machine_rows(state).get(name)
+            if (
+                row is None
+                or planned_work.WorkState.RETURNING
+                not in planned_work.TRANSITIONS[planned_work.WorkState(row["state"])]
+            ):
                 return None  # its own start has told already
-            return work.propose_step(
-                work.current_revision(state), name, row, work.WorkState.RETURNING, "runner", _wall()
+            return planned_work.propose_step(
+                planned_work.current_revision(state),
+                name,
+                row,
+                planned_work.WorkState.RETURNING,
+                "runner",
+                _wall(),
             )
 
         await self._propose(done)
@@ -156,8 +165,10 @@
             if self._late():
                 break
             await asyncio.gather(*(self._by_hand(name) for name in group))
-            states.update(dict.fromkeys(group, work.WorkState.DONE.value))
-        return {name: states.get(name, work.WorkState.WAITING.value) for name in streamers + controllers}
+            states.update(dict.fromkeys(group, planned_work.WorkState.DONE.value))
+        return {
+            name: states.get(name, planned_work.WorkState.WAITING.value) for name in streamers + controllers
+        }
 
     async def _by_hand(self, name):
         if controller_name(name) is None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -187,8 +187,8 @@
     from types import SimpleNamespace as Namespace
 
     from terndrift.fleet.member import Controller
+    from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS
     from terndrift.fleet.sight import Kept, Sight
-    from terndrift.fleet.work import MAX_RECORD_AGE_NS
 
     def sight(at, kept):
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from terndrift.fleet import messages, work
+from terndrift.fleet import messages, planned_work
 from terndrift.fleet.messages import PlacementReport
+from terndrift.fleet.planned_work import WorkObservations, WorkScheduler, WorkState
 from terndrift.fleet.raft import Role
-from terndrift.fleet.room import Machine, WorkBudget
-from terndrift.fleet.work import WorkObservations, WorkScheduler, WorkState
-from terndrift.fleet.yard import SECOND, WorkSimulation, make_plan
+from terndrift.fleet.work_budget import Machine, WorkBudget
+from terndrift.fleet.work_simulation import SECOND, WorkSimulation, make_plan
 
 
 def test_plan_for_all_machines_completes_within_budget_and_takes_down_no_machine_with_playbacks():
@@ -25,7 +25,7 @@
 SIMULATION_SCRIPT = """
 import sys, zlib
 sys.path[:0] = {0!r}
-from terndrift.fleet.yard import WorkSimulation, make_plan
+from terndrift.fleet.work_simulation import WorkSimulation, make_plan
 simulation = WorkSimulation(seed=4)
 checksum, before, send = [0], 0, simulation.simulated_fleet._send
 def recorded(n, to, packet):
@@ -105,9 +105,9 @@
     simulation.add_plan("kernel", make_plan(["s0", "s1"], most=1))
     assert simulation.run_until(300, simulation.is_done) and len(killed) == 1
     assert not simulation.violations and simulation.max_out_count == 1 and len(simulation.taken_down_at) == 2
-    revision = work.current_revision(simulated_fleet.controllers["c5"].committed_log.state)
+    revision = planned_work.current_revision(simulated_fleet.controllers["c5"].committed_log.state)
     assert revision == 1 + 2 * len(STEPS), "a step was taken twice, or skipped"
-    for row in work.machine_rows(simulated_fleet.controllers["c5"].committed_log.state).values():
+    for row in planned_work.machine_rows(simulated_fleet.controllers["c5"].committed_log.state).values():
         assert [s for s, _, _ in row["log"]] == ["waiting", *(s.value for s in STEPS)]
 
 
@@ -134,7 +134,9 @@
         "taken down while c5 could still have placed there"
     )
     assert simulation.run_until(30, lambda: simulation.taken_down_at)
-    assert simulation.simulated_fleet.now - began > work.MAX_RECORD_AGE_NS and not simulation.violations
+    assert (
+        simulation.simulated_fleet.now - began > planned_work.MAX_RECORD_AGE_NS and not simulation.violations
+    )
     assert not simulation.simulated_fleet.controllers[cut].exclusions(simulation.simulated_fleet.now)[1], (
         "it no longer places on anything"
     )
@@ -263,16 +265,16 @@
     machines = make_observations(
         s0={"titles": frozenset({"lesson"})}, s1={"titles": frozenset({"lesson"})}
     ).machines
-    reasons = work.impossible_machines(make_plan(["s0", "s2"], holders=2), machines)
+    reasons = planned_work.impossible_machines(make_plan(["s0", "s2"], holders=2), machines)
     assert reasons == ["s0: lesson would have 1 ready holders where 2 are required"]
-    assert work.impossible_machines(make_plan(["s9"]), machines) == ["s9: no list contains it"]
+    assert planned_work.impossible_machines(make_plan(["s9"]), machines) == ["s9: no list contains it"]
 
 
 def test_machine_that_costs_viewers_least_goes_first_and_none_starves():
     row = {"plan": "p", "state": "waiting", "n": 0, "by": "ops", "log": []}
     state = {
         "map": {
-            work.REVISION_KEY: 1,
+            planned_work.REVISION_KEY: 1,
             "work/plan/p": make_plan(["s0", "s1"], most=1, paused=False),
             "work/m/s0": row,
             "work/m/s1": row,
@@ -283,14 +285,20 @@
     scheduler = WorkScheduler()
     [(id, _)] = scheduler.next_proposals(0, state, observed)
     assert id == "work/s1/p/1/1" and scheduler.hold_reasons["s0"] == "s1 goes first"
-    for _ in range(work.MAX_TIMES_PASSED_OVER + 1):
+    for _ in range(planned_work.MAX_TIMES_PASSED_OVER + 1):
         [(id, value)] = scheduler.next_proposals(0, state, observed)
-    assert id == "work/s0/p/1/1" and value["?"] == {work.REVISION_KEY: 1}
+    assert id == "work/s0/p/1/1" and value["?"] == {planned_work.REVISION_KEY: 1}
 
 
 def test_machine_out_for_too_long_is_overdue_and_one_that_returns_by_itself_is_taken_back():
     row = {"plan": "p", "state": "out", "n": 3, "by": "leader", "rev": 2, "was": 0, "log": []}
-    state = {"map": {work.REVISION_KEY: 5, "work/plan/p": make_plan(["s0"], paused=False), "work/m/s0": row}}
+    state = {
+        "map": {
+            planned_work.REVISION_KEY: 5,
+            "work/plan/p": make_plan(["s0"], paused=False),
+            "work/m/s0": row,
+        }
+    }
     scheduler, without_s0 = WorkScheduler(), make_observations(s0={"ready": False})
     assert scheduler.next_proposals(0, state, without_s0) == []
     [(_, value)] = scheduler.next_proposals(6 * SECOND, state, without_s0)
@@ -305,7 +313,7 @@
 
     def answer(state, age):
         row = {"plan": "p", "state": state.value, "n": 2, "by": "leader", "log": []}
-        return {"map": {work.REVISION_KEY: 3, "work/m/s1": row}, "age_s": age}
+        return {"map": {planned_work.REVISION_KEY: 3, "work/m/s1": row}, "age_s": age}
 
     answers, proposals = (
         [answer(WorkState.DRAINING, 30.0), answer(WorkState.DRAINING, None), answer(WorkState.OUT, 0.1)],
--- a/tests/test_work_processes.py
+++ b/tests/test_work_processes.py
@@ -14,7 +14,7 @@
 import pytest
 from process_cases import Cases
 
-from terndrift.fleet import work
+from terndrift.fleet import planned_work
 from terndrift.rehearse.run import written
 
 case = Cases()
@@ -93,7 +93,7 @@
 
     async def states(self, through=None):
         """Return {machine: state value}."""
-        return {n: r["state"] for n, r in work.machine_rows(await self.work_report(through)).items()}
+        return {n: r["state"] for n, r in planned_work.machine_rows(await self.work_report(through)).items()}
 
     async def hold_reason(self, name):
         """Return what the machine waits for, by the leader."""
@@ -132,9 +132,9 @@
 
     async def check_logs(self):
         """Assert that every machine's log has permitted transitions only, and all of its steps."""
-        for name, row in work.machine_rows(await self.work_report()).items():
-            steps = [work.WorkState(s) for s, _, _ in row["log"]]
-            assert all(b in work.TRANSITIONS[a] for a, b in zip(steps, steps[1:], strict=False)), (
+        for name, row in planned_work.machine_rows(await self.work_report()).items():
+            steps = [planned_work.WorkState(s) for s, _, _ in row["log"]]
+            assert all(b in planned_work.TRANSITIONS[a] for a, b in zip(steps, steps[1:], strict=False)), (
                 name,
                 steps,
             )
@@ -216,7 +216,7 @@
     while time.monotonic() - began < 10:
         if "out" in (await driver.states()).values():
             # possible only if the old leader had confirmed the drain before it was paused
-            log = work.machine_rows(await driver.work_report())["s0"]["log"]
+            log = planned_work.machine_rows(await driver.work_report())["s0"]["log"]
             assert "told to drain" in [s for s, _, _ in log]
         await asyncio.sleep(0.2)
     fleet.go_on(lead)
@@ -250,7 +250,7 @@
     stopped_placing_at = time.monotonic()
     await driver.wait_for_state("s0", "out", within=30)
     took = time.monotonic() - began
-    assert took > work.MAX_RECORD_AGE_NS / 1e9 and time.monotonic() > stopped_placing_at, (
+    assert took > planned_work.MAX_RECORD_AGE_NS / 1e9 and time.monotonic() > stopped_placing_at, (
         "the permit came while c4 could place there"
     )
     fleet.network.heal(pairs)
--- a/tests/test_work_rules.py
+++ b/tests/test_work_rules.py
@@ -4,11 +4,11 @@
 import pytest
 from test_work import make_observations
 
-from terndrift.fleet import permits, work
+from terndrift.fleet import permit_checker, planned_work
 from terndrift.fleet.messages import PlacementReport
-from terndrift.fleet.room import Machine, WorkBudget
-from terndrift.fleet.work import WorkScheduler, WorkState
-from terndrift.fleet.yard import CONTROLLER_NAMES, SECOND, VOTER_NAMES, WorkSimulation, make_plan
+from terndrift.fleet.planned_work import WorkScheduler, WorkState
+from terndrift.fleet.work_budget import Machine, WorkBudget
+from terndrift.fleet.work_simulation import CONTROLLER_NAMES, SECOND, VOTER_NAMES, WorkSimulation, make_plan
 
 DAY_MS = 24 * 3600 * 1000
 
@@ -16,7 +16,7 @@
 def make_state(rows, plans=None, rev=5):
     """Return a record's state with rows {machine: (state, fields)}, all of plan p, which by default has them
     all."""
-    map = {work.REVISION_KEY: rev}
+    map = {planned_work.REVISION_KEY: rev}
     for name, (machine_state, fields) in rows.items():
         map[f"work/m/{name}"] = {
             "plan": "p",
@@ -172,7 +172,7 @@
         == {}
     )
     assert "c0 may still place on it" in scheduler.hold_reasons["s0"]
-    limit = int((work.MAX_RECORD_AGE_NS + 6 * SECOND) * 1.02) + SECOND
+    limit = int((planned_work.MAX_RECORD_AGE_NS + 6 * SECOND) * 1.02) + SECOND
     assert (
         next_states(
             scheduler, later + limit, make_state({"s0": (WorkState.DRAINING, {"rev": 30})}, rev=30), observed
@@ -209,7 +209,7 @@
     )
     assert value["work/m/s2"]["state"] == "found out" and value["work/m/s2"]["plan"] == "old"
     state = {"map": {k: v for k, v in value.items() if k != "?"}}
-    assert work.names_without_placement(state) == {"s2"} and work.names_in_active_plans(
+    assert planned_work.names_without_placement(state) == {"s2"} and planned_work.names_in_active_plans(
         state, ["s2", "s3"]
     ) == ["s2"]
     scheduler = WorkScheduler()
@@ -217,14 +217,18 @@
         scheduler.next_proposals(0, state, make_observations()) == []
         and "an operator must run" in scheduler.hold_reasons["s2"]
     )
-    new, _ = work.propose_plan(state, make_plan(["s0"], most=1), "new", "ops"), None
+    new, _ = planned_work.propose_plan(state, make_plan(["s0"], most=1), "new", "ops"), None
     state = {"map": {**state["map"], **{k: v for k, v in new[1].items() if k != "?"}}}
     assert (
         scheduler.next_proposals(0, state, make_observations()) == []
         and "1 unavailable, limit 1: s2" in scheduler.hold_reasons["s0"]
     )
-    _, value = work.propose_step(
-        work.current_revision(state), "s2", work.machine_rows(state)["s2"], WorkState.RETURNING, "ops"
+    _, value = planned_work.propose_step(
+        planned_work.current_revision(state),
+        "s2",
+        planned_work.machine_rows(state)["s2"],
+        WorkState.RETURNING,
+        "ops",
     )
     state = {"map": {**state["map"], **{k: v for k, v in value.items() if k != "?"}}}
     assert next_states(scheduler, 1, state, make_observations()) == {"s2": "warming up"}
@@ -280,7 +284,7 @@
                     and c.leader() == name
                 ):
                     led_while_draining.append(name)
-        rows = work.machine_rows(
+        rows = planned_work.machine_rows(
             simulated_fleet.controllers[next(iter(simulated_fleet.controllers))].committed_log.state
         )
         for machine, row in rows.items():
@@ -331,7 +335,7 @@
     state = make_state(
         {"s0": (WorkState.GIVEN_BACK, {"log": log}), "s1": (WorkState.DRAINING, {"log": log[:2]})}
     )
-    assert work.state_spans(state, 9000) == {
+    assert planned_work.state_spans(state, 9000) == {
         "s0": [("waiting", 1000, 3000), ("told to drain", 3000, 4000), ("given back", 4000, 4000)],
         "s1": [("waiting", 1000, 3000), ("told to drain", 3000, 9000)],
     }
@@ -340,8 +344,8 @@
 def test_second_plan_for_a_machine_is_refused_even_if_both_are_proposed_from_the_same_revision():
     empty = {"map": {}}
     first, second = (
-        work.propose_plan(empty, make_plan(["s0"]), "a", "ops"),
-        work.propose_plan(empty, make_plan(["s0", "s1"]), "b", "ops"),
+        planned_work.propose_plan(empty, make_plan(["s0"]), "a", "ops"),
+        planned_work.propose_plan(empty, make_plan(["s0", "s1"]), "b", "ops"),
     )
     from terndrift.fleet.committed_state import apply_entry, initial_state
     from terndrift.fleet.messages import Entry
@@ -350,14 +354,14 @@
     for n, (id, value) in enumerate((first, second), 1):
         apply_entry(state, n, Entry(1, "value", f"{id}{n}", value))
     assert list(state["ids"].values()) == [1, -2], "its proposer can tell that it had no effect"
-    assert set(work.plans_by_name(state)) == {"a"} and work.names_in_active_plans(state, ["s0", "s1"]) == [
-        "s0"
-    ]
+    assert set(planned_work.plans_by_name(state)) == {"a"} and planned_work.names_in_active_plans(
+        state, ["s0", "s1"]
+    ) == ["s0"]
 
 
-@pytest.mark.parametrize("fault", permits.FAULTS)
+@pytest.mark.parametrize("fault", permit_checker.FAULTS)
 def test_permit_checker_finds_injected_faults(fault):
-    checker = permits.Checker(fault, pulls_left=1, reports_left=1, crashes_left=0)
+    checker = permit_checker.Checker(fault, pulls_left=1, reports_left=1, crashes_left=0)
     path, violation = checker.run()
     assert "places on a machine with a permit" in violation and path[-1].endswith("places"), (
         path,
@@ -367,5 +371,5 @@
 
 
 def test_permit_checker_finds_no_violation_within_its_bound():
-    checker = permits.Checker(max_states=15_000)
+    checker = permit_checker.Checker(max_states=15_000)
     assert checker.run() is None and checker.states == 15_000
