--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -231,13 +231,13 @@
         that their viewers do not reach the other controllers in one wave.
         """
         state = self.controller.committed_log.state
-        table, plans_by_name = machine_rows(state), plans_by_name(state)
+        table, plans = machine_rows(state), plans_by_name(state)
         drains = {(name, table[name]["n"]) for name in draining if name in table}
         self.drains_seen_at = {key: self.drains_seen_at.get(key, now) for key in drains}
         overdue = set()
         for name, step in drains:
             drain, elapsed = (
-                plans_by_name.get(table[name]["plan"], {}).get("drain", 0),
+                plans.get(table[name]["plan"], {}).get("drain", 0),
                 now - self.drains_seen_at[name, step],
             )
             if name == self.machine_name:
