--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -61,14 +61,14 @@
 
     def settle(self):
         """Every set-up that is out comes to play, and its streamer tells of its link."""
-        for pb in [p for p in self.c.open if p.state is State.TRYING]:
-            self.c.playing(self.now, pb.id, 50 * MS)
+        for pb in [p for p in self.c.open if p.state is State.ATTEMPTING]:
+            self.c.set_up_succeeded(self.now, pb.id, 50 * MS)
             self.c.told_use(self.now, pb.id, pb.streamer.listed.id, self.chance.uniform(0.2, 0.8), None)
 
     def some_end(self, count):
         playing = [p for p in self.c.playbacks.values() if p.state is State.PLAYING]
         for pb in self.chance.sample(playing, min(count, len(playing))):
-            self.call(self.c.try_ended, pb.id, Ending.PLAYED_OUT, 9 * S, True, pb.streamer.listed.id, {})
+            self.call(self.c.attempt_ended, pb.id, Ending.PLAYED_OUT, 9 * S, True, pb.streamer.listed.id, {})
 
     def told(self):
         costs, self.costs = sorted(self.costs), []
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -39,15 +39,15 @@
             out.append("subscribe on=1")
         for playback in changed:
             sent = self.last_sent.setdefault(playback.id, [0, playback.plan.floor])
-            if playback.state in (State.TRYING, State.PLAYING) and playback.rung != sent[1]:
+            if playback.state in (State.ATTEMPTING, State.PLAYING) and playback.rung != sent[1]:
                 out.append(f"quality corr={playback.id} tier_no={playback.rung}")
                 sent[1] = playback.rung
-            if playback.state is State.TRYING and playback.tries > sent[0]:
+            if playback.state is State.ATTEMPTING and playback.attempts > sent[0]:
                 out.append(
                     f"relay corr={playback.id} streamer={playback.streamer.listed.id} "
-                    f"allow_for_ns={playback.time_out}"
+                    f"allow_for_ns={playback.timeout}"
                 )
-                sent[0] = playback.tries
+                sent[0] = playback.attempts
             elif playback.state is State.REJECTED:
                 advice = f" hold_off_ns={playback.come_back}" if playback.come_back else ""
                 out.append(f"not_now corr={playback.id}{advice}")
@@ -170,7 +170,9 @@
 
     def accepted(self, instance, now, fields):
         """Handles a set-up that succeeded: the playback plays; `took_ns` is how long the set-up took."""
-        return instance.controller.playing(now, read_text(fields, "corr"), whole(fields, "took_ns", 0))
+        return instance.controller.set_up_succeeded(
+            now, read_text(fields, "corr"), whole(fields, "took_ns", 0)
+        )
 
     def done(self, instance, now, fields):
         """Handles the end of a set-up or a playback; with `settled=1` no attempt follows."""
@@ -178,7 +180,7 @@
         ending = codec.read_choice(fields, "rc", codec.ENDINGS)
         if finished:
             instance.last_sent.pop(id, None)
-        return instance.controller.try_ended(
+        return instance.controller.attempt_ended(
             now,
             id,
             ending,
--- a/terndrift/core/carried.py
+++ b/terndrift/core/carried.py
@@ -13,15 +13,15 @@
     """Stage of a playback in the core. The values are written to the log."""
 
     WAITING = "waiting"  # accepted; no attempt is in flight
-    TRYING = "trying"  # one set-up attempt is in flight
+    ATTEMPTING = "trying"  # one set-up attempt is in flight
     CANCELLING = "calling off"  # the attempt was cancelled and counts as in flight until its end is confirmed
     PLAYING = "playing"
     OVER = "over"  # nothing is in flight and no attempt will follow
 
 
 TRANSITIONS = {  # the only stage changes that are allowed
-    Stage.WAITING: (Stage.TRYING, Stage.OVER),
-    Stage.TRYING: (Stage.WAITING, Stage.CANCELLING, Stage.PLAYING, Stage.OVER),
+    Stage.WAITING: (Stage.ATTEMPTING, Stage.OVER),
+    Stage.ATTEMPTING: (Stage.WAITING, Stage.CANCELLING, Stage.PLAYING, Stage.OVER),
     Stage.CANCELLING: (Stage.WAITING, Stage.OVER),
     Stage.PLAYING: (Stage.OVER,),
     Stage.OVER: (),
@@ -62,8 +62,9 @@
 class Carrier(Protocol):
     """Transport by which the core reaches streamers; each protocol has its own. No call may block.
 
-    The transport reports exactly one `Core.began` or `Core.try_over` for each `set_up`, also after
-    `call_off`. A playback that plays ends by `Core.over` or `Core.left`; the core then calls `let_go` once.
+    The transport reports exactly one `Core.set_up_succeeded` or `Core.attempt_ended` for each `set_up`, also
+    after `cancel_attempt`. A playback that plays ends by `Core.over` or `Core.left`; the core then calls
+    `let_go` once.
     """
 
     def set_up(self, playback, streamer, rung, timeout):
@@ -73,8 +74,8 @@
         """
         ...
 
-    def call_off(self, playback):
-        """Cancel the attempt in flight; report its end by `Core.try_over` once it is known."""
+    def cancel_attempt(self, playback):
+        """Cancel the attempt in flight; report its end by `Core.attempt_ended` once it is known."""
         ...
 
     def set_rung(self, playback, rung):
@@ -98,7 +99,7 @@
         self.taken_at, self.deadline = now, now + request.time_left
         self.stage, self.answer = Stage.WAITING, None
         self.streamer = None  # Listed of the attempt in flight or of the running playback
-        self.rung, self.tries = 0, 0
+        self.rung, self.attempts = 0, 0
         self.sent_at, self.attempt_deadline = 0, 0
         self.cancel_reason = None  # Ending for which the attempt in flight was cancelled
         self.transitions = []  # (time, stage) of each stage change, for diagnostics
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -115,7 +115,7 @@
             del self.held[playback.id]
             return playback
         playback.answer, playback.streamer = Answer(Kind.PLAYS), known_streamer.listed
-        playback.turn(now, Stage.TRYING)
+        playback.turn(now, Stage.ATTEMPTING)
         playback.turn(now, Stage.PLAYING)
 
         def adopt():  # reports the rung in force in the same call: a guessed rung must not be carried out
@@ -143,7 +143,7 @@
         Transports ask once they are connected, just before the first byte: the streamer may have started to
         drain or left the list since it was chosen, and then gets no set-up after the grace period (rule 3).
         """
-        if playback.stage is not Stage.TRYING or not self.permits(playback.wanted, playback.streamer):
+        if playback.stage is not Stage.ATTEMPTING or not self.permits(playback.wanted, playback.streamer):
             return False
         withdrawn_at = self.told_off.get(playback.streamer.id)
         return withdrawn_at is None or now <= withdrawn_at + self.drain_grace
@@ -154,23 +154,25 @@
         REJECTED, with a time to retry after, if no attempt was sent or a repeated one does no harm; otherwise
         an attempt may have run and the answer is ABORTED.
         """
-        if playback.tries == 0 or self.deployment.plans[playback.wanted.plan].repeatable:
+        if playback.attempts == 0 or self.deployment.plans[playback.wanted.plan].repeatable:
             return Answer(Kind.REJECTED, self.controller.advice)
         return Answer(Kind.ABORTED, why="no decision in time")
 
-    def began(self, now, playback, report):
+    def set_up_succeeded(self, now, playback, report):
         """Report that the attempt in flight succeeded and the playback runs.
 
         `report`: dict of load figures that the streamer sent with it, or None.
         """
         if playback.stage is Stage.CANCELLING:  # the streamer started it before the cancellation arrived
             playback.carrier.let_go(playback, playback.streamer)
-            return self.try_over(now, playback, Ending.CALLED_OFF, report)
-        if playback.stage is not Stage.TRYING:
+            return self.attempt_ended(now, playback, Ending.CALLED_OFF, report)
+        if playback.stage is not Stage.ATTEMPTING:
             return None
         playback.turn(now, Stage.PLAYING)
         self._deliver_answer(now, playback, Answer(Kind.PLAYS))
-        self._call(now, playback, lambda: self.controller.playing(now, playback.id, now - playback.sent_at))
+        self._call(
+            now, playback, lambda: self.controller.set_up_succeeded(now, playback.id, now - playback.sent_at)
+        )
         if report:
             self._call(
                 now,
@@ -181,9 +183,9 @@
             )
         return None
 
-    def try_over(self, now, playback, ending, report=None):
+    def attempt_ended(self, now, playback, ending, report=None):
         """Report that the attempt in flight failed, or that its cancellation is complete."""
-        if playback.stage not in (Stage.TRYING, Stage.CANCELLING):
+        if playback.stage not in (Stage.ATTEMPTING, Stage.CANCELLING):
             return
         streamer, ending = playback.streamer, playback.cancel_reason or ending
         elapsed, playback.cancel_reason = now - playback.sent_at, None
@@ -193,7 +195,7 @@
         self._call(
             now,
             playback,
-            lambda: self.controller.try_ended(
+            lambda: self.controller.attempt_ended(
                 now, playback.id, ending, elapsed, finished, streamer.id, report or {}
             ),
         )
@@ -208,7 +210,7 @@
         self._call(
             now,
             playback,
-            lambda: self.controller.try_ended(
+            lambda: self.controller.attempt_ended(
                 now, playback.id, ending, now - playback.sent_at, True, playback.streamer.id, report or {}
             ),
         )
@@ -281,7 +283,7 @@
         among the new holders, and are answered at once if there are none left to wait for.
         """
         for playback in [p for p in self.held.values() if p.wanted.title in titles]:
-            if playback.stage in (Stage.WAITING, Stage.TRYING, Stage.CANCELLING):
+            if playback.stage in (Stage.WAITING, Stage.ATTEMPTING, Stage.CANCELLING):
                 cells = titles[playback.wanted.title]
                 self._call(
                     now,
@@ -325,7 +327,7 @@
             playback = self.held.get(playback_id)
             if playback is None:
                 continue
-            if playback.stage is Stage.TRYING and now >= playback.attempt_deadline:
+            if playback.stage is Stage.ATTEMPTING and now >= playback.attempt_deadline:
                 self._cancel_attempt(now, playback, Ending.SILENT)
             if playback.answer is None and now >= playback.deadline - fallback_margin(
                 playback.wanted.time_left
@@ -370,23 +372,23 @@
         if playback is None or playback.stage is Stage.OVER:
             return
         if (
-            decided.state is State.TRYING
-            and decided.tries > playback.tries
+            decided.state is State.ATTEMPTING
+            and decided.attempts > playback.attempts
             and playback.stage is Stage.WAITING
         ):
-            playback.tries, playback.rung, playback.streamer = (
-                decided.tries,
+            playback.attempts, playback.rung, playback.streamer = (
+                decided.attempts,
                 decided.rung,
                 decided.streamer.listed,
             )
-            playback.sent_at, playback.attempt_deadline = now, now + decided.time_out
-            playback.turn(now, Stage.TRYING)
+            playback.sent_at, playback.attempt_deadline = now, now + decided.timeout
+            playback.turn(now, Stage.ATTEMPTING)
             self._schedule(playback.attempt_deadline, playback)
             self.watch(
-                "try", playback, streamer=playback.streamer.id, rung=decided.rung, number=decided.tries
+                "try", playback, streamer=playback.streamer.id, rung=decided.rung, number=decided.attempts
             )
-            playback.carrier.set_up(playback, playback.streamer, decided.rung, decided.time_out)
-        elif decided.state in (State.TRYING, State.PLAYING) and decided.rung != playback.rung:
+            playback.carrier.set_up(playback, playback.streamer, decided.rung, decided.timeout)
+        elif decided.state in (State.ATTEMPTING, State.PLAYING) and decided.rung != playback.rung:
             playback.rung = decided.rung
             self.watch("rung", playback, rung=decided.rung)
             playback.carrier.set_rung(playback, decided.rung)
@@ -420,11 +422,11 @@
 
     def _cancel_attempt(self, now, playback, ending):
         """Cancel the attempt in flight. Without one, an answered playback is over and is removed."""
-        if playback.stage is Stage.TRYING:
+        if playback.stage is Stage.ATTEMPTING:
             playback.cancel_reason = ending
             playback.turn(now, Stage.CANCELLING)
             self.watch("call off", playback, why=ending.name)
-            playback.carrier.call_off(playback)
+            playback.carrier.cancel_attempt(playback)
         elif playback.stage is Stage.WAITING and playback.answer is not None:
             playback.turn(now, Stage.OVER)
             self.held.pop(playback.id, None)
--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -24,8 +24,8 @@
 # endings that count against the streamer whatever was requested of it
 STREAMER_FAULTS = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN)
 STATE_TRANSITIONS = {  # all other changes of state are errors
-    State.HELD: (State.TRYING, State.PLAYING, State.REJECTED, State.ABORTED, State.ENDED),
-    State.TRYING: (State.HELD, State.PLAYING, State.ABORTED, State.ENDED),
+    State.HELD: (State.ATTEMPTING, State.PLAYING, State.REJECTED, State.ABORTED, State.ENDED),
+    State.ATTEMPTING: (State.HELD, State.PLAYING, State.ABORTED, State.ENDED),
     State.PLAYING: (State.ENDED,),
 }
 
@@ -95,7 +95,7 @@
         self.heard = deque(maxlen=2)  # (time, demand of other controllers on the link): the last load reports
         self.shares = deque(maxlen=2)  # (time, delivered share of the rates): the last delivery reports
         # least interval between set-ups after failures (0: healthy); earliest time of the next one
-        self.gap, self.next_try = 0, 0
+        self.gap, self.next_attempt_at = 0, 0
         self.down = None  # when it failed: it may come back cold before the list says that it restarted
         # the cold-start slot of the last set-up, None if it was warm; the last load report
         self.last_slot, self.last_report = None, None
@@ -176,8 +176,8 @@
 class Playback:
     """One playback of this controller, from the request or hand-over until nothing more is owed.
 
-    The host reads `id`, `state`, `streamer`, `rung`, `tries`, `time_out` and `come_back`; it must not change
-    them.
+    The host reads `id`, `state`, `streamer`, `rung`, `attempts`, `timeout` and `come_back`; it must not
+    change them.
     """
 
     def __init__(self, id, plan, title, top, deadline, draw):
@@ -185,7 +185,7 @@
         self.draw = draw  # random, 0 to 1: decides whether it gets a rung that only some can have
         self.state, self.streamer, self.rung, self.hold_until = State.HELD, None, plan.floor, deadline
         # streamers that set-ups were sent to; number of set-ups; timeout of the last; advice of a rejection
-        self.attempted, self.tries, self.time_out, self.come_back = [], 0, 0, 0
+        self.attempted, self.attempts, self.timeout, self.come_back = [], 0, 0, 0
         # last change of state; last change of rung; expected end (0: not known)
         self.since, self.rung_changed_at, self.expected_end = 0, 0, 0
         # whether any set-up may have run; whether a set-up, or what plays from it, is in progress
@@ -314,7 +314,9 @@
             for known_id, usable in findings.items()
             if known_id in self.streamers
         ]:
-            streamer.next_try = min(streamer.next_try, now) if usable else streamer.next_try
+            streamer.next_attempt_at = (
+                min(streamer.next_attempt_at, now) if usable else streamer.next_attempt_at
+            )
             # None: it seems dead, and may come back cold
             streamer.down = now if usable is None and streamer.down is None else streamer.down
         return self.wake(now) if self.open else []
@@ -340,7 +342,7 @@
         """
         playback = self._accept(now, id, plan, title, cells, top, time_left, hint, rates)
         self.accepted_times.append(now)
-        self._extra_left(now)  # drops old times; extra attempts, which do so too, may be rare
+        self._extra_attempt_allowed(now)  # drops old times; extra attempts, which do so too, may be rare
         self.arrival_times.append(now)
         playback.hold_until = min(now + 2 * SECOND, playback.deadline)  # the short hold of docs/design.md
         if playback.rung > top or time_left <= 0:
@@ -353,7 +355,7 @@
         The other arguments are those of `wanted`. At a streamer that is not listed the playback ends at once.
         """
         self.began_empty, playback = False, self._accept(now, id, plan, title, cells, top, time_left, hint)
-        playback.tries, playback.streamer = 1, self.streamers.get(streamer)
+        playback.attempts, playback.streamer = 1, self.streamers.get(streamer)
         playback.out = playback.streamer is not None  # nothing can be done for one at an unlisted streamer
         self._set_state(now, playback, State.PLAYING if playback.out else State.ENDED)
         if playback.out:
@@ -361,15 +363,15 @@
             self._update_own_demand(now, playback.streamer)
         return self.wake(now)
 
-    def playing(self, now, playback_id, took):
+    def set_up_succeeded(self, now, playback_id, took):
         """Record that the set-up in progress succeeded, `took` ns after it was sent."""
-        if (playback := self.playbacks.get(playback_id)) and playback.state is State.TRYING:
+        if (playback := self.playbacks.get(playback_id)) and playback.state is State.ATTEMPTING:
             self.setup_durations.append(took)
             self._record_success(now, playback.streamer)
             self._set_state(now, playback, State.PLAYING)
         return self.wake(now)
 
-    def try_ended(self, now, playback_id, ending, took, finished, streamer_id, report):
+    def attempt_ended(self, now, playback_id, ending, took, finished, streamer_id, report):
         """Record the end of a set-up, or of what played; if not `finished`, another attempt may follow."""
         playback, streamer = self.playbacks.get(playback_id), self.streamers.get(streamer_id)
         # A streamer hands out one report for seconds. The repeats would displace newer figures from notes.
@@ -378,7 +380,7 @@
             self._apply_load_report(now, streamer, report.get("link"), report.get("uplink"), True)
         if playback is None or not playback.out:
             return self.wake(now)
-        playback.out, was_setup = False, playback.state is State.TRYING
+        playback.out, was_setup = False, playback.state is State.ATTEMPTING
         del playback.streamer.playbacks[playback]
         self._update_own_demand(now, playback.streamer)
         playback.may_have_run |= was_setup and ending.may_have_run
@@ -398,7 +400,7 @@
 
     def holders_changed(self, now, playback_id, cells):
         """Replace the cells that hold the title; a set-up in progress goes on."""
-        if (playback := self.playbacks.get(playback_id)) and playback.state in (State.HELD, State.TRYING):
+        if (playback := self.playbacks.get(playback_id)) and playback.state in (State.HELD, State.ATTEMPTING):
             playback.cells = cells
         return self.wake(now, playback)
 
@@ -466,7 +468,7 @@
             f"{playback.state} cannot change to {state}"
         )
         playback.state, playback.since = state, now
-        if state not in (State.HELD, State.TRYING):
+        if state not in (State.HELD, State.ATTEMPTING):
             self.open.pop(playback, None)
         if state is State.PLAYING:
             # bounds memory
@@ -501,7 +503,8 @@
         # per scan, to bound the work of a long queue; those looked at go to its end
         placements_left = 32
         for pending in list(self.open if scan_due else {playback} & self.open.keys()):
-            if pending.state is State.TRYING and now >= pending.deadline:  # the set-up is still in progress
+            # the set-up is still in progress
+            if pending.state is State.ATTEMPTING and now >= pending.deadline:
                 self._set_state(now, pending, State.ABORTED)
             elif pending.state is State.HELD and (placements_left > 0 or now >= pending.hold_until):
                 placements_left -= 1
@@ -517,7 +520,7 @@
     def _place(self, now, playback):
         """Send a set-up to the best holder not yet attempted, or reject; return False to keep it held."""
         plan, rules = playback.plan, self.deployment.rules
-        if playback.tries >= rules.try_limit or playback.deadline - now < 20 * MS:
+        if playback.attempts >= rules.attempt_limit or playback.deadline - now < 20 * MS:
             return self._reject(now, playback)
         # Of equal requests without an attempt only the first is worked out at one moment, which bounds the
         # work of a long queue without room, whatever fills it.
@@ -544,21 +547,21 @@
         if (
             plan.seats
             and self.seated(plan, playback.title) >= plan.seats
-            or playback.tries
-            and not self._extra_left(now)
+            or playback.attempts
+            and not self._extra_attempt_allowed(now)
         ):
             return False
         available = [
             streamer
             for streamer in eligible
-            if now >= streamer.next_try and self._cold_turn(now, streamer, len(eligible))
+            if now >= streamer.next_attempt_at and self._cold_turn(now, streamer, len(eligible))
         ]
         if not plan.repeatable:
             available = [streamer for streamer in available if not streamer.gap] or available
         ordered = self._order(now, available, playback)
         for streamer in ordered:
             if (rung := self._choose_rung(now, playback, streamer)) is not None:
-                return self._send(now, playback, streamer, rung)
+                return self._start_set_up(now, playback, streamer, rung)
         for streamer in ordered:
             # docs/design.md asks for room on the link alone; set-ups behind an uplink lately measured as full
             # would slow down all of its playbacks
@@ -566,11 +569,11 @@
                 [streamer, streamer.rack] if streamer.rack.since_correction(now) < 5 * SECOND else [streamer]
             )
             if all(link.demand(now) + playback.rates[plan.floor] <= link.capacity(now) for link in links):
-                return self._send(now, playback, streamer, plan.floor)
+                return self._start_set_up(now, playback, streamer, plan.floor)
         # the least loaded of each rack
         for streamer in {streamer.rack: streamer for streamer in reversed(ordered)}.values():
             if (rung := self._make_room(now, playback, streamer)) is not None:
-                return self._send(now, playback, streamer, rung)
+                return self._start_set_up(now, playback, streamer, rung)
         return False
 
     def _make_room(self, now, playback, streamer):
@@ -667,13 +670,13 @@
             for playback in self.playbacks.values()
         )
 
-    def _send(self, now, playback, streamer, rung):
+    def _start_set_up(self, now, playback, streamer, rung):
         """Start a set-up of the playback at the streamer; return True."""
-        playback.tries += 1
-        if playback.tries > 1:
+        playback.attempts += 1
+        if playback.attempts > 1:
             self.extra_attempt_times.append(now)
             self.lent_attempts = self.lent_attempts and self.lent_attempts - 1
-        playback.streamer, playback.rung, playback.out, playback.time_out = (
+        playback.streamer, playback.rung, playback.out, playback.timeout = (
             streamer,
             rung,
             True,
@@ -684,17 +687,17 @@
         # standard deviations over the mean duration, as the distribution has a long tail that is cut off.
         if playback.plan.repeatable:
             usual = int(max(fmean(self.setup_durations) + 6 * pstdev(self.setup_durations), 250 * MS))
-            playback.time_out = min(playback.time_out, usual, playback.plan.startup_target // 2)
+            playback.timeout = min(playback.timeout, usual, playback.plan.startup_target // 2)
         self.setup_counts[streamer] = self.setup_counts.get(streamer, 0) + 1
-        streamer.next_try, streamer.last_slot = now + streamer.gap, self._slot(now, streamer)
-        self._set_state(now, playback, State.TRYING)
+        streamer.next_attempt_at, streamer.last_slot = now + streamer.gap, self._slot(now, streamer)
+        self._set_state(now, playback, State.ATTEMPTING)
         streamer.playbacks[playback] = None
         self._update_own_demand(now, streamer)
         return True
 
-    def _extra_left(self, now):
+    def _extra_attempt_allowed(self, now):
         """Return whether the budget allows another extra attempt; forget times out of its window."""
-        rules, base_attempts = self.deployment.rules, self.deployment.rules.extra_tries
+        rules, base_attempts = self.deployment.rules, self.deployment.rules.extra_attempts
         for times in (self.accepted_times, self.extra_attempt_times):
             while times and times[0] <= now - rules.extra_window:
                 times.popleft()
@@ -708,14 +711,14 @@
         """Back off from a streamer that failed: one that errs at once looks idle, or it hangs or is gone."""
         # backoff from 1 s, doubling to 8 s: even a long fault costs only a few attempts
         streamer.gap = min(8 * SECOND, max(SECOND, 2 * streamer.gap))
-        streamer.next_try = now + streamer.gap
+        streamer.next_attempt_at = now + streamer.gap
         if ending is not Ending.ERRED and streamer.down is None:
             streamer.down, streamer.last_slot, streamer.rack.demand_cache = now, None, ()
 
     def _record_success(self, now, streamer):
         """Halve the interval between set-ups of a streamer, down to none, and end its failure."""
         streamer.gap = streamer.gap // 2 if streamer.gap > SECOND // 4 else 0
-        streamer.next_try = now + streamer.gap
+        streamer.next_attempt_at = now + streamer.gap
         if streamer.down is not None:  # it is back before the list says so: its warm-up counts from now
             streamer.down, streamer.last_slot = None, None
             streamer.update_entry(replace(streamer.listed, started=now))
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -81,7 +81,7 @@
         out = []
         for id, streamer in self.core.controller.streamers.items():
             line, last = self.listing.line_of(id), self.last.get(id)
-            ill = streamer.next_try - streamer.gap if streamer.gap else streamer.down or 0
+            ill = streamer.next_attempt_at - streamer.gap if streamer.gap else streamer.down or 0
             if line is None or last is None and now - ill > FADES:
                 continue
             use = min(999, int(100 * streamer.use(now)))
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -137,7 +137,9 @@
         self._machines()
         now, some = self.clock.now(), [(n, self._streamer(n)) for n in names]
         return [
-            n for n, s in some if s and s.down is not None and now - (s.next_try - s.gap) < OF_LATE * SECOND
+            n
+            for n, s in some
+            if s and s.down is not None and now - (s.next_attempt_at - s.gap) < OF_LATE * SECOND
         ]
 
     def permits(self, id):
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -113,7 +113,7 @@
                 self.found.failed(now, self.address(id))
         self.pending.clear()
         # of those not answered yet alone: what plays is many times as much, and looked at ten times a second
-        waiting = sum(pb.state is State.HELD and pb.tries > 0 for pb in self.core.controller.open)
+        waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.open)
         self.leases.wants("extra", sum(n for (n,) in self.fails.of_late(now)) / WINDOW + waiting)
         self.connects.look(now)
         self.calls.look(now)
--- a/terndrift/http/carrier.py
+++ b/terndrift/http/carrier.py
@@ -72,17 +72,17 @@
             "sf": "h",
             "st": "v",
         }
-        custom = {**custom, PLAYBACK: (cmcd.SESSION, carried.id), NUMBER: (cmcd.SESSION, carried.tries)}
+        custom = {**custom, PLAYBACK: (cmcd.SESSION, carried.id), NUMBER: (cmcd.SESSION, carried.attempts)}
         return cmcd.headers({**values, **own, **more}, custom)
 
     # What the core calls.
 
-    def set_up(self, carried, streamer, rung, time_out):
+    def set_up(self, carried, streamer, rung, timeout):
         address = self.addresses.get(streamer.id)
         call = Call(self.pool, address or "")
         self.tries[carried] = Try(call, asyncio.ensure_future(self._try(carried, call, rung)))
 
-    def call_off(self, carried):
+    def cancel_attempt(self, carried):
         out = self.tries.get(carried)
         if out is None:
             return
@@ -157,11 +157,11 @@
             self._farewell(call.address, carried.id)
             return self._over(carried, Ending.ERRED, figures)
         out.said = said
-        return self.host.do(self.host.core.began, carried, figures)
+        return self.host.do(self.host.core.set_up_succeeded, carried, figures)
 
     def _over(self, carried, ending, figures=None):
         self.tries.pop(carried, None)
-        self.host.do(self.host.core.try_over, carried, ending, figures)
+        self.host.do(self.host.core.attempt_ended, carried, ending, figures)
 
     def _farewell(self, address, id):
         if len(self.farewells) >= MOST_FAREWELLS:
--- a/terndrift/interface.py
+++ b/terndrift/interface.py
@@ -4,11 +4,11 @@
 each front and calls it with every event that it receives. Times and durations are whole nanoseconds, rates
 kB/s. Every call returns the playbacks that it changed, in order, and the host acts at once on their states:
 
-    TRYING    send a set-up to `streamer` at `rung` and wait for `time_out` at most; `tries` counts the
-              set-ups so far, so a count higher than before means that a new one is to be sent
-    PLAYING   if `rung` differs from the one last sent, change the rung
-    REJECTED  answer "not now", to be retried after `come_back` (0: no advice)
-    ABORTED   answer "failed"
+    ATTEMPTING  send a set-up to `streamer` at `rung` and wait for `timeout` at most; `attempts` counts the
+                set-ups so far, so a count higher than before means that a new one is to be sent
+    PLAYING     if `rung` differs from the one last sent, change the rung
+    REJECTED    answer "not now", to be retried after `come_back` (0: no advice)
+    ABORTED     answer "failed"
 
 HELD and ENDED need nothing. The host must call `wake` at `Controller.wake_at` (None: not needed); an early or
 a late call does no harm. `Controller.list_calls` counts the requests for the server list and its later
@@ -25,9 +25,9 @@
         of a playback held or in set-up: the cells that hold its title now; a set-up in progress goes on
     handed_over(now, id, ..., streamer)
         as `wanted`, for a playback that already plays at that streamer
-    playing(now, playback_id, took)
+    set_up_succeeded(now, playback_id, took)
         the set-up in progress succeeded
-    try_ended(now, playback_id, ending, took, finished, streamer_id, report)
+    attempt_ended(now, playback_id, ending, took, finished, streamer_id, report)
         a set-up, or what played, is over
     told_rung(now, playback_id, rung)
         the rung in force of a playback, as of one handed over
@@ -68,7 +68,7 @@
     """State of a playback as the controller returns it."""
 
     HELD = 0  # accepted, waiting for a placement
-    TRYING = 1  # one set-up is in progress
+    ATTEMPTING = 1  # one set-up is in progress
     PLAYING = 2
     REJECTED = 3
     ABORTED = 4
@@ -155,10 +155,10 @@
     # most set-ups sent to a cold streamer, as a multiple of the cold pace, in any window of this length
     fall_multiple: float
     fall_window: int
-    try_limit: int  # most set-ups of one playback
+    attempt_limit: int  # most set-ups of one playback
     # most set-ups beyond the first, over all playbacks, in any window of this length: so many and this share
-    # of the playbacks accepted in it; extra_tries None: no limit
-    extra_tries: int | None
+    # of the playbacks accepted in it; extra_attempts None: no limit
+    extra_attempts: int | None
     extra_share: float
     extra_window: int
     longest_advice: int  # longest advice on coming back that clients follow; 0: no advice can be given
--- a/terndrift/logs.py
+++ b/terndrift/logs.py
@@ -52,7 +52,7 @@
                 pb=playback.id,
                 plan=playback.wanted.plan,
                 title=playback.wanted.title,
-                tries=playback.tries,
+                tries=playback.attempts,
                 streamer=playback.streamer.id if playback.streamer else None,
                 rung=playback.rung,
                 **facts,
--- a/terndrift/platform/carrier.py
+++ b/terndrift/platform/carrier.py
@@ -93,16 +93,16 @@
 
     # Called by the core.
 
-    def set_up(self, carried, streamer, rung, time_out):
-        """Starts an attempt; its set-up is not sent any more once `time_out` ns have passed."""
+    def set_up(self, carried, streamer, rung, timeout):
+        """Starts an attempt; its set-up is not sent any more once `timeout` ns have passed."""
         peer = self.peers.get(streamer.id)
-        attempt = self.attempts[carried] = Attempt(carried, peer, rung, self.host.clock.now() + time_out)
+        attempt = self.attempts[carried] = Attempt(carried, peer, rung, self.host.clock.now() + timeout)
         if peer is None:
             return self._attempt_over(attempt, Ending.UNREACHED)
         self._queue_start(attempt)
         return None
 
-    def call_off(self, carried):
+    def cancel_attempt(self, carried):
         """Cancels the outstanding attempt; the core hears of its end once the streamer knows of the
         cancel."""
         attempt = self.attempts[carried]
@@ -460,7 +460,7 @@
         attempt.turn(AttemptState.OVER)
         attempt.session.description = message.parameters[m.DESCRIPTION]
         peer.playbacks[message.id] = attempt.carried
-        self.host.do(self.host.core.began, attempt.carried, m.parse_load_report(message))
+        self.host.do(self.host.core.set_up_succeeded, attempt.carried, m.parse_load_report(message))
 
     def _playback_over(self, peer, carried, ending, report):
         self.log.debug("ended", streamer=peer.id, pb=carried.id, ending=ending.name, report=report)
@@ -498,7 +498,7 @@
             del self.cancelled[attempt.id]
         if self.attempts.get(attempt.carried) is attempt:
             del self.attempts[attempt.carried]
-            self.host.do(self.host.core.try_over, attempt.carried, ending, report)
+            self.host.do(self.host.core.attempt_ended, attempt.carried, ending, report)
 
     def _attempt_over_later(self, attempt, ending):
         IOLoop.current().call_later(CONFIRM, self._attempt_over, attempt, ending)
--- a/terndrift/rehearse/baselines.py
+++ b/terndrift/rehearse/baselines.py
@@ -17,9 +17,9 @@
         last = self.__dict__.setdefault("last_used", {})
         return sorted(able, key=lambda s: last.get(s, 0))
 
-    def _send(self, now, pb, s, rung):
+    def _start_set_up(self, now, pb, s, rung):
         self.__dict__.setdefault("last_used", {})[s] = now
-        return super()._send(now, pb, s, rung)
+        return super()._start_set_up(now, pb, s, rung)
 
 
 class LeastConnections(Controller):
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -111,12 +111,12 @@
 
     # What the core calls.
 
-    def set_up(self, carried, streamer, rung, time_out):
+    def set_up(self, carried, streamer, rung, timeout):
         out = self.out[carried] = SimpleNamespace(off=False, ran=False)
         to = self.world.streamers[streamer.id]
-        self.world.after(WAY, self._arrives, carried, out, to, carried.tries, rung)
+        self.world.after(WAY, self._arrives, carried, out, to, carried.attempts, rung)
 
-    def call_off(self, carried):
+    def cancel_attempt(self, carried):
         out = self.out.pop(carried)
         out.off = True
         self.world.after(2 * WAY, self._over, carried, Ending.CALLED_OFF, None)
@@ -135,7 +135,7 @@
         s.asks(pb, 0)
 
     def _over(self, carried, ending, figures):
-        self.do(self.core.try_over, carried, ending, figures)
+        self.do(self.core.attempt_ended, carried, ending, figures)
 
     def _arrives(self, carried, out, s, number, rung):
         w, wanted = self.world, carried.wanted
@@ -178,7 +178,7 @@
         if out.off:
             return s.asks(carried.id, 0)
         self.out.pop(carried)
-        return self.do(self.core.began, carried, s.figures(True))
+        return self.do(self.core.set_up_succeeded, carried, s.figures(True))
 
 
 class Viewer:
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -106,8 +106,8 @@
             return self._ended(carried, out, Ending.BROKEN, None)
         return super()._ran(carried, out, s, number, rung)
 
-    def set_up(self, carried, streamer, rung, time_out):
-        super().set_up(carried, streamer, rung, time_out)
+    def set_up(self, carried, streamer, rung, timeout):
+        super().set_up(carried, streamer, rung, timeout)
         self.out[carried].sent = self.world.now
 
     def do(self, call, *args):
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -105,14 +105,14 @@
 
     # What the core calls.
 
-    def set_up(self, carried, streamer, rung, time_out):
+    def set_up(self, carried, streamer, rung, timeout):
         now, call, core = self.host.clock.now(), carried.wanted.about, self.host.core
         address = self.addresses.get(streamer.id)
         if not address:
-            self.host.do(core.try_over, carried, Ending.UNREACHED)
+            self.host.do(core.attempt_ended, carried, Ending.UNREACHED)
             return
         if not core.may_send(now, carried):
-            self.host.do(core.try_over, carried, Ending.NEVER_SENT)
+            self.host.do(core.attempt_ended, carried, Ending.NEVER_SENT)
             return
         uri = Uri("sip", carried.wanted.title, *_host_port(address))
         call.leg = self.legs[carried] = self.bridge.dial(
@@ -122,7 +122,7 @@
             self._offer(call, carried, rung),
             call,
             [
-                (PLAYBACK, f"{carried.id};try={carried.tries}"),
+                (PLAYBACK, f"{carried.id};try={carried.attempts}"),
                 (VISIT, call.invite.named("from").uri.user or "-"),
             ],
         )
@@ -135,7 +135,7 @@
         bits = self._bits(rates, plan, rung)
         return sdp.renewed(sdp.with_bits(call.offered, bits), call.version).encode()
 
-    def call_off(self, carried):
+    def cancel_attempt(self, carried):
         if leg := self.legs.get(carried):
             leg.call_off(self.host.clock.now())
 
@@ -167,10 +167,10 @@
     def leg_up(self, now, leg):
         carried = leg.carried
         leg.rung = carried.rung
-        if carried.stage is not Stage.TRYING:
+        if carried.stage is not Stage.ATTEMPTING:
             leg.end(now)
             return
-        self.host.do(self.host.core.began, carried, report(leg.answer))
+        self.host.do(self.host.core.set_up_succeeded, carried, report(leg.answer))
 
     def leg_over(self, now, leg, why, code):
         carried = leg.carried
@@ -178,7 +178,7 @@
         ending = {"silent": Ending.SILENT, "broken": Ending.BROKEN, "called off": Ending.CALLED_OFF}.get(why)
         if ending is None:
             ending = Ending.FULL if code in FULL else Ending.ERRED
-        self.host.do(self.host.core.try_over, carried, ending)
+        self.host.do(self.host.core.attempt_ended, carried, ending)
 
     def leg_ended(self, now, leg, why):
         carried = leg.carried
--- a/terndrift/terms.py
+++ b/terndrift/terms.py
@@ -342,8 +342,8 @@
             cold_share=read_float(settings, "rules.start_capacity", 1, 0, 1),
             fall_multiple=read_float(settings, "rules.tip_multiple", 1, 0),
             fall_window=max(1, whole(settings, "rules.overload_for_ns", 1, 0)),
-            try_limit=whole(settings, "ceilings.try_limit", 1, 0),
-            extra_tries=None if extra < 0 and not share else max(0, int(extra)),
+            attempt_limit=whole(settings, "ceilings.try_limit", 1, 0),
+            extra_attempts=None if extra < 0 and not share else max(0, int(extra)),
             extra_share=share,
             extra_window=whole(settings, "rules.budget_span_ns", 0, 0),
             longest_advice=whole(settings, "ceilings.max_retry_after_ns", 0, 0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,8 +22,8 @@
         cold_share=0.4,
         fall_multiple=3.0,
         fall_window=2 * S,
-        try_limit=4,
-        extra_tries=2,
+        attempt_limit=4,
+        extra_attempts=2,
         extra_share=0.1,
         extra_window=10 * S,
         longest_advice=S,
@@ -66,12 +66,14 @@
         return self.c.playbacks.get(id)
 
     def play(self, pb):
-        return self._seen(self.c.playing(self.now, pb.id, 80 * MS))
+        return self._seen(self.c.set_up_succeeded(self.now, pb.id, 80 * MS))
 
     def end(self, pb, ending, finished=False, report=None):
         self.model.ended(pb, ending)
         return self._seen(
-            self.c.try_ended(self.now, pb.id, ending, 50 * MS, finished, pb.streamer.listed.id, report or {})
+            self.c.attempt_ended(
+                self.now, pb.id, ending, 50 * MS, finished, pb.streamer.listed.id, report or {}
+            )
         )
 
     def use(self, streamer, link=None, uplink=None):
@@ -86,8 +88,8 @@
         while self.now < until:
             self.now = min(until, self.now + step)
             for pb in list(self.c.playbacks.values()):
-                late = self.now >= pb.since + pb.time_out
-                if pb.out and late and pb.state in (State.TRYING, State.ABORTED):
+                late = self.now >= pb.since + pb.timeout
+                if pb.out and late and pb.state in (State.ATTEMPTING, State.ABORTED):
                     self.end(pb, Ending.SILENT)
             if self.c.wake_at is not None and self.now >= self.c.wake_at:
                 self._seen(self.c.wake(self.now))
@@ -109,7 +111,7 @@
         self.requests[id] = (now, self.d.plans[plan], title, due)
 
     def ended(self, pb, ending):
-        if pb.state in (State.TRYING, State.ABORTED) and ending.may_have_run:
+        if pb.state in (State.ATTEMPTING, State.ABORTED) and ending.may_have_run:
             self.ran.add(pb.id)
         self.out.pop(pb.id, None)
 
@@ -117,7 +119,7 @@
         for pb in changed:
             taken_at, plan, title, due = self.requests[pb.id]
             assert plan.floor <= pb.rung <= max(plan.floor, pb.top) or pb.state is State.REJECTED
-            if pb.state is State.TRYING and pb.tries > sum(s[1] == pb.id for s in self.sends):
+            if pb.state is State.ATTEMPTING and pb.attempts > sum(s[1] == pb.id for s in self.sends):
                 self.check_send(now, pb, plan, title, due)
             if pb.state in (State.REJECTED, State.ABORTED):
                 assert pb.id not in self.answers, "answered twice"
@@ -133,18 +135,20 @@
 
     def check_send(self, now, pb, plan, title, due):
         rules, e = self.d.rules, self.streamers.get(pb.streamer.listed.id)
-        assert pb.id not in self.out, "two tries out at once"
+        assert pb.id not in self.out, "two attempts out at once"
         assert pb.id not in self.answers and now < due
         assert plan.repeatable or pb.id not in self.ran, "a paid set-up was resent"
         assert e and e.standing is Standing.READY, "sent to a streamer that drains or is gone"
         self.out[pb.id] = pb
         seated = [p for p in self.out.values() if p.plan is plan and self.requests[p.id][2] == title]
         assert not plan.seats or len(seated) <= plan.seats, "more playbacks than seats"
-        self.sends.append((now, pb.id, pb.streamer, pb.tries > 1))
-        if pb.tries > 1 and rules.extra_tries is not None:
+        self.sends.append((now, pb.id, pb.streamer, pb.attempts > 1))
+        if pb.attempts > 1 and rules.extra_attempts is not None:
             extra = sum(s[3] for s in self.sends if s[0] > now - rules.extra_window)
             taken = sum(t > now - rules.extra_window for t, *_ in self.requests.values())
-            assert extra <= rules.extra_tries + rules.extra_share * taken, "over the budget of tries"
+            assert extra <= rules.extra_attempts + rules.extra_share * taken, (
+                "over the budget of extra attempts"
+            )
         age = now - e.started
         if e.started and age < rules.cold_for:
             pace = self.d.links.places["box"] / rules.cold_for * rules.cold_share
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -57,8 +57,8 @@
     carrier, over = service.carrier, service.carrier._over
 
     def again(carried, ending, figures=None):
-        if ending.may_have_run and carried.tries < 2:
-            carried.tries += 1
+        if ending.may_have_run and carried.attempts < 2:
+            carried.attempts += 1
             carrier.tries.pop(carried)
             carrier.set_up(carried, carried.streamer, carried.rung, 0)
         else:
@@ -78,11 +78,11 @@
 def hedging(service):
     carrier, set_up = service.carrier, service.carrier.set_up
 
-    def twice(carried, streamer, rung, time_out):
-        set_up(carried, streamer, rung, time_out)
+    def twice(carried, streamer, rung, timeout):
+        set_up(carried, streamer, rung, timeout)
         first = carrier.tries[carried]
-        carried.tries += 1
-        set_up(carried, streamer, rung, time_out)
+        carried.attempts += 1
+        set_up(carried, streamer, rung, timeout)
         carrier.tries[carried] = first
 
     carrier.set_up = twice
@@ -167,7 +167,7 @@
 
 @in_world(streamers=6)
 async def test_tries_over_the_budget_break_the_sixth_rule(world):
-    world.service.core.controller._extra_left = lambda *_: True
+    world.service.core.controller._extra_attempt_allowed = lambda *_: True
     for s in world.fleet.streamers.values():
         s.begin("full", 1)
     await asks(world, "clip", 25)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -71,7 +71,7 @@
 
     def _record_setups(self, changed, rank):
         for playback in changed:
-            if playback.state is State.TRYING and not any(one is playback for _, _, one in self.out):
+            if playback.state is State.ATTEMPTING and not any(one is playback for _, _, one in self.out):
                 self.setup_times.append(self.now)
                 self.out.append((self.now + SETUP_TIME, rank, playback))
 
@@ -80,9 +80,9 @@
         for _, rank, playback in due:
             if (
                 self.controllers[rank].playbacks.get(playback.id) is playback
-                and playback.state is State.TRYING
+                and playback.state is State.ATTEMPTING
             ):
-                self.controllers[rank].playing(self.now, playback.id, SETUP_TIME)
+                self.controllers[rank].set_up_succeeded(self.now, playback.id, SETUP_TIME)
 
 
 def most_in_a_window(setup_times, window):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -31,7 +31,7 @@
         self.in_flight[playback] = streamer
         self.sends.append((playback, streamer.id))
 
-    def call_off(self, playback):
+    def cancel_attempt(self, playback):
         assert playback in self.in_flight and playback not in self.cancelling
         self.cancelling.add(playback)
 
@@ -75,14 +75,14 @@
         self.end(playback) if cancelling else self.transport.playing.__setitem__(
             playback, self.transport.in_flight.pop(playback)
         )
-        self.core.began(self.now, playback, {"link": 0.3})
+        self.core.set_up_succeeded(self.now, playback, {"link": 0.3})
 
     def end(self, playback, ending=None, report=None):
         """End the attempt in flight; with an `ending`, report it to the core."""
         self.transport.in_flight.pop(playback)
         self.transport.cancelling.discard(playback)
         if ending:
-            self.core.try_over(self.now, playback, ending, report)
+            self.core.attempt_ended(self.now, playback, ending, report)
 
     def wait(self, ns):
         """Move the clock, ticking the core whenever it asks for it."""
@@ -178,7 +178,7 @@
     for plan, kind in (("paid", Kind.ABORTED), ("free", Kind.REJECTED)):
         harness = CoreHarness()
         playback = harness.want(plan)
-        assert playback.tries == 1 and harness.core.last_answer(playback).kind is kind
+        assert playback.attempts == 1 and harness.core.last_answer(playback).kind is kind
 
 
 def test_baseline_policies_place_playbacks():
@@ -261,7 +261,7 @@
                 sent < 2
                 or playback.wanted.plan == "free"
                 or playback not in maybe_ran
-                or sent == playback.tries
+                or sent == playback.attempts
             )
     harness.wait(6 * S)
     for playback, answers in harness.answers.items():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -509,13 +509,13 @@
     async def test(world):
         connects = DelayedConnects()
         with patched(carrier_module, connect=connects):
-            viewer, id, real_call_off = await world.viewer(), world.id(), world.carrier.call_off
+            viewer, id, real_call_off = await world.viewer(), world.id(), world.carrier.cancel_attempt
 
             def allow_connect_then_call_off(carried):
                 connects.allow()
                 real_call_off(carried)
 
-            world.carrier.call_off = allow_connect_then_call_off
+            world.carrier.cancel_attempt = allow_connect_then_call_off
             viewer.send(set_up_message(id))
             await until(lambda: connects.started)
             if departure == "cancel":
@@ -535,13 +535,13 @@
 @in_world(streamers=2, how="silent")
 async def test_connection_established_as_the_next_attempt_starts_carries_no_set_up(world):
     """Otherwise two attempts for one playback would run at once."""
-    connects, real_call_off = DelayedConnects(delayed=1), world.carrier.call_off
+    connects, real_call_off = DelayedConnects(delayed=1), world.carrier.cancel_attempt
 
     def allow_connect_then_call_off(carried):
         connects.allow()
         real_call_off(carried)
 
-    world.carrier.call_off = allow_connect_then_call_off
+    world.carrier.cancel_attempt = allow_connect_then_call_off
     with patched(carrier_module, connect=connects):
         viewer = await world.viewer()
         id = viewer.ask()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -26,11 +26,11 @@
 
 
 def test_a_streamer_that_refused_is_not_attempted_again_and_the_last_refusal_rejects():
-    front = Front(streamers=2, extra_tries=9)
+    front = Front(streamers=2, extra_attempts=9)
     playback = front.want()
     first = playback.streamer
     front.end(playback, Ending.FULL)
-    assert playback.streamer is not first and playback.tries == 2
+    assert playback.streamer is not first and playback.attempts == 2
     front.end(playback, Ending.FULL)
     assert playback.state is State.REJECTED and playback.come_back
 
@@ -54,7 +54,7 @@
 
 
 def test_an_erring_streamer_is_backed_off_and_each_success_halves_the_backoff():
-    front = Front(streamers=2, extra_tries=None)
+    front = Front(streamers=2, extra_attempts=None)
     front.play(front.want())  # so that errors over this title count
     failed = front.want()
     erring = failed.streamer
@@ -71,21 +71,21 @@
 
 
 def test_errors_over_a_title_that_never_played_do_not_count_against_streamers():
-    front = Front(streamers=4, extra_tries=None)
+    front = Front(streamers=4, extra_attempts=None)
     for n in range(3):
         unknown = front.want(title=f"ghost{n}")
-        while unknown.state is State.TRYING:
+        while unknown.state is State.ATTEMPTING:
             front.end(unknown, Ending.ERRED)
         assert unknown.state is State.REJECTED and len(unknown.attempted) == 4
     assert not any(streamer.gap for streamer in front.c.streamers.values())
-    assert front.want().state is State.TRYING, "other viewers must be placed"
+    assert front.want().state is State.ATTEMPTING, "other viewers must be placed"
     silent = front.want(title="ghost")
-    front.pass_time(silent.time_out + 50 * MS)
+    front.pass_time(silent.timeout + 50 * MS)
     assert silent.attempted[0].gap, "silence counts against the streamer whatever was requested"
 
 
 def test_accepted_times_are_bounded_without_a_budget_of_extra_attempts():
-    front = Front(extra_tries=None)
+    front = Front(extra_attempts=None)
     front.c.accepted_times.extend([front.now] * 10**5)
     front.want()
     assert len(front.c.accepted_times) == 10**5 and front.c.accepted_times[-1] == front.now
@@ -107,22 +107,22 @@
 
 
 def test_the_timeout_of_a_set_up_leaves_time_for_another_before_the_startup_target():
-    front = Front(extra_tries=9)
+    front = Front(extra_attempts=9)
     playback = front.want()
-    assert playback.time_out <= S // 2
-    front.pass_time(playback.time_out + 50 * MS)
-    assert playback.tries == 2
+    assert playback.timeout <= S // 2
+    front.pass_time(playback.timeout + 50 * MS)
+    assert playback.attempts == 2
 
 
 def test_a_paid_set_up_that_may_have_run_is_aborted_and_never_resent():
     front = Front()
     playback = front.want("paid")
-    assert playback.time_out == 4 * S
+    assert playback.timeout == 4 * S
     front.end(playback, Ending.BROKEN)
-    assert playback.state is State.ABORTED and playback.tries == 1
+    assert playback.state is State.ABORTED and playback.attempts == 1
     playback = front.want("paid", title="u")
     front.end(playback, Ending.FULL)
-    assert playback.state is State.TRYING and playback.tries == 2
+    assert playback.state is State.ATTEMPTING and playback.attempts == 2
     playback = front.want("paid", title="v", left=S)
     front.now += S + 10 * MS  # the outcome of the set-up is late
     front.c.wake(front.now)
@@ -134,9 +134,9 @@
     one, two = front.want("paid"), front.want("paid")
     front.play(one)
     assert front.want("paid").state is State.HELD
-    assert front.want("paid", title="other").state is State.TRYING
+    assert front.want("paid", title="other").state is State.ATTEMPTING
     front.end(two, Ending.FULL)
-    assert two.state is State.TRYING and front.c.seated(two.plan, two.title) == 2
+    assert two.state is State.ATTEMPTING and front.c.seated(two.plan, two.title) == 2
 
 
 def test_no_set_up_goes_to_streamers_that_drain_or_are_gone():
@@ -156,7 +156,7 @@
             for _ in range(200):
                 front.now += 50 * MS
                 playback = front.want(left=50 * MS)
-                if playback and playback.state is State.TRYING:
+                if playback and playback.state is State.ATTEMPTING:
                     times.append(front.now)
                     front.play(playback)
                     front.end(playback, Ending.PLAYED_OUT, finished=True)
@@ -170,7 +170,7 @@
 
 
 def test_a_failed_streamer_is_treated_as_cold_before_the_list_reports_its_restart():
-    front = Front(streamers=1, extra_tries=None)
+    front = Front(streamers=1, extra_attempts=None)
     playback = front.want()
     front.end(playback, Ending.UNREACHED)
     failed_streamer = front.c.streamers[0]
@@ -257,7 +257,7 @@
         front = Front(streamers=40, warm=False, rank=rank * 7, controllers=290)
         playback = front.want(cells=4)
         front.pass_time(1900 * MS)
-        served += bool(playback and playback.tries)
+        served += bool(playback and playback.attempts)
     assert served > 30
 
 
@@ -295,7 +295,7 @@
     front = Front(streamers=0)
     front.list([line(n, cell=n, standing=Standing.DRAINING if n else Standing.READY) for n in range(2000)])
     playback = front.want(cells=2000)
-    assert playback.state is State.TRYING and playback.streamer.listed.id == 0, (
+    assert playback.state is State.ATTEMPTING and playback.streamer.listed.id == 0, (
         "the only streamer that is ready"
     )
     front = Front(streamers=0)
@@ -389,7 +389,7 @@
     front.c.told_rung(front.now, "old", 0)
     front.use(0, link=0.78)
     playback = front.want("live", "match", cells=1)
-    assert playback.state is State.TRYING and playback.rung == 1
+    assert playback.state is State.ATTEMPTING and playback.rung == 1
 
 
 def test_accepted_times_are_dropped_after_their_window_without_extra_attempts():
@@ -405,22 +405,22 @@
 
 
 def test_extra_attempts_stop_at_the_budget_lent_by_the_fleet_until_the_next_call():
-    front = Front(streamers=4, extra_tries=9)
+    front = Front(streamers=4, extra_attempts=9)
     front.c.limits(front.now, 1, {}, ())
     a, b = front.want(), front.want(title="u")
     front.end(a, Ending.FULL)
     front.end(b, Ending.FULL)
-    assert a.tries == 2 and b.tries == 1 and b.state is State.HELD, "the one attempt lent is used"
+    assert a.attempts == 2 and b.attempts == 1 and b.state is State.HELD, "the one attempt lent is used"
     front.c.limits(front.now, 1, {}, ())
     front.pass_time(100 * MS)
-    assert b.tries == 2
+    assert b.attempts == 2
     front.c.limits(front.now, 0, {}, ())
-    assert front.want(title="v").tries == 1, "the budget must not limit first attempts"
+    assert front.want(title="v").attempts == 1, "the budget must not limit first attempts"
     front.c.limits(front.now, None, {}, ())
     front.end(a, Ending.FULL)
     front.end(b, Ending.FULL)
     front.pass_time(100 * MS)
-    assert a.tries == b.tries == 3, "None must lift the limit"
+    assert a.attempts == b.attempts == 3, "None must lift the limit"
 
 
 def test_streamers_left_to_other_members_are_excluded_and_those_that_seem_dead_count_as_cold():
@@ -441,14 +441,14 @@
 
 
 def test_a_streamer_in_backoff_is_attempted_at_once_when_the_fleet_finds_it_usable():
-    front = Front(streamers=1, extra_tries=9)
+    front = Front(streamers=1, extra_attempts=9)
     front.play(front.want())
     failed = front.want()
     front.end(failed, Ending.ERRED)
     streamer = front.c.streamers[0]
-    assert streamer.gap and streamer.next_try > front.now
+    assert streamer.gap and streamer.next_attempt_at > front.now
     front.c.limits(front.now, None, {0: True}, ())
-    assert streamer.next_try == front.now and streamer.gap, (
+    assert streamer.next_attempt_at == front.now and streamer.gap, (
         "its backoff must stay, so that a further failure doubles it"
     )
     assert front.want(title="t").streamer is streamer
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,12 +26,12 @@
         playback = out[a % len(out)] if out else None
         if call == "want":
             front.want(["free", "paid"][a % 2], f"t{b % 3}", cells=a % 5, top=b % 4, left=(a % 50) * 100 * MS)
-        elif call == "play" and playback and playback.state is State.TRYING:
+        elif call == "play" and playback and playback.state is State.ATTEMPTING:
             front.play(playback)
         elif call == "end" and playback:
             front.end(
                 playback,
-                BAD[b % len(BAD)] if playback.state is State.TRYING else Ending.PLAYED_OUT,
+                BAD[b % len(BAD)] if playback.state is State.ATTEMPTING else Ending.PLAYED_OUT,
                 finished=playback.state is State.PLAYING,
                 report={"link": a / 300, "uplink": b - 1.0},
             )
@@ -85,7 +85,7 @@
     front = Front(streamers=6)
     for n, (paid, top, use) in enumerate(requests):
         playback = front.want("paid" if paid else "free", f"t{n}", cells=6, top=max(top, int(paid)))
-        if playback and playback.state is State.TRYING:
+        if playback and playback.state is State.ATTEMPTING:
             front.play(playback)
         if use < 20:
             front.use(n % 6, link=use / 20, uplink=0.1 + use / 25)
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -173,25 +173,25 @@
 
     # The calls of core.carried.Carrier.
 
-    def set_up(self, carried, streamer, rung, time_out):
+    def set_up(self, carried, streamer, rung, timeout):
         """Checks the rules for an attempt and schedules its end, or none if the streamer stays silent."""
         plan = self.deployment.plans[carried.wanted.plan]
         assert carried not in self.pending and carried not in self.playing, "two attempts out at once"
         assert plan.repeatable or carried not in self.may_have_run, "sent again though it may have run"
         assert plan.floor <= rung <= max(plan.floor, carried.wanted.top)
         assert self.standing[streamer.id] is Standing.READY, "the streamer drains or is gone"
-        assert carried.tries <= self.deployment.rules.try_limit and carried.answer is None
-        if carried.tries > 1:
+        assert carried.attempts <= self.deployment.rules.attempt_limit and carried.answer is None
+        if carried.attempts > 1:
             self.extra_attempts.append(self.now)
             window_start, rules = (
                 self.now - self.deployment.rules.extra_window,
                 self.deployment.rules,
             )
-            if rules.extra_tries is not None:
+            if rules.extra_attempts is not None:
                 requests = sum(t > window_start for t in self.requests)
                 assert (
                     sum(t > window_start for t in self.extra_attempts)
-                    <= rules.extra_tries + rules.extra_share * requests
+                    <= rules.extra_attempts + rules.extra_share * requests
                 )
         self.pending[carried] = streamer
         seated = [
@@ -202,12 +202,14 @@
         assert not plan.seats or len(seated) <= plan.seats
         ending = self.random.choice([None, None, *ATTEMPT_ENDINGS, "silent"])
         if ending != "silent":
-            longest = self.random.choice([100 * MS, 100 * MS, 2 * time_out])
-            self._schedule(self.random.randrange(longest), self._end_attempt, carried, carried.tries, ending)
+            longest = self.random.choice([100 * MS, 100 * MS, 2 * timeout])
+            self._schedule(
+                self.random.randrange(longest), self._end_attempt, carried, carried.attempts, ending
+            )
 
-    def call_off(self, carried):
+    def cancel_attempt(self, carried):
         """Reports the attempt as called off 50 ms later."""
-        self._schedule(50 * MS, self._end_attempt, carried, carried.tries, Ending.CALLED_OFF)
+        self._schedule(50 * MS, self._end_attempt, carried, carried.attempts, Ending.CALLED_OFF)
 
     def set_rung(self, carried, rung):
         """Checks that the rung is one that the plan and the ladder have."""
@@ -218,18 +220,18 @@
         self.playing.discard(carried)
 
     def _end_attempt(self, carried, number, ending):
-        if carried not in self.pending or carried.tries != number:
+        if carried not in self.pending or carried.attempts != number:
             return
         streamer = self.pending.pop(carried)
-        if ending is None and carried.stage is Stage.TRYING:
+        if ending is None and carried.stage is Stage.ATTEMPTING:
             self.playing.add(carried)
-            self.core.began(self.now, carried, {"link": self.random.random() * 2, "uplink": 0.5})
+            self.core.set_up_succeeded(self.now, carried, {"link": self.random.random() * 2, "uplink": 0.5})
             self._schedule(self.random.randrange(10 * S), self.end_playback, carried)
             return
         if ending is None or ending.may_have_run:
             self.may_have_run.add(carried)
         report = {"link": 1.5, "streams": 3} if streamer.id % 2 else None
-        self.core.try_over(self.now, carried, ending or Ending.CALLED_OFF, report)
+        self.core.attempt_ended(self.now, carried, ending or Ending.CALLED_OFF, report)
 
     def end_playback(self, carried):
         """Ends what plays, played out or broken."""
@@ -328,11 +330,11 @@
     core = Core(configuration.deployment, T0, "n0", 0)
     core.controller.began_empty = False
     core.list_changed(T0, [Listed(1, "box", "here", 0, 0, Standing.READY, 1, 0)], True, False)
-    time_outs = []
+    timeouts = []
 
     class Carrier:
-        def set_up(self, carried, streamer, rung, time_out):
-            time_outs.append(time_out)
+        def set_up(self, carried, streamer, rung, timeout):
+            timeouts.append(timeout)
 
     core.want(T0, Wanted("free", "t", frozenset([0]), 2, deadline_ms * MS, 0), Carrier(), lambda answer: None)
-    assert len(time_outs) == 1 and time_outs[0] > 0
+    assert len(timeouts) == 1 and timeouts[0] > 0
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -285,8 +285,8 @@
     core = world.service.core
     streamer = core.controller.streamers[one.id]
     assert streamer.gap, "the decisions know"
-    streamer.gap, streamer.next_try = 0, 0  # as if it were trusted, and the other not
-    core.controller.streamers[other.id].next_try = 2**62
+    streamer.gap, streamer.next_attempt_at = 0, 0  # as if it were trusted, and the other not
+    core.controller.streamers[other.id].next_attempt_at = 2**62
     before = len(other.known)
     caller = await world.caller("lesson", visit="b", abandon=1.0)
     world.call(caller)
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -49,11 +49,11 @@
     assert [(await world.ask(t))[0] for t in ("clip", "lesson")] == [200, 200]
     playing = len(world.service.core.held)
     fleet.loads.decided(world.service.clock.now(), 1.0)
-    tries = len(world.notes("try"))
+    attempts = len(world.notes("try"))
     code, headers, *_ = await world.ask("clip")
     assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with when to come back"
     assert (await world.ask("lesson"))[0] == 200 and (await world.ask("seat"))[0] == 200
-    assert len(world.notes("try")) == tries + 2 and len(world.service.core.held) >= playing
+    assert len(world.notes("try")) == attempts + 2 and len(world.service.core.held) >= playing
     free = [which for plan, which in counted if plan == "free"]
     assert free[0] == (load.WANTED,) and free[1][0] == load.ANSWERED
     assert free[2:] == [(load.WANTED, load.SHED)]
--- a/tests/test_swing.py
+++ b/tests/test_swing.py
@@ -50,7 +50,7 @@
     playing = fill(front, 1.05)  # over capacity, but not by the tenth that lowers rungs without a newcomer
     before = front.c.streamers[0].own_demand()
     playback = front.want()
-    assert playback.state is State.TRYING, "not placed though own playbacks can free what it needs"
+    assert playback.state is State.ATTEMPTING, "not placed though own playbacks can free what it needs"
     assert sum(other.rung < 3 for other in playing) == 1
     assert front.c.streamers[0].own_demand() <= before, "demand must not rise"
 
@@ -58,7 +58,7 @@
 def test_no_playback_is_lowered_while_there_is_room_or_when_too_little_can_be_freed():
     front = Front(streamers=1)
     playing = fill(front, 0.85)
-    assert front.want().state is State.TRYING and [other.rung for other in playing] == [3, 3]
+    assert front.want().state is State.ATTEMPTING and [other.rung for other in playing] == [3, 3]
     front = Front(streamers=1)
     front.use(0, link=0.0)
     playback = front.want(top=0)
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -228,12 +228,12 @@
 
 
 def sent(front, seconds):
-    tries = 0
+    attempts = 0
     for _ in range(int(seconds * 10)):
         front.now += S // 10
         pb = front.want(cells=1, left=S // 2, top=0)
-        tries += pb is not None and pb.tries > 0
-    return tries
+        attempts += pb is not None and pb.attempts > 0
+    return attempts
 
 
 def test_a_restarted_front_places_at_once_on_what_is_proven_warm_and_by_its_turn_on_the_rest():
