--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -61,7 +61,7 @@
 
     def settle(self):
         """Every set-up that is out comes to play, and its streamer tells of its link."""
-        for pb in [p for p in self.c.open if p.state is State.ATTEMPTING]:
+        for pb in [p for p in self.c.pending if p.state is State.ATTEMPTING]:
             self.c.set_up_succeeded(self.now, pb.id, 50 * MS)
             self.c.told_use(self.now, pb.id, pb.streamer.listed.id, self.chance.uniform(0.2, 0.8), None)
 
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -49,7 +49,7 @@
                 )
                 sent[0] = playback.attempts
             elif playback.state is State.REJECTED:
-                advice = f" hold_off_ns={playback.come_back}" if playback.come_back else ""
+                advice = f" hold_off_ns={playback.retry_after}" if playback.retry_after else ""
                 out.append(f"not_now corr={playback.id}{advice}")
                 self.last_sent.pop(playback.id)
             elif playback.state is State.ABORTED:
--- a/terndrift/core/carried.py
+++ b/terndrift/core/active_playback.py
@@ -1,7 +1,7 @@
 """State of a playback inside the session core, and the types that fronts and transports share with it.
 
-`Core` creates a `Carried` for each playback that a front requests and alone changes its stage. A playback has
-at most one set-up attempt in flight and gets at most one `Answer`.
+`Core` creates an `ActivePlayback` for each playback that a front requests and alone changes its stage. A
+playback has at most one set-up attempt in flight and gets at most one `Answer`.
 """
 
 from dataclasses import dataclass
@@ -9,26 +9,31 @@
 from typing import Protocol
 
 
-class Stage(Enum):
+class PlaybackStage(Enum):
     """Stage of a playback in the core. The values are written to the log."""
 
     WAITING = "waiting"  # accepted; no attempt is in flight
     ATTEMPTING = "trying"  # one set-up attempt is in flight
     CANCELLING = "calling off"  # the attempt was cancelled and counts as in flight until its end is confirmed
     PLAYING = "playing"
-    OVER = "over"  # nothing is in flight and no attempt will follow
+    ENDED = "over"  # nothing is in flight and no attempt will follow
 
 
 TRANSITIONS = {  # the only stage changes that are allowed
-    Stage.WAITING: (Stage.ATTEMPTING, Stage.OVER),
-    Stage.ATTEMPTING: (Stage.WAITING, Stage.CANCELLING, Stage.PLAYING, Stage.OVER),
-    Stage.CANCELLING: (Stage.WAITING, Stage.OVER),
-    Stage.PLAYING: (Stage.OVER,),
-    Stage.OVER: (),
+    PlaybackStage.WAITING: (PlaybackStage.ATTEMPTING, PlaybackStage.ENDED),
+    PlaybackStage.ATTEMPTING: (
+        PlaybackStage.WAITING,
+        PlaybackStage.CANCELLING,
+        PlaybackStage.PLAYING,
+        PlaybackStage.ENDED,
+    ),
+    PlaybackStage.CANCELLING: (PlaybackStage.WAITING, PlaybackStage.ENDED),
+    PlaybackStage.PLAYING: (PlaybackStage.ENDED,),
+    PlaybackStage.ENDED: (),
 }
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """Kind of an answer. The values are written to the log and passed to watchers."""
 
     PLAYS = "plays"
@@ -40,9 +45,9 @@
 class Answer:
     """The one answer to an accepted playback."""
 
-    kind: Kind
-    come_back: int = 0  # ns after which the client should retry; 0: no advice
-    why: str = ""  # reason that HTTP and SIP fronts pass on to the client
+    kind: AnswerKind
+    retry_after: int = 0  # ns after which the client should retry; 0: no advice
+    reason: str = ""  # reason that HTTP and SIP fronts pass on to the client
 
 
 @dataclass(frozen=True)
@@ -63,8 +68,8 @@
     """Transport by which the core reaches streamers; each protocol has its own. No call may block.
 
     The transport reports exactly one `Core.set_up_succeeded` or `Core.attempt_ended` for each `set_up`, also
-    after `cancel_attempt`. A playback that plays ends by `Core.over` or `Core.left`; the core then calls
-    `let_go` once.
+    after `cancel_attempt`. A playback that plays ends by `Core.playback_ended` or `Core.viewer_left`; the
+    core then calls `release_playback` once.
     """
 
     def set_up(self, playback, streamer, rung, timeout):
@@ -82,12 +87,12 @@
         """Ask the streamer to change the rung of an attempt in flight or of a running playback."""
         ...
 
-    def let_go(self, playback, streamer):
+    def release_playback(self, playback, streamer):
         """Stop what runs at `streamer` for this playback and release what the transport holds for it."""
         ...
 
 
-class Carried:
+class ActivePlayback:
     """A playback as the core tracks it. Only `Core` may change it; fronts and transports read it.
 
     `on_answer` is called once, with the `Answer`, unless the viewer leaves before there is one.
@@ -95,16 +100,16 @@
 
     def __init__(self, playback_id, request, transport, on_answer, now):
         self.id, self.wanted, self.carrier = playback_id, request, transport
-        self.answered = on_answer
-        self.taken_at, self.deadline = now, now + request.time_left
-        self.stage, self.answer = Stage.WAITING, None
+        self.on_answer = on_answer
+        self.accepted_at, self.deadline = now, now + request.time_left
+        self.stage, self.answer = PlaybackStage.WAITING, None
         self.streamer = None  # Listed of the attempt in flight or of the running playback
         self.rung, self.attempts = 0, 0
         self.sent_at, self.attempt_deadline = 0, 0
         self.cancel_reason = None  # Ending for which the attempt in flight was cancelled
         self.transitions = []  # (time, stage) of each stage change, for diagnostics
 
-    def turn(self, now, stage):
+    def set_stage(self, now, stage):
         """Change the stage; every stage change goes through here. Asserts that `TRANSITIONS` allows it."""
         assert stage in TRANSITIONS[self.stage], f"{self.id}: invalid transition from {self.stage} to {stage}"
         self.stage = stage
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -9,7 +9,7 @@
 import itertools
 from collections import deque
 
-from terndrift.core.carried import Answer, Carried, Kind, Stage
+from terndrift.core.active_playback import ActivePlayback, Answer, AnswerKind, PlaybackStage
 from terndrift.decide import Controller, State
 from terndrift.interface import Ending, Standing
 
@@ -59,8 +59,8 @@
         self.permits = lambda request, streamer: True
         # The cells that a playback may use of those that hold its title; asked once, when it is requested.
         self.narrow = lambda cells: cells
-        self.held = {}  # playback id -> Carried
-        self.open = 0  # number of playbacks accepted and not yet answered
+        self.playbacks = {}  # playback id -> ActivePlayback
+        self.unanswered_count = 0  # number of playbacks accepted and not yet answered
         self.playback_numbers = itertools.count(1)
         self.told_off = {}  # streamer id -> when it was first listed as draining or gone
         self.alarms = []  # heap of (time, sequence number, playback id): an attempt or an answer is due
@@ -71,15 +71,17 @@
     # Called by fronts and transports.
 
     def want(self, now, request, transport, on_answer):
-        """Accept a playback and return its `Carried`.
+        """Accept a playback and return its `ActivePlayback`.
 
         `on_answer(answer)` is called once, before the client gives up, possibly within this call; it is not
         called if the viewer leaves first.
         """
-        playback = Carried(f"{self.run_id}-{next(self.playback_numbers)}", request, transport, on_answer, now)
+        playback = ActivePlayback(
+            f"{self.run_id}-{next(self.playback_numbers)}", request, transport, on_answer, now
+        )
         playback.rung = self.deployment.plans[request.plan].floor
-        self.held[playback.id] = playback
-        self.open += 1
+        self.playbacks[playback.id] = playback
+        self.unanswered_count += 1
         self._schedule(playback.deadline - fallback_margin(request.time_left), playback)
         self.watch("wanted", playback)
         self._call(
@@ -103,20 +105,20 @@
     def hand_over(self, now, request, transport, streamer_id, rung):
         """Adopt a playback that already runs at a streamer, as after a restart of the controller.
 
-        Returns its `Carried`, which is in stage OVER if the streamer is not listed.
+        Returns its `ActivePlayback`, which is in stage ENDED if the streamer is not listed.
         """
-        playback = Carried(
+        playback = ActivePlayback(
             f"{self.run_id}-{next(self.playback_numbers)}", request, transport, lambda _: None, now
         )
-        self.held[playback.id], playback.rung = playback, rung
+        self.playbacks[playback.id], playback.rung = playback, rung
         known_streamer = self.controller.streamers.get(streamer_id)
         if known_streamer is None:
-            playback.turn(now, Stage.OVER)
-            del self.held[playback.id]
+            playback.set_stage(now, PlaybackStage.ENDED)
+            del self.playbacks[playback.id]
             return playback
-        playback.answer, playback.streamer = Answer(Kind.PLAYS), known_streamer.listed
-        playback.turn(now, Stage.ATTEMPTING)
-        playback.turn(now, Stage.PLAYING)
+        playback.answer, playback.streamer = Answer(AnswerKind.PLAYS), known_streamer.listed
+        playback.set_stage(now, PlaybackStage.ATTEMPTING)
+        playback.set_stage(now, PlaybackStage.PLAYING)
 
         def adopt():  # reports the rung in force in the same call: a guessed rung must not be carried out
             changed = self.controller.handed_over(
@@ -143,33 +145,36 @@
         Transports ask once they are connected, just before the first byte: the streamer may have started to
         drain or left the list since it was chosen, and then gets no set-up after the grace period (rule 3).
         """
-        if playback.stage is not Stage.ATTEMPTING or not self.permits(playback.wanted, playback.streamer):
+        if playback.stage is not PlaybackStage.ATTEMPTING or not self.permits(
+            playback.wanted, playback.streamer
+        ):
             return False
         withdrawn_at = self.told_off.get(playback.streamer.id)
         return withdrawn_at is None or now <= withdrawn_at + self.drain_grace
 
-    def last_answer(self, playback):
+    def fallback_answer(self, playback):
         """Return the answer to give when the decision logic gave none in time.
 
         REJECTED, with a time to retry after, if no attempt was sent or a repeated one does no harm; otherwise
         an attempt may have run and the answer is ABORTED.
         """
         if playback.attempts == 0 or self.deployment.plans[playback.wanted.plan].repeatable:
-            return Answer(Kind.REJECTED, self.controller.advice)
-        return Answer(Kind.ABORTED, why="no decision in time")
+            return Answer(AnswerKind.REJECTED, self.controller.advice)
+        return Answer(AnswerKind.ABORTED, reason="no decision in time")
 
     def set_up_succeeded(self, now, playback, report):
         """Report that the attempt in flight succeeded and the playback runs.
 
         `report`: dict of load figures that the streamer sent with it, or None.
         """
-        if playback.stage is Stage.CANCELLING:  # the streamer started it before the cancellation arrived
-            playback.carrier.let_go(playback, playback.streamer)
+        # the streamer started it before the cancellation arrived
+        if playback.stage is PlaybackStage.CANCELLING:
+            playback.carrier.release_playback(playback, playback.streamer)
             return self.attempt_ended(now, playback, Ending.CALLED_OFF, report)
-        if playback.stage is not Stage.ATTEMPTING:
+        if playback.stage is not PlaybackStage.ATTEMPTING:
             return None
-        playback.turn(now, Stage.PLAYING)
-        self._deliver_answer(now, playback, Answer(Kind.PLAYS))
+        playback.set_stage(now, PlaybackStage.PLAYING)
+        self._deliver_answer(now, playback, Answer(AnswerKind.PLAYS))
         self._call(
             now, playback, lambda: self.controller.set_up_succeeded(now, playback.id, now - playback.sent_at)
         )
@@ -185,12 +190,12 @@
 
     def attempt_ended(self, now, playback, ending, report=None):
         """Report that the attempt in flight failed, or that its cancellation is complete."""
-        if playback.stage not in (Stage.ATTEMPTING, Stage.CANCELLING):
+        if playback.stage not in (PlaybackStage.ATTEMPTING, PlaybackStage.CANCELLING):
             return
         streamer, ending = playback.streamer, playback.cancel_reason or ending
         elapsed, playback.cancel_reason = now - playback.sent_at, None
         finished = playback.answer is not None
-        playback.turn(now, Stage.OVER if finished else Stage.WAITING)
+        playback.set_stage(now, PlaybackStage.ENDED if finished else PlaybackStage.WAITING)
         self.watch("try over", playback, ending=ending.name, streamer=streamer.id)
         self._call(
             now,
@@ -200,12 +205,12 @@
             ),
         )
 
-    def over(self, now, playback, ending, report=None):
+    def playback_ended(self, now, playback, ending, report=None):
         """Report that a running playback ended; ignored in any other stage."""
-        if playback.stage is not Stage.PLAYING:
+        if playback.stage is not PlaybackStage.PLAYING:
             return
-        playback.turn(now, Stage.OVER)
-        playback.carrier.let_go(playback, playback.streamer)
+        playback.set_stage(now, PlaybackStage.ENDED)
+        playback.carrier.release_playback(playback, playback.streamer)
         self.watch("over", playback, ending=ending.name)
         self._call(
             now,
@@ -215,14 +220,14 @@
             ),
         )
 
-    def left(self, now, playback):
+    def viewer_left(self, now, playback):
         """Report that the viewer left. No answer is given; an attempt in flight is cancelled.
 
         The playback is kept until that attempt has ended.
         """
-        if playback.stage is Stage.PLAYING:
-            return self.over(now, playback, Ending.CALLED_OFF)
-        if playback.stage is Stage.OVER or playback.answer is not None:
+        if playback.stage is PlaybackStage.PLAYING:
+            return self.playback_ended(now, playback, Ending.CALLED_OFF)
+        if playback.stage is PlaybackStage.ENDED or playback.answer is not None:
             return None
         self.watch("left", playback)
         self._resolve(now, playback, None)
@@ -232,7 +237,7 @@
 
     def rung_stands(self, now, playback, rung):
         """Report that a change of rung was refused and that `rung` is the one in force."""
-        if playback.stage is Stage.PLAYING:
+        if playback.stage is PlaybackStage.PLAYING:
             playback.rung = rung
             self._call(now, playback, lambda: self.controller.told_rung(now, playback.id, rung))
 
@@ -241,7 +246,7 @@
 
         Either may be None: not reported. Ignored unless the playback runs.
         """
-        if playback.stage is Stage.PLAYING:
+        if playback.stage is PlaybackStage.PLAYING:
             self._call(
                 now,
                 playback,
@@ -282,8 +287,8 @@
         Running playbacks go on and the answer to an attempt in flight still counts. Waiting playbacks look
         among the new holders, and are answered at once if there are none left to wait for.
         """
-        for playback in [p for p in self.held.values() if p.wanted.title in titles]:
-            if playback.stage in (Stage.WAITING, Stage.ATTEMPTING, Stage.CANCELLING):
+        for playback in [p for p in self.playbacks.values() if p.wanted.title in titles]:
+            if playback.stage in (PlaybackStage.WAITING, PlaybackStage.ATTEMPTING, PlaybackStage.CANCELLING):
                 cells = titles[playback.wanted.title]
                 self._call(
                     now,
@@ -324,16 +329,16 @@
         """Cancel attempts past their timeout, give fallback answers and wake the decision logic, as due."""
         while self.alarms and self.alarms[0][0] <= now:
             _, _, playback_id = heapq.heappop(self.alarms)
-            playback = self.held.get(playback_id)
+            playback = self.playbacks.get(playback_id)
             if playback is None:
                 continue
-            if playback.stage is Stage.ATTEMPTING and now >= playback.attempt_deadline:
+            if playback.stage is PlaybackStage.ATTEMPTING and now >= playback.attempt_deadline:
                 self._cancel_attempt(now, playback, Ending.SILENT)
             if playback.answer is None and now >= playback.deadline - fallback_margin(
                 playback.wanted.time_left
             ):
                 self.watch("last word", playback)
-                self._resolve(now, playback, self.last_answer(playback))
+                self._resolve(now, playback, self.fallback_answer(playback))
                 self._call(now, playback, lambda p=playback: self.controller.viewer_left(now, p.id))
                 self._cancel_attempt(now, playback, Ending.CALLED_OFF)
         if self.controller.wake_at is not None and now >= self.controller.wake_at:
@@ -361,20 +366,20 @@
                     continue
                 for decided in changed or ():
                     self._apply_decision(called_at, decided)
-                if subject is not None and subject.stage is Stage.OVER:
-                    self.held.pop(subject.id, None)
+                if subject is not None and subject.stage is PlaybackStage.ENDED:
+                    self.playbacks.pop(subject.id, None)
         finally:
             self.dispatching = False
 
     def _apply_decision(self, now, decided):
         """Carry out the state of a playback that the decision logic returned as changed."""
-        playback = self.held.get(decided.id)
-        if playback is None or playback.stage is Stage.OVER:
+        playback = self.playbacks.get(decided.id)
+        if playback is None or playback.stage is PlaybackStage.ENDED:
             return
         if (
             decided.state is State.ATTEMPTING
             and decided.attempts > playback.attempts
-            and playback.stage is Stage.WAITING
+            and playback.stage is PlaybackStage.WAITING
         ):
             playback.attempts, playback.rung, playback.streamer = (
                 decided.attempts,
@@ -382,7 +387,7 @@
                 decided.streamer.listed,
             )
             playback.sent_at, playback.attempt_deadline = now, now + decided.timeout
-            playback.turn(now, Stage.ATTEMPTING)
+            playback.set_stage(now, PlaybackStage.ATTEMPTING)
             self._schedule(playback.attempt_deadline, playback)
             self.watch(
                 "try", playback, streamer=playback.streamer.id, rung=decided.rung, number=decided.attempts
@@ -393,40 +398,42 @@
             self.watch("rung", playback, rung=decided.rung)
             playback.carrier.set_rung(playback, decided.rung)
         elif decided.state in (State.REJECTED, State.ABORTED) and playback.answer is None:
-            kind = Kind.REJECTED if decided.state is State.REJECTED else Kind.ABORTED
-            self._resolve(now, playback, Answer(kind, decided.come_back if kind is Kind.REJECTED else 0))
+            kind = AnswerKind.REJECTED if decided.state is State.REJECTED else AnswerKind.ABORTED
+            self._resolve(
+                now, playback, Answer(kind, decided.retry_after if kind is AnswerKind.REJECTED else 0)
+            )
             self._cancel_attempt(now, playback, Ending.CALLED_OFF)
 
     def _deliver_answer(self, now, playback, answer):
         if playback.answer is None:
             playback.answer = answer
-            self.open -= 1
+            self.unanswered_count -= 1
             self.watch(
                 "answer",
                 playback,
                 kind=answer.kind.value,
-                come_back=answer.come_back,
-                took=now - playback.taken_at,
+                come_back=answer.retry_after,
+                took=now - playback.accepted_at,
             )
-            playback.answered(answer)
+            playback.on_answer(answer)
 
     def _resolve(self, now, playback, answer):
         """Give the final answer; `answer` is None if the viewer left and no answer is to be delivered."""
         if playback.answer is not None:
             return
         if answer is None:
-            playback.answer = Answer(Kind.ABORTED, why="viewer left")
-            self.open -= 1
+            playback.answer = Answer(AnswerKind.ABORTED, reason="viewer left")
+            self.unanswered_count -= 1
         else:
             self._deliver_answer(now, playback, answer)
 
     def _cancel_attempt(self, now, playback, ending):
         """Cancel the attempt in flight. Without one, an answered playback is over and is removed."""
-        if playback.stage is Stage.ATTEMPTING:
+        if playback.stage is PlaybackStage.ATTEMPTING:
             playback.cancel_reason = ending
-            playback.turn(now, Stage.CANCELLING)
+            playback.set_stage(now, PlaybackStage.CANCELLING)
             self.watch("call off", playback, why=ending.name)
             playback.carrier.cancel_attempt(playback)
-        elif playback.stage is Stage.WAITING and playback.answer is not None:
-            playback.turn(now, Stage.OVER)
-            self.held.pop(playback.id, None)
+        elif playback.stage is PlaybackStage.WAITING and playback.answer is not None:
+            playback.set_stage(now, PlaybackStage.ENDED)
+            self.playbacks.pop(playback.id, None)
--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -176,7 +176,7 @@
 class Playback:
     """One playback of this controller, from the request or hand-over until nothing more is owed.
 
-    The host reads `id`, `state`, `streamer`, `rung`, `attempts`, `timeout` and `come_back`; it must not
+    The host reads `id`, `state`, `streamer`, `rung`, `attempts`, `timeout` and `retry_after`; it must not
     change them.
     """
 
@@ -185,11 +185,11 @@
         self.draw = draw  # random, 0 to 1: decides whether it gets a rung that only some can have
         self.state, self.streamer, self.rung, self.hold_until = State.HELD, None, plan.floor, deadline
         # streamers that set-ups were sent to; number of set-ups; timeout of the last; advice of a rejection
-        self.attempted, self.attempts, self.timeout, self.come_back = [], 0, 0, 0
+        self.attempted, self.attempts, self.timeout, self.retry_after = [], 0, 0, 0
         # last change of state; last change of rung; expected end (0: not known)
-        self.since, self.rung_changed_at, self.expected_end = 0, 0, 0
+        self.state_since, self.rung_changed_at, self.expected_end = 0, 0, 0
         # whether any set-up may have run; whether a set-up, or what plays from it, is in progress
-        self.may_have_run, self.out = False, False
+        self.may_have_run, self.in_progress = False, False
 
     def unsafe_to_resend(self):
         """Return whether a set-up may have run that must neither be repeated nor answered by a rejection."""
@@ -208,7 +208,7 @@
         self.deployment, self.created_at, self.began_empty = deployment, now, True
         self.streamers, self.racks, self.playbacks = {}, {}, {}
         # playbacks held or in set-up, in order; racks with new reports; playbacks to return from this call
-        self.open, self.stale_racks, self.changed = {}, {}, {}
+        self.pending, self.stale_racks, self.changed = {}, {}, {}
         self.seed_crc = zlib.crc32(b"%d:" % deployment.seed)
         # cell -> {position: streamer}, positions being in the order of first listing; the last position
         self.by_cell, self.last_position = {}, 0
@@ -319,7 +319,7 @@
             )
             # None: it seems dead, and may come back cold
             streamer.down = now if usable is None and streamer.down is None else streamer.down
-        return self.wake(now) if self.open else []
+        return self.wake(now) if self.pending else []
 
     def list_failed(self, now):
         """Schedule another request for the server list after one failed or its subscription broke off.
@@ -356,9 +356,10 @@
         """
         self.began_empty, playback = False, self._accept(now, id, plan, title, cells, top, time_left, hint)
         playback.attempts, playback.streamer = 1, self.streamers.get(streamer)
-        playback.out = playback.streamer is not None  # nothing can be done for one at an unlisted streamer
-        self._set_state(now, playback, State.PLAYING if playback.out else State.ENDED)
-        if playback.out:
+        # nothing can be done for one at an unlisted streamer
+        playback.in_progress = playback.streamer is not None
+        self._set_state(now, playback, State.PLAYING if playback.in_progress else State.ENDED)
+        if playback.in_progress:
             playback.streamer.playbacks[playback] = self.stale_racks[playback.streamer.rack] = None
             self._update_own_demand(now, playback.streamer)
         return self.wake(now)
@@ -378,9 +379,9 @@
         if streamer and report and report != streamer.last_report:
             streamer.last_report = report
             self._apply_load_report(now, streamer, report.get("link"), report.get("uplink"), True)
-        if playback is None or not playback.out:
+        if playback is None or not playback.in_progress:
             return self.wake(now)
-        playback.out, was_setup = False, playback.state is State.ATTEMPTING
+        playback.in_progress, was_setup = False, playback.state is State.ATTEMPTING
         del playback.streamer.playbacks[playback]
         self._update_own_demand(now, playback.streamer)
         playback.may_have_run |= was_setup and ending.may_have_run
@@ -392,7 +393,7 @@
             self.playbacks.pop(playback_id)
         elif finished:
             if playback.state is State.PLAYING and ending is Ending.PLAYED_OUT:
-                self.playback_durations.append(now - playback.since)
+                self.playback_durations.append(now - playback.state_since)
             self._set_state(now, playback, State.ENDED)
         elif was_setup:
             self._set_state(now, playback, State.ABORTED if playback.unsafe_to_resend() else State.HELD)
@@ -421,7 +422,7 @@
         # Figures that come with a set-up, in the same batch or the next, are current; later ones lag.
         if streamer:
             self._apply_load_report(
-                now, streamer, link, uplink, playback is not None and now - playback.since < 50 * MS
+                now, streamer, link, uplink, playback is not None and now - playback.state_since < 50 * MS
             )
         return self.wake(now)
 
@@ -455,7 +456,7 @@
             cells,
             [kb * playback.plan.scale for kb in rates or self.deployment.ladder.rates],
         )
-        playback.rung_steps, playback.expected_end, self.open[playback] = (
+        playback.rung_steps, playback.expected_end, self.pending[playback] = (
             self._rung_steps(playback.plan, playback.rates),
             now + expected_duration if expected_duration else 0,
             None,
@@ -467,21 +468,21 @@
         assert state in STATE_TRANSITIONS.get(playback.state, ()), (
             f"{playback.state} cannot change to {state}"
         )
-        playback.state, playback.since = state, now
+        playback.state, playback.state_since = state, now
         if state not in (State.HELD, State.ATTEMPTING):
-            self.open.pop(playback, None)
+            self.pending.pop(playback, None)
         if state is State.PLAYING:
             # bounds memory
             self.played_titles = self.played_titles if len(self.played_titles) <= 4096 else set()
             self.played_titles.add(playback.title)
-        if state in FINAL_STATES and not playback.out:
+        if state in FINAL_STATES and not playback.in_progress:
             self.playbacks.pop(playback.id)
         if state is not State.ENDED:
             self.changed[playback] = None
 
     def _reject(self, now, playback):
         """Reject a playback, or abort it where a set-up that must not be repeated may have run."""
-        playback.come_back = (
+        playback.retry_after = (
             self.fleet_advice[int(playback.draw * len(self.fleet_advice))]
             if self.fleet_advice
             else self.advice
@@ -502,18 +503,18 @@
             self.stale_racks.clear()
         # per scan, to bound the work of a long queue; those looked at go to its end
         placements_left = 32
-        for pending in list(self.open if scan_due else {playback} & self.open.keys()):
+        for pending in list(self.pending if scan_due else {playback} & self.pending.keys()):
             # the set-up is still in progress
             if pending.state is State.ATTEMPTING and now >= pending.deadline:
                 self._set_state(now, pending, State.ABORTED)
             elif pending.state is State.HELD and (placements_left > 0 or now >= pending.hold_until):
                 placements_left -= 1
-                self.open[pending] = self.open.pop(pending)
+                self.pending[pending] = self.pending.pop(pending)
                 if not self._place(now, pending) and now >= pending.hold_until:
                     self._reject(now, pending)
         if self.list_due_at is not None and now >= self.list_due_at:
             self.list_calls, self.list_due_at = self.list_calls + 1, None
-        self.wake_at = self.next_scan_at if self.open or self.stale_racks else self.list_due_at
+        self.wake_at = self.next_scan_at if self.pending or self.stale_racks else self.list_due_at
         changed, self.changed = self.changed, {}
         return list(changed)
 
@@ -666,7 +667,7 @@
     def seated(self, plan, title):
         """Count the playbacks of a title and plan that take a seat: those playing or in set-up."""
         return sum(
-            playback.out and playback.plan is plan and playback.title == title
+            playback.in_progress and playback.plan is plan and playback.title == title
             for playback in self.playbacks.values()
         )
 
@@ -676,7 +677,7 @@
         if playback.attempts > 1:
             self.extra_attempt_times.append(now)
             self.lent_attempts = self.lent_attempts and self.lent_attempts - 1
-        playback.streamer, playback.rung, playback.out, playback.timeout = (
+        playback.streamer, playback.rung, playback.in_progress, playback.timeout = (
             streamer,
             rung,
             True,
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -11,7 +11,7 @@
 
 from terndrift.catalogue.titles import Fault
 from terndrift.catalogue.versions import Conflict, change_of
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import Amiss
 from terndrift.fleet.agreed import beginning
 from terndrift.fleet.copies import COPY as COPY_OF
@@ -269,12 +269,12 @@
 
     # Coming back.
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Of the core: a viewer's answer, and whether it was in target. Asked is counted with the answer, or
         what is still awaited would count as late."""
         if event == "answer":
-            target = self.target(carried.wanted.plan)
-            well = facts["kind"] == Kind.PLAYS.value and facts["took"] <= target
+            target = self.target(playback.wanted.plan)
+            well = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.served.count(self.clock.now(), 1, well)
 
     def returns(self, listed):
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet.members import Standing
 from terndrift.fleet.warm import FADES, SECOND
 from terndrift.fleet.work import LIMIT, may_place
@@ -35,10 +35,10 @@
         self.keep_at = host.clock.now() + EVERY
         self.former = None  # (its turn, until when) of its last run, if that is not long ago
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Of the core."""
-        if event == "answer" and facts["kind"] == Kind.PLAYS.value:
-            self.last[carried.streamer.id] = self.clock.now()
+        if event == "answer" and facts["kind"] == AnswerKind.PLAYS.value:
+            self.last[playback.streamer.id] = self.clock.now()
 
     def passed(self, id, size):
         """Media came from that streamer."""
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -4,7 +4,7 @@
 from collections import deque
 from dataclasses import replace
 
-from terndrift.core.carried import Kind, Stage
+from terndrift.core.active_playback import AnswerKind, PlaybackStage
 from terndrift.fleet.room import CONTROLLER, Machine
 from terndrift.fleet.work import plans, restarts, rows
 from terndrift.interface import Ending
@@ -58,9 +58,9 @@
         )
         controller.ill = self.ill
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Of the core: what viewers asked for, and what was turned away."""
-        if event == "wanted" or event == "answer" and facts["kind"] == Kind.REJECTED.value:
+        if event == "wanted" or event == "answer" and facts["kind"] == AnswerKind.REJECTED.value:
             self.turned.count(self.clock.now(), event == "wanted", event == "answer")
 
     def gate(self, plan):
@@ -128,7 +128,7 @@
         self._machines()
         out = {n: len(s.playbacks) if (s := self._streamer(n)) else 0 for n in names}
         if self.me in out:
-            out[self.me] = sum(c.stage is not Stage.OVER for c in self.core.held.values())
+            out[self.me] = sum(c.stage is not PlaybackStage.ENDED for c in self.core.playbacks.values())
         return out
 
     def ill(self, names):
@@ -198,7 +198,7 @@
             self._end([c for c in self._playing() if c.streamer.id in late])
 
     def _playing(self):
-        return [c for c in self.core.held.values() if c.stage is Stage.PLAYING]
+        return [c for c in self.core.playbacks.values() if c.stage is PlaybackStage.PLAYING]
 
     def _end_some(self, spent, drain):
         playing = self._playing()
@@ -206,6 +206,6 @@
         if spent >= drain // 2 and playing:
             self._end(playing[: max(1, len(playing) // looks)] if spent < drain else playing)
 
-    def _end(self, carried):
-        for one in carried:
-            self.host.do(self.core.over, one, Ending.CALLED_OFF)
+    def _end(self, playbacks):
+        for one in playbacks:
+            self.host.do(self.core.playback_ended, one, Ending.CALLED_OFF)
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -4,7 +4,7 @@
 
 import zlib
 
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet import crowds, findings, load
 from terndrift.fleet.leases import Leases, Pace
 from terndrift.fleet.load import Own
@@ -44,36 +44,36 @@
         )
         self.connects = Pace(self.leases, "connects", LONGEST)
         self.calls = Pace(self.leases, "calls", 10**18)  # a source is asked all the same, only later
-        controller.loads.own = lambda now: self.own.of_late(now, self.core.open)
+        controller.loads.own = lambda now: self.own.of_late(now, self.core.unanswered_count)
         controller.loads.own_beside = self._beside
         controller.shed = Level(self.order)
 
     # What the core and the front saw.
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """Of the core."""
         now = self.clock.now()
         if event == "wanted":
-            self.own.count(now, carried.wanted.plan, load.WANTED)
+            self.own.count(now, playback.wanted.plan, load.WANTED)
         elif event == "answer":
-            plays, plan = facts["kind"] == Kind.PLAYS.value, carried.wanted.plan
+            plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.wanted.plan
             self.book.books(now, facts["come_back"])
             if plays:
-                self.found.plays(now, self.address(carried.streamer.id))
+                self.found.plays(now, self.address(playback.streamer.id))
             # who was taken under a lower level says nothing of this one: he may have been held for two
             # seconds, and each rise would be followed by another for what the first has ended already
-            if carried.taken_at < self.raised_at:
+            if playback.accepted_at < self.raised_at:
                 return
             late = load.IN_TARGET if facts["took"] <= self.plans[plan].startup_target else load.LATE
             self.own.count(now, plan, load.ANSWERED, late if plays else load.TURNED)
         elif event == "try":
-            self.found.tries(now, self.address(carried.streamer.id))
+            self.found.tries(now, self.address(playback.streamer.id))
             if facts["number"] > 1:
                 self.own.more(now, load.EXTRA)
                 self.leases.used(now, "extra")
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in BAD):
             # whether that is held against it the decisions say next
-            self.pending.add(carried.streamer.id)
+            self.pending.add(playback.streamer.id)
             self.fails.at(now)[0] += event == "try over"
 
     def gate(self, plan, wait):
@@ -113,7 +113,7 @@
                 self.found.failed(now, self.address(id))
         self.pending.clear()
         # of those not answered yet alone: what plays is many times as much, and looked at ten times a second
-        waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.open)
+        waiting = sum(pb.state is State.HELD and pb.attempts > 0 for pb in self.core.controller.pending)
         self.leases.wants("extra", sum(n for (n,) in self.fails.of_late(now)) / WINDOW + waiting)
         self.connects.look(now)
         self.calls.look(now)
--- a/terndrift/http/carrier.py
+++ b/terndrift/http/carrier.py
@@ -49,41 +49,41 @@
 
     def __init__(self, host, pool, addresses, connect):
         self.host, self.pool, self.addresses, self.connect = host, pool, addresses, connect
-        self.tries = {}  # Carried -> Try, of tries out and playlists not yet fetched
+        self.tries = {}  # ActivePlayback -> Try, of tries out and playlists not yet fetched
         self.farewells = set()
         self.pace = None  # of new connections for set-ups, by address: see Call.open
 
-    def rates(self, carried):
+    def rates(self, playback):
         """Bytes a second, rung by rung, of this playback's title and plan."""
         d = self.host.core.deployment
-        ladder = carried.wanted.rates or d.ladder.rates
-        return [kb * 1000 * d.plans[carried.wanted.plan].scale for kb in ladder]
+        ladder = playback.wanted.rates or d.ladder.rates
+        return [kb * 1000 * d.plans[playback.wanted.plan].scale for kb in ladder]
 
-    def said_to_streamer(self, carried, hints, rung, **more):
+    def said_to_streamer(self, playback, hints, rung, **more):
         """The CMCD headers of a request to a streamer: the player's hints, with ours where they rule."""
         values, custom = hints.values, hints.custom
-        rate = self.rates(carried)[rung]
+        rate = self.rates(playback)[rung]
         pace = min(rate * AHEAD, values["rtp"] * 125) if values.get("rtp") else rate * AHEAD
         own = {
-            "sid": values.get("sid") or carried.id,
-            "cid": values.get("cid") or carried.wanted.title[:64],
+            "sid": values.get("sid") or playback.id,
+            "cid": values.get("cid") or playback.wanted.title[:64],
             "rtp": max(1, kbit(pace)),
             "br": kbit(rate),
             "sf": "h",
             "st": "v",
         }
-        custom = {**custom, PLAYBACK: (cmcd.SESSION, carried.id), NUMBER: (cmcd.SESSION, carried.attempts)}
+        custom = {**custom, PLAYBACK: (cmcd.SESSION, playback.id), NUMBER: (cmcd.SESSION, playback.attempts)}
         return cmcd.headers({**values, **own, **more}, custom)
 
     # What the core calls.
 
-    def set_up(self, carried, streamer, rung, timeout):
+    def set_up(self, playback, streamer, rung, timeout):
         address = self.addresses.get(streamer.id)
         call = Call(self.pool, address or "")
-        self.tries[carried] = Try(call, asyncio.ensure_future(self._try(carried, call, rung)))
+        self.tries[playback] = Try(call, asyncio.ensure_future(self._try(playback, call, rung)))
 
-    def cancel_attempt(self, carried):
-        out = self.tries.get(carried)
+    def cancel_attempt(self, playback):
+        out = self.tries.get(playback)
         if out is None:
             return
         out.call.given_up = True
@@ -92,43 +92,43 @@
             sent, address = out.call.sent, out.call.address
             await out.call.take_back()
             out.task.cancel()
-            self._over(carried, Ending.CALLED_OFF if sent else Ending.NEVER_SENT)
+            self._over(playback, Ending.CALLED_OFF if sent else Ending.NEVER_SENT)
             if sent:
-                self._farewell(address, carried.id)  # it may run there with nobody to watch it
+                self._farewell(address, playback.id)  # it may run there with nobody to watch it
 
         asyncio.ensure_future(take_back())
 
-    def set_rung(self, carried, rung):
+    def set_rung(self, playback, rung):
         pass  # reaches the player, and the streamer, with the player's next request
 
-    def playlist(self, carried):
+    def playlist(self, playback):
         """(playlist, CMSD) of the set-up that came to play; asked for once."""
-        out = self.tries.pop(carried)
+        out = self.tries.pop(playback)
         return out.playlist, out.said
 
-    def let_go(self, carried, streamer):
-        self.tries.pop(carried, None)
+    def release_playback(self, playback, streamer):
+        self.tries.pop(playback, None)
         if address := self.addresses.get(streamer.id):
-            self._farewell(address, carried.id)
+            self._farewell(address, playback.id)
 
     # The wire.
 
-    async def _try(self, carried, call, rung):
-        plan = self.host.core.deployment.plans[carried.wanted.plan]
+    async def _try(self, playback, call, rung):
+        plan = self.host.core.deployment.plans[playback.wanted.plan]
         if not call.address:
             await asyncio.sleep(0)
-            return self._over(carried, Ending.UNREACHED)
+            return self._over(playback, Ending.UNREACHED)
         try:
             await call.open(self.connect / SECOND, not plan.repeatable, self.pace)
         except NotNow:
-            return self._over(carried, Ending.NEVER_SENT)
+            return self._over(playback, Ending.NEVER_SENT)
         except Unreached:
-            return self._over(carried, Ending.UNREACHED)
+            return self._over(playback, Ending.UNREACHED)
         if call.given_up:
             return None
-        if not self.host.core.may_send(self.host.clock.now(), carried):
+        if not self.host.core.may_send(self.host.clock.now(), playback):
             self.pool.give(call.address, call.stream)
-            return self._over(carried, Ending.NEVER_SENT)
+            return self._over(playback, Ending.NEVER_SENT)
         body = bytearray()
 
         def collect(chunk):
@@ -137,31 +137,31 @@
                 call.close()
 
         try:
-            target = f"/v/{quote(carried.wanted.title, safe='')}/main.m3u8"
-            headers = self.said_to_streamer(carried, carried.wanted.about.hints, rung, ot="m", su=True)
+            target = f"/v/{quote(playback.wanted.title, safe='')}/main.m3u8"
+            headers = self.said_to_streamer(playback, playback.wanted.about.hints, rung, ot="m", su=True)
             code = await call.run("GET", target, headers, on_chunk=collect)
         except Broken:
-            return None if call.given_up else self._over(carried, Ending.BROKEN)
+            return None if call.given_up else self._over(playback, Ending.BROKEN)
         if call.given_up:
             return None
         said, figures = report(call.headers)
         if code != 200:
             # a streamer's 503 is its word that it did nothing (docs/path.md); any other may have run
-            return self._over(carried, Ending.FULL if code == 503 else Ending.ERRED, figures)
-        out = self.tries[carried]
+            return self._over(playback, Ending.FULL if code == 503 else Ending.ERRED, figures)
+        out = self.tries[playback]
         try:
             out.playlist = playlists.offered(
-                bytes(body), carried.wanted.about.rungs, plan.floor, carried.wanted.top
+                bytes(body), playback.wanted.about.rungs, plan.floor, playback.wanted.top
             )
         except playlists.Unusable:
-            self._farewell(call.address, carried.id)
-            return self._over(carried, Ending.ERRED, figures)
+            self._farewell(call.address, playback.id)
+            return self._over(playback, Ending.ERRED, figures)
         out.said = said
-        return self.host.do(self.host.core.set_up_succeeded, carried, figures)
+        return self.host.do(self.host.core.set_up_succeeded, playback, figures)
 
-    def _over(self, carried, ending, figures=None):
-        self.tries.pop(carried, None)
-        self.host.do(self.host.core.attempt_ended, carried, ending, figures)
+    def _over(self, playback, ending, figures=None):
+        self.tries.pop(playback, None)
+        self.host.do(self.host.core.attempt_ended, playback, ending, figures)
 
     def _farewell(self, address, id):
         if len(self.farewells) >= MOST_FAREWELLS:
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote, unquote
 
-from terndrift.core.carried import Kind, Wanted
+from terndrift.core.active_playback import AnswerKind, Wanted
 from terndrift.core.gate import Gate
 from terndrift.core.meter import Meter, Rationed
 from terndrift.core.visits import Visits
@@ -65,7 +65,7 @@
     """A playback whose answer requests wait for: one, or more of the same visit."""
 
     def __init__(self):
-        self.carried, self.answer, self.waiters = None, None, {}  # exchange -> future
+        self.playback, self.answer, self.waiters = None, None, {}  # exchange -> future
         self.playlist = self.said = self.seat = None
 
 
@@ -106,12 +106,12 @@
             if seat is None:
                 return await exchange.reply(404, text="no such playback")
             if exchange.method == "DELETE" and len(parts) == 3:
-                self.host.do(self.host.core.left, seat.carried)
+                self.host.do(self.host.core.viewer_left, seat.playback)
                 self.seats.over(self.now(), seat)
                 return await exchange.reply(204)
             rung, file = _rung(parts), parts[4] if len(parts) == 5 else ""
             if rung is not None and exchange.method == "GET":
-                if seat.over_at is not None or seat.carried.stage.value == "over":
+                if seat.over_at is not None or seat.playback.stage.value == "over":
                     self.seats.over(self.now(), seat)
                     return await exchange.reply(410, text="this playback is over")
                 if file == "index.m3u8":
@@ -181,11 +181,11 @@
             self.gate.leave(self.now(), source)
         if answer is None:
             return None  # this viewer has left
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             return await self._plays(exchange, awaited, found.segments)
-        if answer.kind is Kind.REJECTED:
-            return await self._turn_away(exchange, answer.come_back)
-        return await exchange.reply(504, text=answer.why or "aborted")
+        if answer.kind is AnswerKind.REJECTED:
+            return await self._turn_away(exchange, answer.retry_after)
+        return await exchange.reply(504, text=answer.reason or "aborted")
 
     async def _elsewhere(self, exchange, wait):
         """Sends a viewer on to a controller that takes him; turns him away if there is none."""
@@ -195,8 +195,8 @@
         where = f"{place}{exchange.path}?{query}"
         return await exchange.reply(307, {"Location": where}, text="sent on")
 
-    async def _turn_away(self, exchange, come_back):
-        advice = {"Retry-After": str(math.ceil(come_back / SECOND))} if come_back else {}
+    async def _turn_away(self, exchange, retry_after):
+        advice = {"Retry-After": str(math.ceil(retry_after / SECOND))} if retry_after else {}
         await exchange.reply(503, advice, text="not now")
 
     def _want(self, now, wanted, visit):
@@ -204,8 +204,8 @@
 
         def answered(answer):
             awaited.answer = answer
-            if answer.kind is Kind.PLAYS:
-                awaited.playlist, awaited.said = self.carrier.playlist(awaited.carried)
+            if answer.kind is AnswerKind.PLAYS:
+                awaited.playlist, awaited.said = self.carrier.playlist(awaited.playback)
             if visit is not None:
                 self.visits.answered(visit, awaited)
             for waiter in awaited.waiters.values():
@@ -214,7 +214,7 @@
 
         if visit is not None:
             self.visits.taken(visit, awaited)
-        awaited.carried = self.host.do(self.host.core.want, wanted, self.carrier, answered)
+        awaited.playback = self.host.do(self.host.core.want, wanted, self.carrier, answered)
         return awaited
 
     async def _await(self, exchange, awaited):
@@ -228,7 +228,7 @@
                 waiter.set_result(None)
             awaited.waiters.pop(exchange, None)
             if not awaited.waiters and awaited.answer is None:
-                self.host.do(self.host.core.left, awaited.carried)
+                self.host.do(self.host.core.viewer_left, awaited.playback)
 
         exchange.on_gone = left
         if exchange.gone:
@@ -236,16 +236,16 @@
         return await waiter
 
     async def _plays(self, exchange, awaited, segments):
-        carried = awaited.carried
+        playback = awaited.playback
         if awaited.seat is None:
-            awaited.seat = self.seats.add(self.now(), secrets.token_urlsafe(12), carried, segments)
+            awaited.seat = self.seats.add(self.now(), secrets.token_urlsafe(12), playback, segments)
         awaited.seat.heard = self.now()
         body = awaited.playlist.replace("{base}", f"/p/{awaited.seat.name}").encode()
         headers = {
             "Content-Type": TYPE,
             "Cache-Control": "no-store",
             cmsd.STATIC: MANIFEST_STATIC,
-            cmsd.DYNAMIC: self._dynamic(awaited.said, carried),
+            cmsd.DYNAMIC: self._dynamic(awaited.said, playback),
         }
         try:
             await exchange.reply(200, headers, body)
@@ -255,30 +255,30 @@
                 self._over(awaited.seat)
             raise
 
-    def _dynamic(self, said, carried):
+    def _dynamic(self, said, playback):
         """The streamers' entries and this controller's own, which tells the rung in force as `mb`."""
-        rate = self.carrier.rates(carried)[carried.rung]
+        rate = self.carrier.rates(playback)[playback.rung]
         return cmsd.dynamic_header([*said.dynamic, (f"terndrift/{self.host.core.name}", {"mb": kbit(rate)})])
 
     def _over(self, seat, ending=None):
         self.seats.over(self.now(), seat)
         if ending is None:
-            self.host.do(self.host.core.left, seat.carried)
+            self.host.do(self.host.core.viewer_left, seat.playback)
         else:
-            self.host.do(self.host.core.over, seat.carried, ending)
+            self.host.do(self.host.core.playback_ended, seat.playback, ending)
 
     # What plays.
 
     async def _relay(self, exchange, seat, asked, number):
         """A rung's playlist (`number` None) or a segment, from the playback's streamer to its player."""
-        carried, core = seat.carried, self.host.core
+        playback, core = seat.playback, self.host.core
         hints = self._hints(exchange)
         self.seats.heard(self.now(), seat, hints)
         if seat.out >= MOST_OUT:
             return await exchange.reply(429, {"Retry-After": "1"}, text="too many requests at once")
-        plan = core.deployment.plans[carried.wanted.plan]
+        plan = core.deployment.plans[playback.wanted.plan]
         rung = self.seats.rung(seat, plan.floor, asked)
-        rung = self.titles.rung(carried.wanted.title, rung, plan.floor, carried.wanted.top)
+        rung = self.titles.rung(playback.wanted.title, rung, plan.floor, playback.wanted.top)
         relay = Relay(self, exchange, seat, rung, number, hints)
         seat.out += 1
         self.relays[relay] = None
@@ -317,9 +317,9 @@
 
     def __init__(self, front, exchange, seat, rung, number, hints):
         self.front, self.exchange, self.seat, self.rung, self.number = front, exchange, seat, rung, number
-        self.hints, carried = hints, seat.carried
-        self.streamer = carried.streamer.id
-        self.should = 0 if number is None else carried.wanted.length // max(1, seat.segments)
+        self.hints, playback = hints, seat.playback
+        self.streamer = playback.streamer.id
+        self.should = 0 if number is None else playback.wanted.length // max(1, seat.segments)
         self.began, self.blocked, self.blocked_since = front.now(), 0, 0
         self.head_out, self.code = False, 0
         self.call, self.stood_still = None, False
@@ -331,12 +331,12 @@
         return now - self.began - blocked
 
     async def run(self):
-        front, carried = self.front, self.seat.carried
+        front, playback = self.front, self.seat.playback
         address = front.carrier.addresses.get(self.streamer)
         file = "index.m3u8" if self.number is None else f"{self.number}.ts"
-        target = f"/v/{quote(carried.wanted.title, safe='')}/r{self.rung}/{file}"
+        target = f"/v/{quote(playback.wanted.title, safe='')}/r{self.rung}/{file}"
         headers = front.carrier.said_to_streamer(
-            carried,
+            playback,
             self.hints,
             self.rung,
             ot="m" if self.number is None else "av",
@@ -373,13 +373,13 @@
         said, figures = report(headers)
         if figures and front.rationed.due(now, self.streamer):
             front.host.do(
-                front.host.core.told_use, self.seat.carried, figures.get("link"), figures.get("uplink")
+                front.host.core.told_use, self.seat.playback, figures.get("link"), figures.get("uplink")
             )
         if code != 200:
             return None
         out = {
             "Content-Type": headers.get("Content-Type", "application/octet-stream"),
-            cmsd.DYNAMIC: front._dynamic(said, self.seat.carried),
+            cmsd.DYNAMIC: front._dynamic(said, self.seat.playback),
         }
         if said.static or said.custom:
             out[cmsd.STATIC] = cmsd.static_header(said.static, said.custom)
--- a/terndrift/http/seats.py
+++ b/terndrift/http/seats.py
@@ -16,8 +16,8 @@
 
 
 class Seat:
-    def __init__(self, name, carried, segments, now):
-        self.name, self.carried, self.segments = name, carried, segments
+    def __init__(self, name, playback, segments, now):
+        self.name, self.playback, self.segments = name, playback, segments
         self.heard, self.paused, self.out = now, False, 0
         self.furthest = -1  # the highest segment delivered whole
         self.over_at = None
@@ -28,8 +28,8 @@
         self.idle, self.room = idle, room
         self.seats = OrderedDict()  # name -> Seat
 
-    def add(self, now, name, carried, segments):
-        seat = self.seats[name] = Seat(name, carried, segments, now)
+    def add(self, now, name, playback, segments):
+        seat = self.seats[name] = Seat(name, playback, segments, now)
         return seat
 
     def full(self):
@@ -43,7 +43,7 @@
     @staticmethod
     def rung(seat, floor, asked):
         """What a request gets: no more than the rung in force, no less than the plan's floor."""
-        return max(floor, min(asked, seat.carried.rung))
+        return max(floor, min(asked, seat.playback.rung))
 
     @staticmethod
     def delivered(seat, number):
--- a/terndrift/interface.py
+++ b/terndrift/interface.py
@@ -7,7 +7,7 @@
     ATTEMPTING  send a set-up to `streamer` at `rung` and wait for `timeout` at most; `attempts` counts the
                 set-ups so far, so a count higher than before means that a new one is to be sent
     PLAYING     if `rung` differs from the one last sent, change the rung
-    REJECTED    answer "not now", to be retried after `come_back` (0: no advice)
+    REJECTED    answer "not now", to be retried after `retry_after` (0: no advice)
     ABORTED     answer "failed"
 
 HELD and ENDED need nothing. The host must call `wake` at `Controller.wake_at` (None: not needed); an early or
--- a/terndrift/platform/attempt.py
+++ b/terndrift/platform/attempt.py
@@ -24,15 +24,15 @@
 
 
 class Attempt:
-    """A set-up attempt for `carried` at `peer`.
+    """A set-up attempt for `playback` at `peer`.
 
     `session` is the front's ViewerSession of the playback; `due` is the time, in ns of the host's clock,
     after which a set-up is of no use.
     """
 
-    def __init__(self, carried, peer, rung, due):
-        self.carried, self.peer, self.rung, self.due = carried, peer, rung, due
-        self.session = carried.wanted.about
+    def __init__(self, playback, peer, rung, due):
+        self.playback, self.peer, self.rung, self.due = playback, peer, rung, due
+        self.session = playback.wanted.about
         self.id = self.session.id
         self.state = AttemptState.CONNECTING
         self.connection = self.task = None
--- a/terndrift/platform/carrier.py
+++ b/terndrift/platform/carrier.py
@@ -1,6 +1,6 @@
 """The streamer side of the platform controller: sends set-up attempts and receives reports on playbacks.
 
-Created by the service; called by the core (see `core.carried.Carrier`) and by the front. It owns the
+Created by the service; called by the core (see `core.active_playback.Carrier`) and by the front. It owns the
 connections to streamers. It reports how each attempt ended, but never chooses a streamer, a rung or a retry
 itself.
 """
@@ -54,16 +54,16 @@
 class Carrier:
     """Set-up attempts, playbacks and connections, by streamer.
 
-    The front sets `on_ended(carried, by_viewer)`, which is called when a streamer reports that a playback is
+    The front sets `on_ended(playback, by_viewer)`, which is called when a streamer reports that a playback is
     over or when it counts as cut; `by_viewer` says whether the viewer ended it.
     """
 
     def __init__(self, host, configuration, log):
         self.host, self.configuration, self.log = host, configuration, log
-        self.peers, self.attempts = {}, {}  # streamer ID -> Peer; Carried -> Attempt
+        self.peers, self.attempts = {}, {}  # streamer ID -> Peer; ActivePlayback -> Attempt
         self.cancelled = {}  # playback ID -> cancelled Attempt that may still be outstanding
         self.start_queue = []  # attempts to start in the next turn of the event loop
-        self.on_ended, self.closing = lambda carried, by_viewer: None, False
+        self.on_ended, self.closing = lambda playback, by_viewer: None, False
         keepalive = configuration.keepalive
         # A set-up sent now arrives within the connect timeout. A connection is in use only as long as that
         # and one check for idle connections end before the streamer's own idle timeout.
@@ -93,19 +93,19 @@
 
     # Called by the core.
 
-    def set_up(self, carried, streamer, rung, timeout):
+    def set_up(self, playback, streamer, rung, timeout):
         """Starts an attempt; its set-up is not sent any more once `timeout` ns have passed."""
         peer = self.peers.get(streamer.id)
-        attempt = self.attempts[carried] = Attempt(carried, peer, rung, self.host.clock.now() + timeout)
+        attempt = self.attempts[playback] = Attempt(playback, peer, rung, self.host.clock.now() + timeout)
         if peer is None:
             return self._attempt_over(attempt, Ending.UNREACHED)
         self._queue_start(attempt)
         return None
 
-    def cancel_attempt(self, carried):
+    def cancel_attempt(self, playback):
         """Cancels the outstanding attempt; the core hears of its end once the streamer knows of the
         cancel."""
-        attempt = self.attempts[carried]
+        attempt = self.attempts[playback]
         if attempt.state is AttemptState.CONNECTING:
             if attempt.task is not None:
                 attempt.task.cancel()
@@ -116,17 +116,17 @@
         self.cancelled[attempt.id] = attempt
         return self._attempt_over_later(attempt, Ending.CALLED_OFF)
 
-    def set_rung(self, carried, rung):
+    def set_rung(self, playback, rung):
         """Tells the streamer to play at another rung."""
-        if peer := self.peers.get(carried.streamer.id):
-            self._send_to_peer(peer, encode(m.RUNG, carried.wanted.about.id, (m.RUNG_NO, str(rung))))
+        if peer := self.peers.get(playback.streamer.id):
+            self._send_to_peer(peer, encode(m.RUNG, playback.wanted.about.id, (m.RUNG_NO, str(rung))))
 
-    def let_go(self, carried, streamer):
+    def release_playback(self, playback, streamer):
         """Drops a playback that is over and, unless its streamer reported the end itself, tells the
         streamer."""
         peer = self.peers.get(streamer.id)
-        if peer and peer.playbacks.pop(carried.wanted.about.id, None):
-            self._send_to_peer(peer, m.release(carried.wanted.about.id, m.OVER))
+        if peer and peer.playbacks.pop(playback.wanted.about.id, None):
+            self._send_to_peer(peer, m.release(playback.wanted.about.id, m.OVER))
 
     # Called by the front.
 
@@ -151,9 +151,9 @@
         self._maintain_connection(peer)
         return True
 
-    def track_playback(self, carried):
+    def track_playback(self, playback):
         """Adds a playback whose hand-over is complete to those of its streamer."""
-        self.peers[carried.streamer.id].playbacks[carried.wanted.about.id] = carried
+        self.peers[playback.streamer.id].playbacks[playback.wanted.about.id] = playback
 
     def cancel_hand_over(self, streamer, id, ended_by_viewer=False):
         """Removes a registered hand-over; if its viewer has ended the playback, the streamer is told."""
@@ -277,7 +277,7 @@
         ):  # the end of its connection, in this turn or the next, cancels it
             return None
         now = self.host.clock.now()
-        if attempt.peer.delisted or attempt.due <= now or not self.host.core.may_send(now, attempt.carried):
+        if attempt.peer.delisted or attempt.due <= now or not self.host.core.may_send(now, attempt.playback):
             return self._attempt_over(attempt, Ending.NEVER_SENT)
         wait_ms = str(max(1, (attempt.due - now) // MS))
         parameters = [*attempt.session.forwarded, (m.WAIT, wait_ms), (m.RUNG_NO, str(attempt.rung))]
@@ -363,8 +363,8 @@
             self.log.info("what played is cut", streamer=peer.name, why=reason, playbacks=len(peer.playbacks))
         for on_rung in list(peer.hand_overs.values()):
             on_rung(None)
-        for carried in list(peer.playbacks.values()):
-            self._playback_over(peer, carried, Ending.BROKEN, None)
+        for playback in list(peer.playbacks.values()):
+            self._playback_over(peer, playback, Ending.BROKEN, None)
 
     def every_quarter(self):
         """Enforces the timeouts of connections to streamers; called four times a second."""
@@ -436,9 +436,9 @@
                 self._attempt_over(attempt, Ending.CALLED_OFF)
             elif on_rung := peer.hand_overs.get(message.id):
                 on_rung(None)
-            elif carried := peer.playbacks.get(message.id):
+            elif playback := peer.playbacks.get(message.id):
                 ending = m.PLAY_ENDINGS.get(message.cause, Ending.BROKEN)
-                self._playback_over(peer, carried, ending, m.parse_load_report(message))
+                self._playback_over(peer, playback, ending, m.parse_load_report(message))
         elif message.type == m.NOTE:
             self._handle_note(peer, message)
         elif message.type == m.RELEASE_HEARD:
@@ -456,17 +456,17 @@
         if m.DESCRIPTION not in message.parameters:
             connection.close("unreadable: answer without a description")
             return
-        del peer.connections[connection][message.id], self.attempts[attempt.carried]
+        del peer.connections[connection][message.id], self.attempts[attempt.playback]
         attempt.turn(AttemptState.OVER)
         attempt.session.description = message.parameters[m.DESCRIPTION]
-        peer.playbacks[message.id] = attempt.carried
-        self.host.do(self.host.core.set_up_succeeded, attempt.carried, m.parse_load_report(message))
+        peer.playbacks[message.id] = attempt.playback
+        self.host.do(self.host.core.set_up_succeeded, attempt.playback, m.parse_load_report(message))
 
-    def _playback_over(self, peer, carried, ending, report):
-        self.log.debug("ended", streamer=peer.id, pb=carried.id, ending=ending.name, report=report)
-        peer.playbacks.pop(carried.wanted.about.id, None)
-        self.on_ended(carried, ending is Ending.CALLED_OFF)
-        self.host.do(self.host.core.over, carried, ending, report)
+    def _playback_over(self, peer, playback, ending, report):
+        self.log.debug("ended", streamer=peer.id, pb=playback.id, ending=ending.name, report=report)
+        peer.playbacks.pop(playback.wanted.about.id, None)
+        self.on_ended(playback, ending is Ending.CALLED_OFF)
+        self.host.do(self.host.core.playback_ended, playback, ending, report)
 
     def _handle_note(self, peer, message):
         try:
@@ -475,18 +475,18 @@
             return
         if name == "at_rung" and message.id in peer.hand_overs:
             peer.hand_overs[message.id](int(value))
-        carried, do, core = peer.playbacks.get(message.id), self.host.do, self.host.core
-        if carried is None:
+        playback, do, core = peer.playbacks.get(message.id), self.host.do, self.host.core
+        if playback is None:
             return
-        self.log.debug("note", streamer=peer.id, pb=carried.id, name=name, value=value)
+        self.log.debug("note", streamer=peer.id, pb=playback.id, name=name, value=value)
         if name == "served":
             do(core.told_share, peer.id, value)
         elif name == "at_rung":
-            do(core.rung_stands, carried, int(value))
+            do(core.rung_stands, playback, int(value))
         elif name == "link_use":
-            do(core.told_use, carried, value, None)
+            do(core.told_use, playback, value, None)
         elif name == "rack_use":
-            do(core.told_use, carried, None, value)
+            do(core.told_use, playback, None, value)
 
     def _attempt_over(self, attempt, ending, report=None):
         """Ends an attempt that did not lead to a playback; every such attempt ends here. Repeats are
@@ -496,9 +496,9 @@
         attempt.turn(AttemptState.OVER)
         if self.cancelled.get(attempt.id) is attempt:
             del self.cancelled[attempt.id]
-        if self.attempts.get(attempt.carried) is attempt:
-            del self.attempts[attempt.carried]
-            self.host.do(self.host.core.attempt_ended, attempt.carried, ending, report)
+        if self.attempts.get(attempt.playback) is attempt:
+            del self.attempts[attempt.playback]
+            self.host.do(self.host.core.attempt_ended, attempt.playback, ending, report)
 
     def _attempt_over_later(self, attempt, ending):
         IOLoop.current().call_later(CONFIRM, self._attempt_over, attempt, ending)
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -7,7 +7,7 @@
 
 from collections import Counter, deque
 
-from terndrift.core.carried import Kind, Stage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
 from terndrift.core.gate import Gate
 from terndrift.platform import message as m
 from terndrift.platform.connection import Connection, new_stream
@@ -40,7 +40,7 @@
 
     def __init__(self, id, connection, forwarded):
         self.id, self.connection, self.forwarded = id, connection, forwarded
-        self.carried = self.description = None
+        self.playback = self.description = None
 
     def is_disconnected(self):
         """Whether the viewer's connection has ended."""
@@ -186,7 +186,7 @@
             return
         session = ViewerSession(message.id, connection, request.forwarded)
         self.held[message.id] = self.connections[connection][message.id] = session
-        session.carried = self.host.do(
+        session.playback = self.host.do(
             self.host.core.want,
             self._wanted(session, request),
             self.carrier,
@@ -239,15 +239,15 @@
             rung = min(
                 max(rung, self.configuration.deployment.plans[request.plan].floor), self.rung_count - 1
             )
-            session.carried = self.host.do(
+            session.playback = self.host.do(
                 self.host.core.hand_over, self._wanted(session, request), self.carrier, streamer, rung
             )
-        if session.carried is None or session.carried.stage is Stage.OVER:
+        if session.playback is None or session.playback.stage is PlaybackStage.ENDED:
             self._remove(session)
             self._send_release(session)
             return
         self.held[session.id] = session
-        self.carrier.track_playback(session.carried)
+        self.carrier.track_playback(session.playback)
 
     def _handle_release(self, connection, id):
         session = self.held.get(id)
@@ -258,20 +258,20 @@
             self.carrier.cancel_hand_over(streamer, id, ended_by_viewer=True)
         if session is None:
             return
-        if session.carried.answer is None:
+        if session.playback.answer is None:
             self._cancel_set_up(session)  # accepted from any connection, like the end of a playback
         else:
             self._remove(session)
             self._viewer_left(session)
 
     def _viewer_left(self, session):
-        """Tells the core that the viewer has left, and breaks the reference cycle of session and Carried.
+        """Tells the core that the viewer has left, and breaks the reference cycle of session and playback.
 
         Only a full garbage collection would free a cycle, and those are rare (process.py), so it would stay
         for many minutes; in a soak test memory grew by 1.5 MB in each quarter of the run.
         """
-        self.host.do(self.host.core.left, session.carried)
-        session.carried = None
+        self.host.do(self.host.core.viewer_left, session.playback)
+        session.playback = None
 
     def _cancel_set_up(self, session):
         self._close_set_up(session)
@@ -294,8 +294,8 @@
         self.closing = True
         self.host.stop()
         for session in self.held.values():
-            if session.carried.answer is None:
-                self._send_refusal(session, self.host.core.last_answer(session.carried))
+            if session.playback.answer is None:
+                self._send_refusal(session, self.host.core.fallback_answer(session.playback))
             else:
                 self._send_release(session)
         for _, _, session, _ in self.expected.values():
@@ -322,7 +322,7 @@
     def _on_answer(self, session, answer):
         connection = session.connection
         self._close_set_up(session)
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             self.standing[connection] += 1
             self.answered_connections[connection] = None
             if not connection.send(encode(m.ANSWER, session.id, (m.DESCRIPTION, session.description))):
@@ -337,10 +337,10 @@
         self._send_refusal(session, answer)
 
     def _send_refusal(self, session, answer):
-        if answer.kind is Kind.ABORTED:
+        if answer.kind is AnswerKind.ABORTED:
             session.connection.send(release(session.id, m.FAILED))
         else:
-            self._send_rejection(session.connection, session.id, answer.come_back)
+            self._send_rejection(session.connection, session.id, answer.retry_after)
 
     def _send_rejection(self, connection, id, retry_after):
         """Rejects a set-up; `retry_after` is the advised delay in ns, 0 for none.
@@ -357,13 +357,13 @@
         if session.connection in self.standing:
             self.standing[session.connection] -= 1
 
-    def _playback_ended(self, carried, by_viewer):
+    def _playback_ended(self, playback, by_viewer):
         """Called by the carrier when a playback is over at its streamer."""
-        session = carried.wanted.about
+        session = playback.wanted.about
         if self.held.get(session.id) is not session:
             return
         self._remove(session)
-        session.carried = None
+        session.playback = None
         if not by_viewer:
             self._send_release(session)
 
--- a/terndrift/platform/peer.py
+++ b/terndrift/platform/peer.py
@@ -16,7 +16,7 @@
         self.delisted = False  # no longer on the server list
         self.connections = {}  # Connection -> {playback ID: Attempt} of the attempts sent on it
         self.connecting = 0  # connections being made
-        self.playbacks = {}  # playback ID -> Carried of what plays there
+        self.playbacks = {}  # playback ID -> ActivePlayback of what plays there
         # playback ID -> callback that takes the current rung of a playback to be handed over
         self.hand_overs = {}
         self.unsent_messages = []  # bytes to send on the next connection
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -186,7 +186,7 @@
         are released on both sides, whose viewers then come back at once.
         """
         self._change_stage(Stage.DRAINING)
-        self.log.info("draining", open=self.core.open, playbacks=len(self.core.held))
+        self.log.info("draining", open=self.core.unanswered_count, playbacks=len(self.core.playbacks))
         max_deadline_s = min(
             MAX_DEADLINE_S, max(self.configuration.deadlines.values(), default=0) / NS_PER_SECOND
         )
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -12,7 +12,7 @@
 
 from terndrift import deployment
 from terndrift.audit import figures, judge, seconds
-from terndrift.core.carried import Kind, Wanted
+from terndrift.core.active_playback import AnswerKind, Wanted
 from terndrift.core.core import Core
 from terndrift.core.meter import Meter, Rationed
 from terndrift.decide import Controller
@@ -89,7 +89,7 @@
         self.world, self.name = world, f"c{n}"
         self.core = Core(made, world.now, self.name, grace, decisions=decisions)
         self.meter, self.rationed = Meter(), Rationed()
-        self.out, self.timer_at = {}, None  # Carried -> try that is out: [called off, sent]
+        self.out, self.timer_at = {}, None  # ActivePlayback -> try that is out: [called off, sent]
 
     def do(self, call, *args):
         result = call(self.world.now, *args)
@@ -111,22 +111,22 @@
 
     # What the core calls.
 
-    def set_up(self, carried, streamer, rung, timeout):
-        out = self.out[carried] = SimpleNamespace(off=False, ran=False)
+    def set_up(self, playback, streamer, rung, timeout):
+        out = self.out[playback] = SimpleNamespace(off=False, ran=False)
         to = self.world.streamers[streamer.id]
-        self.world.after(WAY, self._arrives, carried, out, to, carried.attempts, rung)
+        self.world.after(WAY, self._arrives, playback, out, to, playback.attempts, rung)
 
-    def cancel_attempt(self, carried):
-        out = self.out.pop(carried)
+    def cancel_attempt(self, playback):
+        out = self.out.pop(playback)
         out.off = True
-        self.world.after(2 * WAY, self._over, carried, Ending.CALLED_OFF, None)
+        self.world.after(2 * WAY, self._over, playback, Ending.CALLED_OFF, None)
 
-    def set_rung(self, carried, rung):
+    def set_rung(self, playback, rung):
         pass  # with the next piece
 
-    def let_go(self, carried, streamer):
-        self.out.pop(carried, None)
-        self.world.after(WAY, self._farewell, carried.id, self.world.streamers[streamer.id])
+    def release_playback(self, playback, streamer):
+        self.out.pop(playback, None)
+        self.world.after(WAY, self._farewell, playback.id, self.world.streamers[streamer.id])
 
     # The wires.
 
@@ -134,51 +134,51 @@
         self.world.note("streamers", "farewell", streamer=s.id, pb=pb)
         s.asks(pb, 0)
 
-    def _over(self, carried, ending, figures):
-        self.do(self.core.attempt_ended, carried, ending, figures)
+    def _over(self, playback, ending, figures):
+        self.do(self.core.attempt_ended, playback, ending, figures)
 
-    def _arrives(self, carried, out, s, number, rung):
-        w, wanted = self.world, carried.wanted
+    def _arrives(self, playback, out, s, number, rung):
+        w, wanted = self.world, playback.wanted
         br = kbit(w.rates[wanted.plan][rung])
         w.note(
             "streamers",
             "try",
             streamer=s.id,
-            pb=carried.id,
+            pb=playback.id,
             number=number,
             title=wanted.title,
             br=br,
             sid=wanted.about,
         )
         if out.off:
-            return w.note("streamers", "try gone", streamer=s.id, pb=carried.id, number=number)
+            return w.note("streamers", "try gone", streamer=s.id, pb=playback.id, number=number)
         if len(s.rates) + s.busy >= s.places:
-            w.note("streamers", "try end", streamer=s.id, pb=carried.id, number=number, code=503, ran=False)
-            return w.after(WAY, self._ended, carried, out, Ending.FULL, s.figures(True))
+            w.note("streamers", "try end", streamer=s.id, pb=playback.id, number=number, code=503, ran=False)
+            return w.after(WAY, self._ended, playback, out, Ending.FULL, s.figures(True))
         s.busy += 1
         took = int(0.015 * (1 + 3 * min(1.0, s.use()[0])) * SECOND)
-        return w.after(took, self._ran, carried, out, s, number, rung)
+        return w.after(took, self._ran, playback, out, s, number, rung)
 
-    def _ran(self, carried, out, s, number, rung):
+    def _ran(self, playback, out, s, number, rung):
         w = self.world
         s.busy -= 1
-        w.note("streamers", "ran", streamer=s.id, pb=carried.id, number=number)
+        w.note("streamers", "ran", streamer=s.id, pb=playback.id, number=number)
         if out.off:
-            return w.note("streamers", "try gone", streamer=s.id, pb=carried.id, number=number)
-        s.asks(carried.id, w.rates[carried.wanted.plan][rung])
-        w.note("streamers", "try end", streamer=s.id, pb=carried.id, number=number, code=200, ran=True)
-        return w.after(WAY, self._plays, carried, out, s)
+            return w.note("streamers", "try gone", streamer=s.id, pb=playback.id, number=number)
+        s.asks(playback.id, w.rates[playback.wanted.plan][rung])
+        w.note("streamers", "try end", streamer=s.id, pb=playback.id, number=number, code=200, ran=True)
+        return w.after(WAY, self._plays, playback, out, s)
 
-    def _ended(self, carried, out, ending, figures):
+    def _ended(self, playback, out, ending, figures):
         if not out.off:
-            self.out.pop(carried)
-            self._over(carried, ending, figures)
+            self.out.pop(playback)
+            self._over(playback, ending, figures)
 
-    def _plays(self, carried, out, s):
+    def _plays(self, playback, out, s):
         if out.off:
-            return s.asks(carried.id, 0)
-        self.out.pop(carried)
-        return self.do(self.core.set_up_succeeded, carried, s.figures(True))
+            return s.asks(playback.id, 0)
+        self.out.pop(playback)
+        return self.do(self.core.set_up_succeeded, playback, s.figures(True))
 
 
 class Viewer:
@@ -223,32 +223,32 @@
             w.after(WAY, self._answered, answer)
 
         def take():
-            self.carried = self.front.do(self.front.core.want, wanted, self.front, answered)
+            self.playback = self.front.do(self.front.core.want, wanted, self.front, answered)
 
         w.after(WAY, take)
 
     def _answered(self, answer):
         w, kind = self.world, answer.kind
-        code = {Kind.PLAYS: 200, Kind.REJECTED: 503, Kind.ABORTED: 504}[kind]
-        self.note("answer", ask=self.name, code=code, retry=answer.come_back or None)
-        if kind is Kind.PLAYS:
+        code = {AnswerKind.PLAYS: 200, AnswerKind.REJECTED: 503, AnswerKind.ABORTED: 504}[kind]
+        self.note("answer", ask=self.name, code=code, retry=answer.retry_after or None)
+        if kind is AnswerKind.PLAYS:
             self.begun, self.ahead, self.number = w.now, 0, 0
             return self._piece()
         # told in whole seconds (http/front.py)
-        wait = max(self.pause, -(-answer.come_back // SECOND) * SECOND)
+        wait = max(self.pause, -(-answer.retry_after // SECOND) * SECOND)
         if not self.row["returns"] or w.now + wait >= self.until:
             return self.note("end", seen=self.seen)
         return w.after(wait, self.ask)
 
     def _piece(self):
-        w, front, carried = self.world, self.front, self.carried
-        s, piece = w.streamers[carried.streamer.id], w.piece
-        rate = w.rates[self.row["plan"]][carried.rung]
-        s.asks(carried.id, rate)
-        w.note("streamers", "media", streamer=s.id, pb=carried.id, rung=carried.rung)
+        w, front, playback = self.world, self.front, self.playback
+        s, piece = w.streamers[playback.streamer.id], w.piece
+        rate = w.rates[self.row["plan"]][playback.rung]
+        s.asks(playback.id, rate)
+        w.note("streamers", "media", streamer=s.id, pb=playback.id, rung=playback.rung)
         figures = s.figures(False)
         if front.rationed.due(w.now, s.id):
-            front.do(front.core.told_use, carried, figures["link"], figures["uplink"])
+            front.do(front.core.told_use, playback, figures["link"], figures["uplink"])
         took = int(piece / s.speed())
         w.after(took, self._came, s, rate, took)
 
@@ -272,7 +272,9 @@
         self.number += 1
         whole = self.number >= w.titles[self.row["title"]].segments
         if dry > PATIENCE or whole or w.now >= self.until:
-            front.do(front.core.over, self.carried, Ending.PLAYED_OUT if whole else Ending.CALLED_OFF)
+            front.do(
+                front.core.playback_ended, self.playback, Ending.PLAYED_OUT if whole else Ending.CALLED_OFF
+            )
             return self.note("end", seen=self.seen)
         left = self.ahead - (w.now - self.begun)
         return w.after(max(0, left - (BUFFER - 1) * piece), self._piece)
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from terndrift.audit import recovery
-from terndrift.core.carried import Kind
+from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import made
 from terndrift.fleet.arena import Arena
 from terndrift.fleet.sight import Sight
@@ -76,13 +76,13 @@
                 self.sight.restore(kept)
             self._look()
 
-    def _watch(self, event, carried, **facts):
+    def _watch(self, event, playback, **facts):
         if event == "answer":
-            target = self.world.made.plans[carried.wanted.plan].startup_target
-            well = facts["kind"] == Kind.PLAYS.value and facts["took"] <= target
+            target = self.world.made.plans[playback.wanted.plan].startup_target
+            well = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.served.count(self.world.now, 1, well)
         if self.sight is not None:
-            self.sight.watch(event, carried, **facts)
+            self.sight.watch(event, playback, **facts)
 
     def _look(self):
         if self.dead:
@@ -95,20 +95,20 @@
             self.kept = kept
         self.world.after(SECOND // 10 if self.back.under_way() else SECOND, self._look)
 
-    def _arrives(self, carried, out, s, number, rung):
+    def _arrives(self, playback, out, s, number, rung):
         if s.id in self.world.off:
-            return self.world.after(WAY, self._ended, carried, out, Ending.UNREACHED, None)
-        return super()._arrives(carried, out, s, number, rung)
+            return self.world.after(WAY, self._ended, playback, out, Ending.UNREACHED, None)
+        return super()._arrives(playback, out, s, number, rung)
 
-    def _ran(self, carried, out, s, number, rung):
+    def _ran(self, playback, out, s, number, rung):
         if s.id in self.world.off or out.sent < self.world.restarted.get(s.id, 0):
             s.busy = max(0, s.busy - 1)
-            return self._ended(carried, out, Ending.BROKEN, None)
-        return super()._ran(carried, out, s, number, rung)
+            return self._ended(playback, out, Ending.BROKEN, None)
+        return super()._ran(playback, out, s, number, rung)
 
-    def set_up(self, carried, streamer, rung, timeout):
-        super().set_up(carried, streamer, rung, timeout)
-        self.out[carried].sent = self.world.now
+    def set_up(self, playback, streamer, rung, timeout):
+        super().set_up(playback, streamer, rung, timeout)
+        self.out[playback].sent = self.world.now
 
     def do(self, call, *args):
         return None if self.dead else super().do(call, *args)
@@ -121,9 +121,9 @@
         self.dead = True
         for out in self.out.values():
             out.off = True
-        for carried in self.core.held.values():
-            if carried.streamer is not None:
-                self.world.streamers[carried.streamer.id].asks(carried.id, 0)
+        for playback in self.core.playbacks.values():
+            if playback.streamer is not None:
+                self.world.streamers[playback.streamer.id].asks(playback.id, 0)
         for viewer in list(self.waiting):
             viewer.breaks("no answer")
 
@@ -162,10 +162,10 @@
 
     def _lost(self):
         """Whether its controller or its streamer is gone; it comes again then."""
-        id = self.carried.streamer.id
-        gone = id in self.world.off or self.carried.sent_at < self.world.restarted.get(id, 0)
+        id = self.playback.streamer.id
+        gone = id in self.world.off or self.playback.sent_at < self.world.restarted.get(id, 0)
         if gone and not self.front.dead:
-            self.front.do(self.front.core.over, self.carried, Ending.BROKEN)
+            self.front.do(self.front.core.playback_ended, self.playback, Ending.BROKEN)
         if gone or self.front.dead:
             self.breaks("break")
             return True
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -67,9 +67,9 @@
 def both(one, other):
     """Two watchers of the core as one."""
 
-    def watch(event, carried, **facts):
-        one(event, carried, **facts)
-        other(event, carried, **facts)
+    def watch(event, playback, **facts):
+        one(event, playback, **facts)
+        other(event, playback, **facts)
 
     return watch
 
@@ -464,7 +464,7 @@
 
     async def drain(self):
         """Takes nothing new, lets what is awaited be answered and what plays play for the drain time."""
-        self.log.info("draining", open=self.core.open, playbacks=len(self.core.held))
+        self.log.info("draining", open=self.core.unanswered_count, playbacks=len(self.core.playbacks))
         self.front.draining = True
         if self.fleet:
             self.fleet.leave()
@@ -474,7 +474,7 @@
         loop, until = asyncio.get_running_loop(), self.value["http"]["drain"] / SECOND
         until += loop.time()
         calls = self.sip.front.playing if self.sip else lambda: 0
-        while (self.core.open or self.front.playing() or calls()) and loop.time() < until:
+        while (self.core.unanswered_count or self.front.playing() or calls()) and loop.time() < until:
             await asyncio.sleep(0.05)
         await self.close()
 
--- a/terndrift/sip/bridge.py
+++ b/terndrift/sip/bridge.py
@@ -73,7 +73,7 @@
         self.state, self.side, self.leg = Asked.ASKED, None, None
         self.ok, self.wait, self.resend, self.give_up = None, 0, None, None
         self.interval, self.refreshing = 0, False
-        self.carried = None  # the user's own
+        self.playback = None  # the user's own
 
     @property
     def invite(self):
@@ -153,7 +153,7 @@
         self.state, self.transaction, self.side = Calling.CALLING, None, None
         self.cancelled, self.limit, self.code, self.answer = False, None, 0, None
         self.interval = 0
-        self.carried = self.rung = None  # the user's own
+        self.playback = self.rung = None  # the user's own
 
     def turn(self, state):
         """Every change of its state."""
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -3,7 +3,7 @@
 No socket here: `Bridge` hands in what callers and media servers did, the core what was decided.
 """
 
-from terndrift.core.carried import Kind, Stage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
 from terndrift.interface import Ending
 from terndrift.sip import sdp
 from terndrift.sip.bridge import Asked, Call, Calling
@@ -39,7 +39,8 @@
     def __init__(self, host, titles, addresses, peer, gate, log):
         self.host, self.titles, self.addresses, self.peer = host, titles, addresses, peer
         self.gate, self.log, self.bridge = gate, log, None
-        self.legs, self.entered = {}, {}  # Carried -> Leg; Call -> its source while it awaits its answer
+        # ActivePlayback -> Leg; Call -> its source while it awaits its answer
+        self.legs, self.entered = {}, {}
         self.draining = False
 
     # A caller.
@@ -71,7 +72,7 @@
         if (seconds := call.invite.number("expires")) is not None:
             left = min(left, seconds * SECOND)
         call.offered, call.version = offered, 1
-        call.carried = self.host.do(
+        call.playback = self.host.do(
             core.want,
             Wanted(
                 found.plan, title, self.titles.rooms(title), fits[-1], left, found.length, found.rates, call
@@ -88,115 +89,115 @@
     def _answered(self, call, answer):
         now = self.host.clock.now()
         self.gate.leave(now, self.entered.pop(call))
-        if answer.kind is Kind.PLAYS:
-            # `carried` is not yet on the call where the answer came within `want` itself
+        if answer.kind is AnswerKind.PLAYS:
+            # `playback` is not yet on the call where the answer came within `want` itself
             call.accept(now, call.leg.answer.body)
-        elif answer.kind is Kind.REJECTED:
-            call.decline(now, 503, -(-answer.come_back // SECOND))
+        elif answer.kind is AnswerKind.REJECTED:
+            call.decline(now, 503, -(-answer.retry_after // SECOND))
         else:
-            call.decline(now, 504, reason=answer.why)
+            call.decline(now, 504, reason=answer.reason)
 
     def left(self, now, call):
         """Its caller cancelled, hung up, or is lost."""
-        if call.carried is not None:
-            self.host.do(self.host.core.left, call.carried)
+        if call.playback is not None:
+            self.host.do(self.host.core.viewer_left, call.playback)
         if call in self.entered:
             self.gate.leave(now, self.entered.pop(call))
 
     # What the core calls.
 
-    def set_up(self, carried, streamer, rung, timeout):
-        now, call, core = self.host.clock.now(), carried.wanted.about, self.host.core
+    def set_up(self, playback, streamer, rung, timeout):
+        now, call, core = self.host.clock.now(), playback.wanted.about, self.host.core
         address = self.addresses.get(streamer.id)
         if not address:
-            self.host.do(core.attempt_ended, carried, Ending.UNREACHED)
+            self.host.do(core.attempt_ended, playback, Ending.UNREACHED)
             return
-        if not core.may_send(now, carried):
-            self.host.do(core.attempt_ended, carried, Ending.NEVER_SENT)
+        if not core.may_send(now, playback):
+            self.host.do(core.attempt_ended, playback, Ending.NEVER_SENT)
             return
-        uri = Uri("sip", carried.wanted.title, *_host_port(address))
-        call.leg = self.legs[carried] = self.bridge.dial(
+        uri = Uri("sip", playback.wanted.title, *_host_port(address))
+        call.leg = self.legs[playback] = self.bridge.dial(
             now,
             uri,
             self.peer(address),
-            self._offer(call, carried, rung),
+            self._offer(call, playback, rung),
             call,
             [
-                (PLAYBACK, f"{carried.id};try={carried.attempts}"),
+                (PLAYBACK, f"{playback.id};try={playback.attempts}"),
                 (VISIT, call.invite.named("from").uri.user or "-"),
             ],
         )
-        call.leg.carried = carried
+        call.leg.playback = playback
 
-    def _offer(self, call, carried, rung):
-        plan = self.host.core.deployment.plans[carried.wanted.plan]
-        rates = carried.wanted.rates or self.host.core.deployment.ladder.rates
+    def _offer(self, call, playback, rung):
+        plan = self.host.core.deployment.plans[playback.wanted.plan]
+        rates = playback.wanted.rates or self.host.core.deployment.ladder.rates
         call.version += 1
         bits = self._bits(rates, plan, rung)
         return sdp.renewed(sdp.with_bits(call.offered, bits), call.version).encode()
 
-    def cancel_attempt(self, carried):
-        if leg := self.legs.get(carried):
+    def cancel_attempt(self, playback):
+        if leg := self.legs.get(playback):
             leg.call_off(self.host.clock.now())
 
-    def set_rung(self, carried, rung):
+    def set_rung(self, playback, rung):
         """A new offer to the media server; what it answers goes to the caller. While one is out the newest
         waits; one that is refused leaves the old rung in force, and the decisions are told."""
-        leg = self.legs.get(carried)
-        if leg is None or leg.side is None or carried.stage is not Stage.PLAYING:
+        leg = self.legs.get(playback)
+        if leg is None or leg.side is None or playback.stage is not PlaybackStage.PLAYING:
             return
-        call, before = carried.wanted.about, leg.rung
+        call, before = playback.wanted.about, leg.rung
 
         def done(now, code, body):
             if 200 <= code < 300:
                 leg.rung = rung
                 if call.side is not None and call.side.stands is Stands.UP and body:
                     call.side.propose(now, body, lambda *_: None)
-            elif code and carried.stage is Stage.PLAYING:
-                self.log.info("rung refused", pb=carried.id, code=code, rung=rung, stays=before)
-                self.host.do(self.host.core.rung_stands, carried, before)
+            elif code and playback.stage is PlaybackStage.PLAYING:
+                self.log.info("rung refused", pb=playback.id, code=code, rung=rung, stays=before)
+                self.host.do(self.host.core.rung_stands, playback, before)
 
-        leg.side.propose(self.host.clock.now(), self._offer(call, carried, rung), done)
+        leg.side.propose(self.host.clock.now(), self._offer(call, playback, rung), done)
 
-    def let_go(self, carried, streamer):
-        if leg := self.legs.pop(carried, None):
+    def release_playback(self, playback, streamer):
+        if leg := self.legs.pop(playback, None):
             leg.end(self.host.clock.now())
 
     # A media server.
 
     def leg_up(self, now, leg):
-        carried = leg.carried
-        leg.rung = carried.rung
-        if carried.stage is not Stage.ATTEMPTING:
+        playback = leg.playback
+        leg.rung = playback.rung
+        if playback.stage is not PlaybackStage.ATTEMPTING:
             leg.end(now)
             return
-        self.host.do(self.host.core.set_up_succeeded, carried, report(leg.answer))
+        self.host.do(self.host.core.set_up_succeeded, playback, report(leg.answer))
 
     def leg_over(self, now, leg, why, code):
-        carried = leg.carried
-        self.legs.pop(carried, None)
+        playback = leg.playback
+        self.legs.pop(playback, None)
         ending = {"silent": Ending.SILENT, "broken": Ending.BROKEN, "called off": Ending.CALLED_OFF}.get(why)
         if ending is None:
             ending = Ending.FULL if code in FULL else Ending.ERRED
-        self.host.do(self.host.core.attempt_ended, carried, ending)
+        self.host.do(self.host.core.attempt_ended, playback, ending)
 
     def leg_ended(self, now, leg, why):
-        carried = leg.carried
-        self.legs.pop(carried, None)
+        playback = leg.playback
+        self.legs.pop(playback, None)
         leg.about.end(now, why)
         ending = Ending.PLAYED_OUT if why == "ended there" else Ending.BROKEN
-        self.host.do(self.host.core.over, carried, ending)
+        self.host.do(self.host.core.playback_ended, playback, ending)
 
     def passed_on(self, side, body):
         """A caller's new offer goes to its media server within the rung in force; the other way as it is."""
         part = side.part
-        if not isinstance(part, Call) or part.carried is None or part.leg is None:
+        if not isinstance(part, Call) or part.playback is None or part.leg is None:
             return body
         try:
             part.offered = sdp.read(body)
         except sdp.Unusable:
             return body
-        return self._offer(part, part.carried, part.carried.rung)
+        return self._offer(part, part.playback, part.playback.rung)
 
     def stray(self, now, message, number):
         """A media server answers a call that was given up as silent: it is taken, and ended."""
--- a/terndrift/xds/load.py
+++ b/terndrift/xds/load.py
@@ -38,14 +38,14 @@
     def _of(self, streamer):
         return self.used.setdefault(streamer, Used())
 
-    def watch(self, event, carried, **facts):
+    def watch(self, event, playback, **facts):
         """What the core tells of its playbacks."""
         if event == "try":
             self._of(facts["streamer"]).issued += 1
         elif event == "try over" and facts["ending"] not in HARMLESS:
             self._of(facts["streamer"]).erred += 1
         elif event == "answer" and facts["kind"] == "plays":
-            self._of(carried.streamer.id).well += 1
+            self._of(playback.streamer.id).well += 1
 
     def passed(self, streamer, size):
         if size:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -88,8 +88,8 @@
         while self.now < until:
             self.now = min(until, self.now + step)
             for pb in list(self.c.playbacks.values()):
-                late = self.now >= pb.since + pb.timeout
-                if pb.out and late and pb.state in (State.ATTEMPTING, State.ABORTED):
+                late = self.now >= pb.state_since + pb.timeout
+                if pb.in_progress and late and pb.state in (State.ATTEMPTING, State.ABORTED):
                     self.end(pb, Ending.SILENT)
             if self.c.wake_at is not None and self.now >= self.c.wake_at:
                 self._seen(self.c.wake(self.now))
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 from terndrift.audit.facts import Facts
 from terndrift.catalogue.titles import Title
 from terndrift.catalogue.versions import Change
-from terndrift.core.carried import Answer, Kind
+from terndrift.core.active_playback import Answer, AnswerKind
 from terndrift.hints import cmcd
 from terndrift.http.seats import Seats
 
@@ -25,7 +25,7 @@
 
 
 def late(service):
-    async def turn_away(exchange, come_back):
+    async def turn_away(exchange, retry_after):
         await asyncio.sleep(2.0)
         await exchange.reply(503)
 
@@ -56,13 +56,13 @@
 def resending(service):
     carrier, over = service.carrier, service.carrier._over
 
-    def again(carried, ending, figures=None):
-        if ending.may_have_run and carried.attempts < 2:
-            carried.attempts += 1
-            carrier.tries.pop(carried)
-            carrier.set_up(carried, carried.streamer, carried.rung, 0)
+    def again(playback, ending, figures=None):
+        if ending.may_have_run and playback.attempts < 2:
+            playback.attempts += 1
+            carrier.tries.pop(playback)
+            carrier.set_up(playback, playback.streamer, playback.rung, 0)
         else:
-            over(carried, ending, figures)
+            over(playback, ending, figures)
 
     carrier._over = again
 
@@ -78,12 +78,12 @@
 def hedging(service):
     carrier, set_up = service.carrier, service.carrier.set_up
 
-    def twice(carried, streamer, rung, timeout):
-        set_up(carried, streamer, rung, timeout)
-        first = carrier.tries[carried]
-        carried.attempts += 1
-        set_up(carried, streamer, rung, timeout)
-        carrier.tries[carried] = first
+    def twice(playback, streamer, rung, timeout):
+        set_up(playback, streamer, rung, timeout)
+        first = carrier.tries[playback]
+        playback.attempts += 1
+        set_up(playback, streamer, rung, timeout)
+        carrier.tries[playback] = first
 
     carrier.set_up = twice
 
@@ -101,12 +101,12 @@
 
     def softened(now, wanted, visit):
         awaited = want(now, wanted, visit)
-        answered = awaited.carried.answered
+        answered = awaited.playback.on_answer
 
         def instead(answer):
-            answered(Answer(Kind.REJECTED) if answer.kind is Kind.ABORTED else answer)
+            answered(Answer(AnswerKind.REJECTED) if answer.kind is AnswerKind.ABORTED else answer)
 
-        awaited.carried.answered = instead
+        awaited.playback.on_answer = instead
         return awaited
 
     front._want = softened
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -326,7 +326,7 @@
     seats = await asyncio.gather(*(world.ask("seat", {cmcd.SESSION: f'sid="s{n}"'}) for n in range(2)))
     assert [s[0] for s in seats] == [200, 200]
     held = asyncio.ensure_future(world.ask("seat", {cmcd.SESSION: 'sid="held"'}))
-    while world.service.core.open < 1:
+    while world.service.core.unanswered_count < 1:
         await asyncio.sleep(0.005)
     tried = asyncio.ensure_future(world.ask("clip", {cmcd.SESSION: 'sid="tried"'}))
     while not any(n["sid"] == "tried" for n in world.notes("try")):
@@ -345,10 +345,10 @@
     began, may = asyncio.Event(), asyncio.Event()
     tried = carrier._try
 
-    async def slow(carried, call, rung):
+    async def slow(playback, call, rung):
         began.set()
         await may.wait()
-        await tried(carried, call, rung)
+        await tried(playback, call, rung)
 
     carrier._try = slow
     # An attempt of a repeatable plan times out after 200 ms, sooner than a busy disk writes the change;
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from terndrift.core.carried import Kind, Stage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
 from terndrift.core.core import Core
 from terndrift.core.gate import MAX_RETRY_AFTER_NS, Gate
 from terndrift.core.meter import Meter, Rationed
@@ -39,7 +39,7 @@
         assert playback in self.in_flight or playback in self.playing
         self.rungs[playback] = rung
 
-    def let_go(self, playback, streamer):
+    def release_playback(self, playback, streamer):
         self.playing.pop(playback, None)
 
 
@@ -103,7 +103,7 @@
     harness.end(playback, Ending.CALLED_OFF)
     assert len(harness.transport.sends) == 2
     harness.plays(playback)
-    assert harness.answers[playback][0][1].kind is Kind.PLAYS
+    assert harness.answers[playback][0][1].kind is AnswerKind.PLAYS
 
 
 def test_timed_out_attempt_of_a_non_repeatable_plan_is_aborted_in_time_and_not_repeated():
@@ -111,35 +111,37 @@
     playback = harness.want("paid", time_left=2 * S)
     harness.wait(1990 * MS)
     ((at, answer),) = harness.answers[playback]
-    assert answer.kind is Kind.ABORTED and at < T0 + 2 * S and playback in harness.transport.cancelling
+    assert answer.kind is AnswerKind.ABORTED and at < T0 + 2 * S and playback in harness.transport.cancelling
     harness.end(playback, Ending.CALLED_OFF)
     harness.wait(5 * S)
-    assert len(harness.transport.sends) == 1 and not harness.core.held
+    assert len(harness.transport.sends) == 1 and not harness.core.playbacks
 
 
 def test_attempt_that_succeeds_while_being_cancelled_is_released_without_a_second_answer():
     harness = CoreHarness()
     playback = harness.want("paid", time_left=S)
     harness.wait(990 * MS)
-    assert playback.stage is Stage.CANCELLING
+    assert playback.stage is PlaybackStage.CANCELLING
     harness.plays(playback)
     assert (
         len(harness.answers[playback]) == 1
-        and playback.stage is Stage.OVER
+        and playback.stage is PlaybackStage.ENDED
         and not harness.transport.playing
-        and not harness.core.held
+        and not harness.core.playbacks
     )
 
 
 def test_viewer_that_leaves_gets_no_answer_and_its_attempt_is_tracked_until_it_ends():
     harness = CoreHarness()
     playback = harness.want()
-    harness.core.left(harness.now, playback)
+    harness.core.viewer_left(harness.now, playback)
     assert (
-        playback in harness.transport.cancelling and not harness.answers[playback] and harness.core.open == 0
+        playback in harness.transport.cancelling
+        and not harness.answers[playback]
+        and harness.core.unanswered_count == 0
     )
     harness.end(playback, Ending.CALLED_OFF)
-    assert playback.stage is Stage.OVER and not harness.core.held
+    assert playback.stage is PlaybackStage.ENDED and not harness.core.playbacks
 
 
 def test_no_set_up_to_a_streamer_that_drains_after_it_was_chosen_once_the_grace_period_is_over():
@@ -167,18 +169,18 @@
     playback = harness.want("paid", time_left=2 * S)
     harness.wait(2 * S)
     ((at, answer),) = harness.answers[playback]
-    assert answer.kind is Kind.REJECTED and at <= T0 + 2 * S and harness.core.decision_errors == 1, (
+    assert answer.kind is AnswerKind.REJECTED and at <= T0 + 2 * S and harness.core.decision_errors == 1, (
         "no attempt was sent"
     )
-    assert 0 < answer.come_back <= harness.core.deployment.rules.longest_advice
+    assert 0 < answer.retry_after <= harness.core.deployment.rules.longest_advice
     assert ("fault", playback) in harness.events
 
 
 def test_fallback_answer_is_a_rejection_only_if_a_repeated_attempt_does_no_harm():
-    for plan, kind in (("paid", Kind.ABORTED), ("free", Kind.REJECTED)):
+    for plan, kind in (("paid", AnswerKind.ABORTED), ("free", AnswerKind.REJECTED)):
         harness = CoreHarness()
         playback = harness.want(plan)
-        assert playback.attempts == 1 and harness.core.last_answer(playback).kind is kind
+        assert playback.attempts == 1 and harness.core.fallback_answer(playback).kind is kind
 
 
 def test_baseline_policies_place_playbacks():
@@ -204,11 +206,11 @@
     playback = harness.core.hand_over(
         harness.now, Wanted("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 2, 1
     )
-    assert playback.stage is Stage.PLAYING and harness.core.controller.streamers[2].playbacks
+    assert playback.stage is PlaybackStage.PLAYING and harness.core.controller.streamers[2].playbacks
     not_listed = harness.core.hand_over(
         harness.now, Wanted("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 99, 1
     )
-    assert not_listed.stage is Stage.OVER and not_listed.id not in harness.core.held
+    assert not_listed.stage is PlaybackStage.ENDED and not_listed.id not in harness.core.playbacks
 
 
 event_tuples = st.tuples(
@@ -241,11 +243,11 @@
             harness.end(playback, ending)
         elif action == "left" and harness.answers:
             playback = list(harness.answers)[choice % len(harness.answers)]
-            if not harness.answers[playback] or playback.stage is Stage.PLAYING:
+            if not harness.answers[playback] or playback.stage is PlaybackStage.PLAYING:
                 left_playbacks.add(playback)
-                harness.core.left(harness.now, playback)
+                harness.core.viewer_left(harness.now, playback)
         elif action == "over" and playing:
-            harness.core.over(
+            harness.core.playback_ended(
                 harness.now, playing[choice % len(playing)], [Ending.PLAYED_OUT, Ending.BROKEN][variant % 2]
             )
         elif action == "list":
@@ -269,12 +271,12 @@
         if answers:
             at, answer = answers[0]
             assert at <= playback.deadline
-            if answer.kind is Kind.REJECTED and playback.wanted.plan == "paid":
+            if answer.kind is AnswerKind.REJECTED and playback.wanted.plan == "paid":
                 assert playback not in maybe_ran
     for playback in list(harness.transport.in_flight):
         harness.end(playback, Ending.CALLED_OFF)
-    assert harness.core.open == 0
-    assert set(harness.core.held.values()) == set(harness.transport.playing)
+    assert harness.core.unanswered_count == 0
+    assert set(harness.core.playbacks.values()) == set(harness.transport.playing)
 
 
 # Admission gate, visits and delivery meter.
@@ -362,4 +364,4 @@
     playback = harness.want("paid", time_left=4 * S)
     harness.wait(4 * S)
     ((at, answer),) = harness.answers[playback]
-    assert answer.kind is Kind.ABORTED and T0 + 3 * S < at <= T0 + 3700 * MS
+    assert answer.kind is AnswerKind.ABORTED and T0 + 3 * S < at <= T0 + 3700 * MS
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 from platform_world import SETTINGS, in_world
 from world import Log, until
 
-from terndrift.core.carried import Stage
+from terndrift.core.active_playback import PlaybackStage
 from terndrift.platform import carrier as carrier_module
 from terndrift.platform import message as m
 from terndrift.platform import service as service_module
@@ -390,7 +390,7 @@
                 viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             viewer.close()
         await received_so_far(first_viewer, world)
-        await until(lambda: not world.core.open)
+        await until(lambda: not world.core.unanswered_count)
         assert await sent_ids(world) == ids_before
         other_connection.close()
         if departure in ("half-close", "cancel", "cancel elsewhere"):
@@ -420,7 +420,7 @@
     core.want = want_while_cancelled
     viewer.sendall(set_up_message(id))
     await until(lambda: cancelled)
-    await until(lambda: not core.open)
+    await until(lambda: not core.unanswered_count)
     await received_so_far(first_viewer, world)
     assert await sent_ids(world) == ids_before
     viewer.close()
@@ -454,7 +454,7 @@
         with patched(carrier_module, HELD_UP=-1 if on_another_connection else carrier_module.HELD_UP):
             viewer.sendall(set_up_message(id))
             await until(lambda: cancelled)
-            await until(lambda: not world.core.open)
+            await until(lambda: not world.core.unanswered_count)
         await received_so_far(first_viewer, world)
         assert await sent_ids(world) == ids_before
         viewer.close()
@@ -483,7 +483,7 @@
     streamer = next(s for s in world.streamers if s.heard)
     streamer.say(release(id, 34))
     viewer.close()
-    await until(lambda: not world.core.held)
+    await until(lambda: not world.core.playbacks)
     await received_so_far(await world.viewer(), world)
     assert await sent_ids(world) == [id]
 
@@ -494,7 +494,7 @@
     id, streamer = await world.plays(viewer)
     streamer.say(release(id, 16))
     viewer.send(release(id, 16))
-    await until(lambda: not world.core.held)
+    await until(lambda: not world.core.playbacks)
     received = await received_so_far(viewer, world)
     assert sorted(message.type for message in received) in ([m.RELEASE, m.RELEASE_HEARD], [m.RELEASE_HEARD])
     assert not world.service.front.held and not any(world.service.front.standing.values())
@@ -511,9 +511,9 @@
         with patched(carrier_module, connect=connects):
             viewer, id, real_call_off = await world.viewer(), world.id(), world.carrier.cancel_attempt
 
-            def allow_connect_then_call_off(carried):
+            def allow_connect_then_call_off(playback):
                 connects.allow()
-                real_call_off(carried)
+                real_call_off(playback)
 
             world.carrier.cancel_attempt = allow_connect_then_call_off
             viewer.send(set_up_message(id))
@@ -522,7 +522,7 @@
                 viewer.send(release(id, 16))
             else:
                 viewer.writer.close()
-            await until(lambda: not world.core.held)
+            await until(lambda: not world.core.playbacks)
             await until(lambda: not any(p.connecting for p in world.carrier.peers.values()))
             await received_so_far(await world.viewer(), world)
         assert not await sent_ids(world) and not world.carrier.attempts
@@ -537,9 +537,9 @@
     """Otherwise two attempts for one playback would run at once."""
     connects, real_call_off = DelayedConnects(delayed=1), world.carrier.cancel_attempt
 
-    def allow_connect_then_call_off(carried):
+    def allow_connect_then_call_off(playback):
         connects.allow()
-        real_call_off(carried)
+        real_call_off(playback)
 
     world.carrier.cancel_attempt = allow_connect_then_call_off
     with patched(carrier_module, connect=connects):
@@ -655,7 +655,7 @@
     await until(lambda: not world.service.front.held)
     streamer.say(encode(m.ANSWER, id, (m.DESCRIPTION, b"late")) * 2 + release(id, 16) + release(id, 16))
     await until(lambda: streamer.ids(m.RELEASE) == [id])
-    await until(lambda: not world.core.held)
+    await until(lambda: not world.core.playbacks)
     assert [message.type for message in await received_so_far(viewer, world)] == [m.RELEASE_HEARD]
 
 
@@ -875,7 +875,9 @@
         assert not await received_so_far(viewer, world)
         assert not world.service.front.held and not world.service.front.expected
         assert not any(world.service.front.standing.values())
-        assert not any(carried.stage is not Stage.OVER for carried in world.core.held.values())
+        assert not any(
+            playback.stage is not PlaybackStage.ENDED for playback in world.core.playbacks.values()
+        )
 
     test()
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -32,7 +32,7 @@
     front.end(playback, Ending.FULL)
     assert playback.streamer is not first and playback.attempts == 2
     front.end(playback, Ending.FULL)
-    assert playback.state is State.REJECTED and playback.come_back
+    assert playback.state is State.REJECTED and playback.retry_after
 
 
 def test_the_rung_keeps_link_and_uplink_under_the_target_utilisation():
@@ -461,5 +461,5 @@
     front.c.limits(front.now, None, {}, advice)
     for n in range(80):
         changed = front.c.wanted(front.now, f"x{n}", "free", "t", frozenset([0]), 3, 4 * S, 0, False)
-        retry_times.append(changed[0].come_back)
+        retry_times.append(changed[0].retry_after)
     assert set(retry_times) == set(advice) and all(10 <= retry_times.count(a) <= 30 for a in advice)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -179,11 +179,11 @@
     for s in world.fleet.streamers.values():
         s.begin("still", 1)
     socks = [world.raw(b"GET /v/clip/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(20)]
-    await until(lambda: world.service.core.open == 20)
+    await until(lambda: world.service.core.unanswered_count == 20)
     for sock in socks:
         sock.close()
     await world.quiet()
-    assert world.service.core.open == 0 and world.service.front.gate.count == 0
+    assert world.service.core.unanswered_count == 0 and world.service.front.gate.count == 0
 
 
 @in_world(front="limits: open: 10")
@@ -194,7 +194,7 @@
     answers = await asyncio.gather(*(world.ask() for _ in range(80)))
     turned = [a for a in answers if a[0] == 503 and a[3] < 0.9]
     assert len(turned) >= 70 and all(a[1].get("Retry-After") for a in turned)
-    assert world.service.core.open == 0
+    assert world.service.core.unanswered_count == 0
 
     def descriptors():
         for pool in (world.pool, world.service.pool):  # idle connections are kept on purpose
@@ -289,7 +289,7 @@
 async def test_a_silent_playback_ends_and_its_streamer_is_told(world):
     await world.ask("seat")
     await until(lambda: world.notes("farewell"))
-    assert not world.service.core.held
+    assert not world.service.core.playbacks
 
 
 @in_world(front="http: drain: 500ms")
@@ -297,7 +297,7 @@
     for s in world.fleet.streamers.values():
         s.begin("late", 0.2)
     waiting = asyncio.ensure_future(world.ask("lesson"))
-    await until(lambda: world.service.core.open == 1)
+    await until(lambda: world.service.core.unanswered_count == 1)
     idle = world.raw(b"")
     draining = asyncio.ensure_future(world.service.drain())
     assert (await waiting)[0] == 200
@@ -355,5 +355,5 @@
     front.unsure = False
     front.sure.set()
     assert (await asking)[0] == 200
-    wanted = [c.wanted for c in world.service.core.held.values() if c.wanted.title == "lesson"]
+    wanted = [c.wanted for c in world.service.core.playbacks.values() if c.wanted.title == "lesson"]
     assert wanted and wanted[0].time_left < 1_000_000_000, "what he waited is gone from his time"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,7 @@
 from world import Log, until
 
 from terndrift import terms
-from terndrift.core.carried import Stage
+from terndrift.core.active_playback import PlaybackStage
 from terndrift.interface import Standing
 from terndrift.platform import carrier, settings
 from terndrift.platform import message as m
@@ -260,7 +260,7 @@
     streamer.say(release(id, 16, (m.REPORT, "active:0;x0:0.0;x1:0.0")))
     over = await viewer.hear()
     assert (over.type, over.id) == (m.RELEASE, id)
-    await until(lambda: not world.core.held and not world.core.controller.playbacks)
+    await until(lambda: not world.core.playbacks and not world.core.controller.playbacks)
     assert not world.service.front.held and not streamer.ids(m.RELEASE), (
         "the streamer reported the end itself"
     )
@@ -273,7 +273,7 @@
     other.send(release(id, 16))
     await until(lambda: id in streamer.ids(m.RELEASE))
     assert (await other.hear()).type == m.RELEASE_HEARD
-    assert not world.core.held
+    assert not world.core.playbacks
 
 
 @in_world
@@ -351,9 +351,9 @@
         await until(lambda: len(front.connections) == 1)
         streamer = next(s for s in world.streamers if ids[1] in s.ids(m.SET_UP))
         streamer.say(release(ids[1], 16))
-        await until(lambda: len(core.held) == 1)
+        await until(lambda: len(core.playbacks) == 1)
     counts = {
-        "core": len(core.held),
+        "core": len(core.playbacks),
         "attempts": len(carrier.attempts),
         "cancelled": len(carrier.cancelled),
         "playing": sum(
@@ -361,7 +361,7 @@
         ),
         "front": len(front.held) + len(front.expected) + len(front.undelivered_releases),
         "connections": len(front.connections),
-        "controller": len(controller.playbacks) + len(controller.open),
+        "controller": len(controller.playbacks) + len(controller.pending),
         "streamers": sum(len(s.playbacks) for s in controller.streamers.values()),
     }
     assert counts == {
@@ -438,13 +438,13 @@
 async def test_viewer_that_cancels_or_disconnects_frees_its_attempts(world):
     viewer = await world.viewer()
     ids = [viewer.ask() for _ in range(40)]
-    await until(lambda: world.core.open == 40)
+    await until(lambda: world.core.unanswered_count == 40)
     for id in ids[:20]:
         viewer.send(release(id, 16))
-    await until(lambda: world.core.open == 20)
+    await until(lambda: world.core.unanswered_count == 20)
     viewer.writer.close()
-    await until(lambda: not world.core.held and not world.service.front.held)
-    assert not world.service.front.admission.count and not world.core.controller.open
+    await until(lambda: not world.core.playbacks and not world.service.front.held)
+    assert not world.service.front.admission.count and not world.core.controller.pending
 
 
 @in_world
@@ -478,7 +478,7 @@
     id = viewer.ask()
     viewer.ask(id=id, description=b"another")
     assert (await viewer.hear()).cause == m.UNUSABLE
-    await until(lambda: not world.core.held)
+    await until(lambda: not world.core.playbacks)
 
 
 @in_world
@@ -521,7 +521,7 @@
     await streamer.die()
     answer = await viewer.hear()
     assert (answer.type, answer.id) == (m.RELEASE, id)
-    await until(lambda: not world.core.held)
+    await until(lambda: not world.core.playbacks)
     assert world.by_name(streamer.name).down is not None or world.by_name(streamer.name).gap
 
 
@@ -551,7 +551,7 @@
 async def test_notes_reach_the_decisions_and_a_rung_change_reaches_the_streamer(world):
     viewer = await world.viewer()
     id, streamer = await world.plays(viewer)
-    carried = world.service.front.held[id].carried
+    playback = world.service.front.held[id].playback
     for name, value in (
         ("served", "0.7"),
         ("link_use", "0.4"),
@@ -562,9 +562,9 @@
     ):
         streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
     state = world.by_name(streamer.name)
-    await until(lambda: state.shares and state.heard and state.rack.seen and carried.rung == 0)
-    assert state.shares[-1][1] == 0.7 and world.core.controller.playbacks[carried.id].rung == 0
-    world.carrier.set_rung(carried, 2)
+    await until(lambda: state.shares and state.heard and state.rack.seen and playback.rung == 0)
+    assert state.shares[-1][1] == 0.7 and world.core.controller.playbacks[playback.id].rung == 0
+    world.carrier.set_rung(playback, 2)
     await until(lambda: streamer.ids(m.RUNG) == [id])
     assert next(message for message in streamer.heard if message.type == m.RUNG).parameters[m.RUNG_NO] == b"2"
 
@@ -575,12 +575,14 @@
     id = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
     await until(lambda: streamer.writers)
     viewer.ask(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")  # repeated: ignored
-    assert not world.core.held, "a hand-over waits for the rung, as a guessed one would be corrected at once"
+    assert not world.core.playbacks, (
+        "a hand-over waits for the rung, as a guessed one would be corrected at once"
+    )
     streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "2")))
     await until(lambda: id in world.service.front.held)
-    carried = world.service.front.held[id].carried
-    assert carried.stage is Stage.PLAYING and carried.rung == 2 and not streamer.ids(m.SET_UP)
-    assert world.core.controller.playbacks[carried.id].rung == 2
+    playback = world.service.front.held[id].playback
+    assert playback.stage is PlaybackStage.PLAYING and playback.rung == 2 and not streamer.ids(m.SET_UP)
+    assert world.core.controller.playbacks[playback.id].rung == 2
     viewer.ask(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")
     streamer.say(release(id, 16))
     over = await viewer.hear()
@@ -595,7 +597,7 @@
     viewer, streamer = await world.viewer(), world.streamers[1]
     id = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}", plan="paid")
     await until(lambda: id in world.service.front.held)
-    assert world.service.front.held[id].carried.rung == 1, "the floor of its plan"
+    assert world.service.front.held[id].playback.rung == 1, "the floor of its plan"
     other = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
     await until(lambda: other in world.service.front.expected)
     viewer.send(release(other, 16))
@@ -752,14 +754,14 @@
         for ended_by_streamer in (False, True):
             id, streamer = await world.plays(viewer)
             session = world.service.front.held[id]
-            references += [weakref.ref(session), weakref.ref(session.carried)]
+            references += [weakref.ref(session), weakref.ref(session.playback)]
             del session
             if ended_by_streamer:
                 streamer.say(release(id, 16))
             else:
                 viewer.send(release(id, 16))
             await viewer.hear()
-            await until(lambda: not world.service.front.held and not world.core.held)
+            await until(lambda: not world.service.front.held and not world.core.playbacks)
         await asyncio.sleep(0.05)
         assert [reference() for reference in references] == [None] * 4
     finally:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
 def test_any_history_of_calls_keeps_the_rules(history, warm):
     front = Front(streamers=5, warm=warm)
     for call, a, b in history:
-        out = [playback for playback in front.c.playbacks.values() if playback.out]
+        out = [playback for playback in front.c.playbacks.values() if playback.in_progress]
         playback = out[a % len(out)] if out else None
         if call == "want":
             front.want(["free", "paid"][a % 2], f"t{b % 3}", cells=a % 5, top=b % 4, left=(a % 50) * 100 * MS)
@@ -47,7 +47,7 @@
         elif call == "wait":
             front.pass_time((a % 40) * 50 * MS)
     front.pass_time(8 * S)
-    assert not front.c.open, "a playback has no answer"
+    assert not front.c.pending, "a playback has no answer"
 
 
 def naive_fair_rungs(controller, now, rack):
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from platform_world import SETTINGS
 
-from terndrift.core.carried import Kind, Stage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
 from terndrift.core.core import Core, margin
 from terndrift.interface import Ending, Listed, Standing
 from terndrift.platform import settings
@@ -131,7 +131,7 @@
         self.cells, self.layout = configuration.layout.cells, configuration.layout
         self.event_numbers, self.events = itertools.count(), []
         self.pending, self.may_have_run, self.playing, self.extra_attempts, self.requests = (
-            {},  # carried -> streamer of the attempt that is out
+            {},  # playback -> streamer of the attempt that is out
             set(),
             set(),
             [],  # times of attempts after the first
@@ -143,10 +143,10 @@
         self.streamer_count = min(10, self.cells + 1)
         self._update_list([self._list_entry(n) for n in range(self.streamer_count)])
 
-    def _watch(self, event, carried, **facts):
+    def _watch(self, event, playback, **facts):
         assert event != "fault", facts
         # Playbacks are scanned 50 ms apart, so for a shorter wait the core's own last answer is the only one.
-        assert event != "last word" or carried.wanted.time_left < 300 * MS, "not answered by the controller"
+        assert event != "last word" or playback.wanted.time_left < 300 * MS, "not answered by the controller"
 
     def _list_entry(self, n, standing=Standing.READY):
         kinds = list(self.deployment.links.places) or ["other"]
@@ -171,17 +171,17 @@
                 self.unready_since.setdefault(entry.id, self.now)
         self.core.list_changed(self.now, entries, False, False)
 
-    # The calls of core.carried.Carrier.
+    # The calls of core.active_playback.Carrier.
 
-    def set_up(self, carried, streamer, rung, timeout):
+    def set_up(self, playback, streamer, rung, timeout):
         """Checks the rules for an attempt and schedules its end, or none if the streamer stays silent."""
-        plan = self.deployment.plans[carried.wanted.plan]
-        assert carried not in self.pending and carried not in self.playing, "two attempts out at once"
-        assert plan.repeatable or carried not in self.may_have_run, "sent again though it may have run"
-        assert plan.floor <= rung <= max(plan.floor, carried.wanted.top)
+        plan = self.deployment.plans[playback.wanted.plan]
+        assert playback not in self.pending and playback not in self.playing, "two attempts out at once"
+        assert plan.repeatable or playback not in self.may_have_run, "sent again though it may have run"
+        assert plan.floor <= rung <= max(plan.floor, playback.wanted.top)
         assert self.standing[streamer.id] is Standing.READY, "the streamer drains or is gone"
-        assert carried.attempts <= self.deployment.rules.attempt_limit and carried.answer is None
-        if carried.attempts > 1:
+        assert playback.attempts <= self.deployment.rules.attempt_limit and playback.answer is None
+        if playback.attempts > 1:
             self.extra_attempts.append(self.now)
             window_start, rules = (
                 self.now - self.deployment.rules.extra_window,
@@ -193,49 +193,49 @@
                     sum(t > window_start for t in self.extra_attempts)
                     <= rules.extra_attempts + rules.extra_share * requests
                 )
-        self.pending[carried] = streamer
+        self.pending[playback] = streamer
         seated = [
             other
             for other in [*self.pending, *self.playing]
-            if other.wanted.plan == plan.name and other.wanted.title == carried.wanted.title
+            if other.wanted.plan == plan.name and other.wanted.title == playback.wanted.title
         ]
         assert not plan.seats or len(seated) <= plan.seats
         ending = self.random.choice([None, None, *ATTEMPT_ENDINGS, "silent"])
         if ending != "silent":
             longest = self.random.choice([100 * MS, 100 * MS, 2 * timeout])
             self._schedule(
-                self.random.randrange(longest), self._end_attempt, carried, carried.attempts, ending
+                self.random.randrange(longest), self._end_attempt, playback, playback.attempts, ending
             )
 
-    def cancel_attempt(self, carried):
+    def cancel_attempt(self, playback):
         """Reports the attempt as called off 50 ms later."""
-        self._schedule(50 * MS, self._end_attempt, carried, carried.attempts, Ending.CALLED_OFF)
+        self._schedule(50 * MS, self._end_attempt, playback, playback.attempts, Ending.CALLED_OFF)
 
-    def set_rung(self, carried, rung):
+    def set_rung(self, playback, rung):
         """Checks that the rung is one that the plan and the ladder have."""
-        assert self.deployment.plans[carried.wanted.plan].floor <= rung < len(self.deployment.ladder.rates)
+        assert self.deployment.plans[playback.wanted.plan].floor <= rung < len(self.deployment.ladder.rates)
 
-    def let_go(self, carried, streamer):
+    def release_playback(self, playback, streamer):
         """Drops a playback that is over."""
-        self.playing.discard(carried)
+        self.playing.discard(playback)
 
-    def _end_attempt(self, carried, number, ending):
-        if carried not in self.pending or carried.attempts != number:
+    def _end_attempt(self, playback, number, ending):
+        if playback not in self.pending or playback.attempts != number:
             return
-        streamer = self.pending.pop(carried)
-        if ending is None and carried.stage is Stage.ATTEMPTING:
-            self.playing.add(carried)
-            self.core.set_up_succeeded(self.now, carried, {"link": self.random.random() * 2, "uplink": 0.5})
-            self._schedule(self.random.randrange(10 * S), self.end_playback, carried)
+        streamer = self.pending.pop(playback)
+        if ending is None and playback.stage is PlaybackStage.ATTEMPTING:
+            self.playing.add(playback)
+            self.core.set_up_succeeded(self.now, playback, {"link": self.random.random() * 2, "uplink": 0.5})
+            self._schedule(self.random.randrange(10 * S), self.end_playback, playback)
             return
         if ending is None or ending.may_have_run:
-            self.may_have_run.add(carried)
+            self.may_have_run.add(playback)
         report = {"link": 1.5, "streams": 3} if streamer.id % 2 else None
-        self.core.attempt_ended(self.now, carried, ending or Ending.CALLED_OFF, report)
+        self.core.attempt_ended(self.now, playback, ending or Ending.CALLED_OFF, report)
 
-    def end_playback(self, carried):
+    def end_playback(self, playback):
         """Ends what plays, played out or broken."""
-        self.core.over(self.now, carried, self.random.choice([Ending.PLAYED_OUT, Ending.BROKEN]))
+        self.core.playback_ended(self.now, playback, self.random.choice([Ending.PLAYED_OUT, Ending.BROKEN]))
 
     # The simulated day.
 
@@ -266,7 +266,7 @@
             assert not answers, "answered twice"
             assert self.now <= taken_at + time_left, "answered after its deadline"
             may_run = taken and taken[0] in self.may_have_run or taken and taken[0] in self.pending
-            assert answer.kind is not Kind.REJECTED or plan.repeatable or not may_run, "may have run"
+            assert answer.kind is not AnswerKind.REJECTED or plan.repeatable or not may_run, "may have run"
             answers.append(answer)
 
         taken_at = self.now
@@ -303,7 +303,7 @@
             self.advance(self.random.choice([0, 0, 50 * MS, 400 * MS]))
         self.advance(30 * S)
         assert all(len(received) == 1 for received in answers), "not answered"
-        assert not self.core.open and not self.pending
+        assert not self.core.unanswered_count and not self.pending
 
 
 @hypothesis(derandomize=True, database=None, deadline=None, max_examples=150)
@@ -333,7 +333,7 @@
     timeouts = []
 
     class Carrier:
-        def set_up(self, carried, streamer, rung, timeout):
+        def set_up(self, playback, streamer, rung, timeout):
             timeouts.append(timeout)
 
     core.want(T0, Wanted("free", "t", frozenset([0]), 2, deadline_ms * MS, 0), Carrier(), lambda answer: None)
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -88,7 +88,7 @@
     assert sum(len(r.up()) for r in world.rooms) == 1 and caller.code == 200
     assert any(r.rungs for r in world.rooms) and not world.notes("try"), "no streamer of another kind"
     await until(lambda: caller.state == "over")
-    await until(lambda: not any(r.legs for r in world.rooms) and not world.service.core.held)
+    await until(lambda: not any(r.legs for r in world.rooms) and not world.service.core.playbacks)
     assert world.service.sip.front.playing() == 0
 
 
@@ -128,7 +128,7 @@
     world.call(caller)
     await until(lambda: caller.state == "over")
     assert sum(len(room.known) for room in world.rooms) == 1 and caller.code in (487, 504)
-    await until(lambda: not world.service.core.held)
+    await until(lambda: not world.service.core.playbacks)
     assert not any(room.legs for room in world.rooms)
 
 
@@ -154,11 +154,11 @@
     world.call(caller)
     await until(lambda: caller.state == "up")
     front, core = world.service.sip.front, world.service.core
-    ((carried, leg),) = front.legs.items()
+    ((playback, leg),) = front.legs.items()
     one = next(r for r in world.rooms if r.up())
 
     def step(now, rung):
-        pb = core.controller.playbacks[carried.id]
+        pb = core.controller.playbacks[playback.id]
         core._call(now, None, lambda: core.controller._step(now, pb, rung) or [pb])
 
     world.service.host.do(step, 1)
@@ -166,7 +166,7 @@
     await until(lambda: caller.offers and caller.offers[-1] == 400_000)
     one.faults["refuse"] = 1
     world.service.host.do(step, 3)
-    await until(lambda: carried.rung == 1 and core.controller.playbacks[carried.id].rung == 1)
+    await until(lambda: playback.rung == 1 and core.controller.playbacks[playback.id].rung == 1)
     assert caller.state == "up" and one.up()[0].bits == 400_000
 
 
@@ -254,7 +254,7 @@
         world.call(caller)
     await until(lambda: sum(c.code == 503 for c in callers) >= 8)
     assert all(c.retry_after >= 1 for c in callers if c.code == 503)
-    await until(lambda: all(c.state == "over" for c in callers) and not world.service.core.held)
+    await until(lambda: all(c.state == "over" for c in callers) and not world.service.core.playbacks)
     assert all(c.answers == 1 for c in callers) and world.service.sip.front.gate.count == 0
 
 
@@ -302,7 +302,7 @@
     one = next(n for n, r in enumerate(world.rooms) if r.up())
     world.rooms[one].die()
     world.sockets[one].close()
-    await until(lambda: caller.byes == 1 and not world.service.core.held)
+    await until(lambda: caller.byes == 1 and not world.service.core.playbacks)
     assert world.service.sip.front.playing() == 0
 
 
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -26,9 +26,9 @@
     surge = Surge(fleet, service.host, service.core.deployment.plans)
     watched = service.core.watch
 
-    def watch(event, carried, **facts):
-        watched(event, carried, **facts)
-        surge.watch(event, carried, **facts)
+    def watch(event, playback, **facts):
+        watched(event, playback, **facts)
+        surge.watch(event, playback, **facts)
 
     service.core.watch, service.front.sheds, service.front.refused = watch, surge.sheds, surge.gate
     fleet.loads.decided(service.clock.now(), level)
@@ -47,13 +47,13 @@
     surge.own.count = watched
     assert surge.order == ["free", "seated", "paid"]
     assert [(await world.ask(t))[0] for t in ("clip", "lesson")] == [200, 200]
-    playing = len(world.service.core.held)
+    playing = len(world.service.core.playbacks)
     fleet.loads.decided(world.service.clock.now(), 1.0)
     attempts = len(world.notes("try"))
     code, headers, *_ = await world.ask("clip")
     assert code == 503 and int(headers["Retry-After"]) >= 1, "answered at once, with when to come back"
     assert (await world.ask("lesson"))[0] == 200 and (await world.ask("seat"))[0] == 200
-    assert len(world.notes("try")) == attempts + 2 and len(world.service.core.held) >= playing
+    assert len(world.notes("try")) == attempts + 2 and len(world.service.core.playbacks) >= playing
     free = [which for plan, which in counted if plan == "free"]
     assert free[0] == (load.WANTED,) and free[1][0] == load.ANSWERED
     assert free[2:] == [(load.WANTED, load.SHED)]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -183,7 +183,7 @@
     for allowed, advice in ((True, S // 2), (False, 0)):
         deployment, _, layout = terms.deployment(terms.flat(changed_settings(retry_after=allowed)))
         controller, changed = run_controller(deployment, layout, [])
-        assert [(playback.state, playback.come_back, playback.since) for playback in changed] == [
+        assert [(playback.state, playback.retry_after, playback.state_since) for playback in changed] == [
             (State.REJECTED, advice, 2 * S)
         ] * 2
 
--- a/tests/test_xds_client.py
+++ b/tests/test_xds_client.py
@@ -142,11 +142,11 @@
     core, sent = world.service.core, []
     permitted = core.may_send
 
-    def meanwhile(now, carried):
+    def meanwhile(now, playback):
         if not sent:
-            sent.append(carried.streamer.id)
-            core.told_off[carried.streamer.id] = now - core.drain_grace - 1
-        return permitted(now, carried)
+            sent.append(playback.streamer.id)
+            core.told_off[playback.streamer.id] = now - core.drain_grace - 1
+        return permitted(now, playback)
 
     core.may_send = meanwhile
     assert (await world.ask())[0] == 200
--- a/tests/world.py
+++ b/tests/world.py
@@ -169,7 +169,7 @@
 
     async def quiet(self):
         """Wait until the controller has no playback and no attempt in flight."""
-        while self.service.core.held or self.service.carrier.tries:
+        while self.service.core.playbacks or self.service.carrier.tries:
             await asyncio.sleep(0.01)
 
 
