--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -47,7 +47,7 @@
         self.n += 1
         id = f"p{self.n}"
         self.call(
-            self.c.wanted,
+            self.c.request_playback,
             id,
             "paid" if self.n % 4 == 0 else "free",
             f"t{self.n % 50}",
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -133,7 +133,7 @@
         return instance.controller.list_changed(now, entries, how != 0, how == 2)
 
     def playback_request(self, instance, now, fields):
-        """Returns the keyword arguments of `Controller.wanted` for a request's fields; raises Malformed.
+        """Returns the arguments of `Controller.request_playback` for a request's fields; raises Malformed.
 
         `opts` is a bit set: with 1, `work_ns` is an estimate of the playing time in ns; with 8, the viewer
         was moved here.
@@ -146,27 +146,27 @@
         top = min(int(read_float(fields, "top", 1e9)), plan.top, len(instance.deployment.ladder.rates) - 1)
         first_cell = int(read_float(fields, "start_cell", 0))
         return dict(
-            id=read_text(fields, "corr"),
+            playback_id=read_text(fields, "corr"),
             plan=plan_name,
             title=fields.get("title", ""),
             cells=instance.layout.holders(first_cell, int(read_float(fields, "spread", 0))),
             top=top,
             time_left=whole(fields, "expires_in_ns"),
-            hint=whole(fields, "work_ns", 0) if options & 1 else 0,
+            expected_duration=whole(fields, "work_ns", 0) if options & 1 else 0,
             moved=bool(options & 8),
         )
 
     def new_request(self, instance, now, fields):
         """Handles a viewer's request for a playback."""
-        return instance.controller.wanted(now, **self.playback_request(instance, now, fields))
+        return instance.controller.request_playback(now, **self.playback_request(instance, now, fields))
 
     def existing(self, instance, now, fields):
         """Handles a playback that is handed over while it plays at a streamer."""
         request = self.playback_request(instance, now, fields)
         # A status note tells its rung; until then it counts as sent with the plan's floor, so that no
         # action goes out for it.
-        instance.last_sent[request["id"]] = [1, instance.deployment.plans[request["plan"]].floor]
-        return instance.controller.handed_over(now, **request, streamer=whole(fields, "streamer"))
+        instance.last_sent[request["playback_id"]] = [1, instance.deployment.plans[request["plan"]].floor]
+        return instance.controller.adopt_playback(now, **request, streamer_id=whole(fields, "streamer"))
 
     def accepted(self, instance, now, fields):
         """Handles a set-up that succeeded: the playback plays; `took_ns` is how long the set-up took."""
--- a/terndrift/core/active_playback.py
+++ b/terndrift/core/active_playback.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class PlaybackRequest:
     """A viewer's request for a playback, decoded by a front."""
 
     plan: str
@@ -59,9 +59,9 @@
     cells: frozenset  # cells whose streamers are holders of the title
     top: int  # highest rung that the player can take
     time_left: int  # ns until the client gives up
-    length: int  # estimated viewing time, ns; 0: unknown
+    expected_duration: int  # estimated viewing time, ns; 0: unknown
     rates: tuple | None = None  # the title's own ladder, kB/s by rung; None: the deployment's ladder
-    about: object = None  # the front's context for this request; the core never reads it
+    context: object = None  # the front's context for this request; the core never reads it
 
 
 class Carrier(Protocol):
@@ -99,7 +99,7 @@
     """
 
     def __init__(self, playback_id, request, transport, on_answer, now):
-        self.id, self.wanted, self.carrier = playback_id, request, transport
+        self.id, self.request, self.carrier = playback_id, request, transport
         self.on_answer = on_answer
         self.accepted_at, self.deadline = now, now + request.time_left
         self.stage, self.answer = PlaybackStage.WAITING, None
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -56,9 +56,9 @@
         self.watch = watch or (lambda *_, **__: None)
         self.drain_grace = drain_grace
         # Whether a streamer (a Listed) may still serve the request; asked just before an attempt is sent.
-        self.permits = lambda request, streamer: True
+        self.may_use_streamer = lambda request, streamer: True
         # The cells that a playback may use of those that hold its title; asked once, when it is requested.
-        self.narrow = lambda cells: cells
+        self.filter_cells = lambda cells: cells
         self.playbacks = {}  # playback id -> ActivePlayback
         self.unanswered_count = 0  # number of playbacks accepted and not yet answered
         self.playback_numbers = itertools.count(1)
@@ -70,7 +70,7 @@
 
     # Called by fronts and transports.
 
-    def want(self, now, request, transport, on_answer):
+    def request_playback(self, now, request, transport, on_answer):
         """Accept a playback and return its `ActivePlayback`.
 
         `on_answer(answer)` is called once, before the client gives up, possibly within this call; it is not
@@ -87,22 +87,22 @@
         self._call(
             now,
             playback,
-            lambda: self.controller.wanted(
+            lambda: self.controller.request_playback(
                 now,
                 playback.id,
                 request.plan,
                 request.title,
-                self.narrow(request.cells),
+                self.filter_cells(request.cells),
                 request.top,
                 request.time_left - margin(request.time_left),
-                request.length,
+                request.expected_duration,
                 False,
                 request.rates,
             ),
         )
         return playback
 
-    def hand_over(self, now, request, transport, streamer_id, rung):
+    def adopt_playback(self, now, request, transport, streamer_id, rung):
         """Adopt a playback that already runs at a streamer, as after a restart of the controller.
 
         Returns its `ActivePlayback`, which is in stage ENDED if the streamer is not listed.
@@ -121,7 +121,7 @@
         playback.set_stage(now, PlaybackStage.PLAYING)
 
         def adopt():  # reports the rung in force in the same call: a guessed rung must not be carried out
-            changed = self.controller.handed_over(
+            changed = self.controller.adopt_playback(
                 now,
                 playback.id,
                 request.plan,
@@ -129,7 +129,7 @@
                 request.cells,
                 request.top,
                 request.time_left,
-                request.length,
+                request.expected_duration,
                 False,
                 streamer_id,
             )
@@ -145,8 +145,8 @@
         Transports ask once they are connected, just before the first byte: the streamer may have started to
         drain or left the list since it was chosen, and then gets no set-up after the grace period (rule 3).
         """
-        if playback.stage is not PlaybackStage.ATTEMPTING or not self.permits(
-            playback.wanted, playback.streamer
+        if playback.stage is not PlaybackStage.ATTEMPTING or not self.may_use_streamer(
+            playback.request, playback.streamer
         ):
             return False
         withdrawn_at = self.told_off.get(playback.streamer.id)
@@ -158,7 +158,7 @@
         REJECTED, with a time to retry after, if no attempt was sent or a repeated one does no harm; otherwise
         an attempt may have run and the answer is ABORTED.
         """
-        if playback.attempts == 0 or self.deployment.plans[playback.wanted.plan].repeatable:
+        if playback.attempts == 0 or self.deployment.plans[playback.request.plan].repeatable:
             return Answer(AnswerKind.REJECTED, self.controller.advice)
         return Answer(AnswerKind.ABORTED, reason="no decision in time")
 
@@ -287,9 +287,9 @@
         Running playbacks go on and the answer to an attempt in flight still counts. Waiting playbacks look
         among the new holders, and are answered at once if there are none left to wait for.
         """
-        for playback in [p for p in self.playbacks.values() if p.wanted.title in titles]:
+        for playback in [p for p in self.playbacks.values() if p.request.title in titles]:
             if playback.stage in (PlaybackStage.WAITING, PlaybackStage.ATTEMPTING, PlaybackStage.CANCELLING):
-                cells = titles[playback.wanted.title]
+                cells = titles[playback.request.title]
                 self._call(
                     now,
                     playback,
@@ -335,7 +335,7 @@
             if playback.stage is PlaybackStage.ATTEMPTING and now >= playback.attempt_deadline:
                 self._cancel_attempt(now, playback, Ending.SILENT)
             if playback.answer is None and now >= playback.deadline - fallback_margin(
-                playback.wanted.time_left
+                playback.request.time_left
             ):
                 self.watch("last word", playback)
                 self._resolve(now, playback, self.fallback_answer(playback))
--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -333,14 +333,18 @@
             self.list_due_at = now + int(self.list_retry_pause * (0.5 + self._chance()))
         return self.wake(now)
 
-    def wanted(self, now, id, plan, title, cells, top, time_left, hint, moved, rates=None):
+    def request_playback(
+        self, now, playback_id, plan, title, cells, top, time_left, expected_duration, moved, rates=None
+    ):
         """Accept a new playback: it is placed, held for up to 2 s, or rejected.
 
         `cells` hold the title, `top` is the highest rung for this viewer, `time_left` the time until its
-        deadline, `hint` the expected duration (0: not known) and `rates` the title's own ladder (None: the
-        deployment's). `moved` is not used.
+        deadline, `expected_duration` the playing time (0: not known) and `rates` the title's own ladder
+        (None: the deployment's). `moved` is not used.
         """
-        playback = self._accept(now, id, plan, title, cells, top, time_left, hint, rates)
+        playback = self._accept(
+            now, playback_id, plan, title, cells, top, time_left, expected_duration, rates
+        )
         self.accepted_times.append(now)
         self._extra_attempt_allowed(now)  # drops old times; extra attempts, which do so too, may be rare
         self.arrival_times.append(now)
@@ -349,13 +353,19 @@
             self._reject(now, playback)
         return self.wake(now, playback)
 
-    def handed_over(self, now, id, plan, title, cells, top, time_left, hint, moved, streamer):
-        """Take over a playback that already plays, at the streamer of the id `streamer`.
+    def adopt_playback(
+        self, now, playback_id, plan, title, cells, top, time_left, expected_duration, moved, streamer_id
+    ):
+        """Take over a playback that already plays, at the streamer `streamer_id`.
 
-        The other arguments are those of `wanted`. At a streamer that is not listed the playback ends at once.
+        The other arguments are those of `request_playback`. At a streamer that is not listed the playback
+        ends at once.
         """
-        self.began_empty, playback = False, self._accept(now, id, plan, title, cells, top, time_left, hint)
-        playback.attempts, playback.streamer = 1, self.streamers.get(streamer)
+        self.began_empty, playback = (
+            False,
+            self._accept(now, playback_id, plan, title, cells, top, time_left, expected_duration),
+        )
+        playback.attempts, playback.streamer = 1, self.streamers.get(streamer_id)
         # nothing can be done for one at an unlisted streamer
         playback.in_progress = playback.streamer is not None
         self._set_state(now, playback, State.PLAYING if playback.in_progress else State.ENDED)
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -273,7 +273,7 @@
         """Of the core: a viewer's answer, and whether it was in target. Asked is counted with the answer, or
         what is still awaited would count as late."""
         if event == "answer":
-            target = self.target(playback.wanted.plan)
+            target = self.target(playback.request.plan)
             well = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.served.count(self.clock.now(), 1, well)
 
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -54,9 +54,9 @@
         """Of the core."""
         now = self.clock.now()
         if event == "wanted":
-            self.own.count(now, playback.wanted.plan, load.WANTED)
+            self.own.count(now, playback.request.plan, load.WANTED)
         elif event == "answer":
-            plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.wanted.plan
+            plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.request.plan
             self.book.books(now, facts["come_back"])
             if plays:
                 self.found.plays(now, self.address(playback.streamer.id))
--- a/terndrift/http/carrier.py
+++ b/terndrift/http/carrier.py
@@ -45,7 +45,8 @@
 
 class HttpCarrier:
     """`addresses` maps a streamer's id to where it listens; `connect` ns to make a connection. What a
-    playback is wanted with (`Wanted.about`) has its player's CMCD `hints` and its title's `rungs`."""
+    playback is wanted with (`PlaybackRequest.context`) has its player's CMCD `hints` and its title's
+    `rungs`."""
 
     def __init__(self, host, pool, addresses, connect):
         self.host, self.pool, self.addresses, self.connect = host, pool, addresses, connect
@@ -56,8 +57,8 @@
     def rates(self, playback):
         """Bytes a second, rung by rung, of this playback's title and plan."""
         d = self.host.core.deployment
-        ladder = playback.wanted.rates or d.ladder.rates
-        return [kb * 1000 * d.plans[playback.wanted.plan].scale for kb in ladder]
+        ladder = playback.request.rates or d.ladder.rates
+        return [kb * 1000 * d.plans[playback.request.plan].scale for kb in ladder]
 
     def said_to_streamer(self, playback, hints, rung, **more):
         """The CMCD headers of a request to a streamer: the player's hints, with ours where they rule."""
@@ -66,7 +67,7 @@
         pace = min(rate * AHEAD, values["rtp"] * 125) if values.get("rtp") else rate * AHEAD
         own = {
             "sid": values.get("sid") or playback.id,
-            "cid": values.get("cid") or playback.wanted.title[:64],
+            "cid": values.get("cid") or playback.request.title[:64],
             "rtp": max(1, kbit(pace)),
             "br": kbit(rate),
             "sf": "h",
@@ -114,7 +115,7 @@
     # The wire.
 
     async def _try(self, playback, call, rung):
-        plan = self.host.core.deployment.plans[playback.wanted.plan]
+        plan = self.host.core.deployment.plans[playback.request.plan]
         if not call.address:
             await asyncio.sleep(0)
             return self._over(playback, Ending.UNREACHED)
@@ -137,8 +138,8 @@
                 call.close()
 
         try:
-            target = f"/v/{quote(playback.wanted.title, safe='')}/main.m3u8"
-            headers = self.said_to_streamer(playback, playback.wanted.about.hints, rung, ot="m", su=True)
+            target = f"/v/{quote(playback.request.title, safe='')}/main.m3u8"
+            headers = self.said_to_streamer(playback, playback.request.context.hints, rung, ot="m", su=True)
             code = await call.run("GET", target, headers, on_chunk=collect)
         except Broken:
             return None if call.given_up else self._over(playback, Ending.BROKEN)
@@ -151,7 +152,7 @@
         out = self.tries[playback]
         try:
             out.playlist = playlists.offered(
-                bytes(body), playback.wanted.about.rungs, plan.floor, playback.wanted.top
+                bytes(body), playback.request.context.rungs, plan.floor, playback.request.top
             )
         except playlists.Unusable:
             self._farewell(call.address, playback.id)
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote, unquote
 
-from terndrift.core.active_playback import AnswerKind, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackRequest
 from terndrift.core.gate import Gate
 from terndrift.core.meter import Meter, Rationed
 from terndrift.core.visits import Visits
@@ -164,7 +164,7 @@
                 left = asked.time_left - (now - came)
                 awaited = self._want(
                     now,
-                    Wanted(
+                    PlaybackRequest(
                         found.plan,
                         title,
                         found.cells,
@@ -199,7 +199,7 @@
         advice = {"Retry-After": str(math.ceil(retry_after / SECOND))} if retry_after else {}
         await exchange.reply(503, advice, text="not now")
 
-    def _want(self, now, wanted, visit):
+    def _want(self, now, request, visit):
         awaited = Awaited()
 
         def answered(answer):
@@ -214,7 +214,7 @@
 
         if visit is not None:
             self.visits.taken(visit, awaited)
-        awaited.playback = self.host.do(self.host.core.want, wanted, self.carrier, answered)
+        awaited.playback = self.host.do(self.host.core.request_playback, request, self.carrier, answered)
         return awaited
 
     async def _await(self, exchange, awaited):
@@ -276,9 +276,9 @@
         self.seats.heard(self.now(), seat, hints)
         if seat.out >= MOST_OUT:
             return await exchange.reply(429, {"Retry-After": "1"}, text="too many requests at once")
-        plan = core.deployment.plans[playback.wanted.plan]
+        plan = core.deployment.plans[playback.request.plan]
         rung = self.seats.rung(seat, plan.floor, asked)
-        rung = self.titles.rung(playback.wanted.title, rung, plan.floor, playback.wanted.top)
+        rung = self.titles.rung(playback.request.title, rung, plan.floor, playback.request.top)
         relay = Relay(self, exchange, seat, rung, number, hints)
         seat.out += 1
         self.relays[relay] = None
@@ -319,7 +319,7 @@
         self.front, self.exchange, self.seat, self.rung, self.number = front, exchange, seat, rung, number
         self.hints, playback = hints, seat.playback
         self.streamer = playback.streamer.id
-        self.should = 0 if number is None else playback.wanted.length // max(1, seat.segments)
+        self.should = 0 if number is None else playback.request.expected_duration // max(1, seat.segments)
         self.began, self.blocked, self.blocked_since = front.now(), 0, 0
         self.head_out, self.code = False, 0
         self.call, self.stood_still = None, False
@@ -334,7 +334,7 @@
         front, playback = self.front, self.seat.playback
         address = front.carrier.addresses.get(self.streamer)
         file = "index.m3u8" if self.number is None else f"{self.number}.ts"
-        target = f"/v/{quote(playback.wanted.title, safe='')}/r{self.rung}/{file}"
+        target = f"/v/{quote(playback.request.title, safe='')}/r{self.rung}/{file}"
         headers = front.carrier.said_to_streamer(
             playback,
             self.hints,
--- a/terndrift/interface.py
+++ b/terndrift/interface.py
@@ -18,13 +18,14 @@
         the server list, all of it or changes; `cached`: a copy from before a restart
     list_failed(now)
         the requested list did not come, or its subscription broke off
-    wanted(now, id, plan, title, cells, top, time_left, hint, moved, rates)
-        a viewer requests a playback; the streamers of `cells`, a frozenset, hold the title; `hint`: expected
-        duration, 0: not known; `rates`: the title's own ladder, None: the deployment's
+    request_playback(now, playback_id, plan, title, cells, top, time_left, expected_duration, moved, rates)
+        a viewer requests a playback; the streamers of `cells`, a frozenset, hold the title;
+        `expected_duration`: the playing time, 0: not known; `rates`: the title's own ladder, None: the
+        deployment's
     holders_changed(now, playback_id, cells)
         of a playback held or in set-up: the cells that hold its title now; a set-up in progress goes on
-    handed_over(now, id, ..., streamer)
-        as `wanted`, for a playback that already plays at that streamer
+    adopt_playback(now, playback_id, ..., streamer_id)
+        as `request_playback`, for a playback that already plays at that streamer
     set_up_succeeded(now, playback_id, took)
         the set-up in progress succeeded
     attempt_ended(now, playback_id, ending, took, finished, streamer_id, report)
--- a/terndrift/logs.py
+++ b/terndrift/logs.py
@@ -50,8 +50,8 @@
             log.info(
                 "answer",
                 pb=playback.id,
-                plan=playback.wanted.plan,
-                title=playback.wanted.title,
+                plan=playback.request.plan,
+                title=playback.request.title,
                 tries=playback.attempts,
                 streamer=playback.streamer.id if playback.streamer else None,
                 rung=playback.rung,
--- a/terndrift/platform/attempt.py
+++ b/terndrift/platform/attempt.py
@@ -32,7 +32,7 @@
 
     def __init__(self, playback, peer, rung, due):
         self.playback, self.peer, self.rung, self.due = playback, peer, rung, due
-        self.session = playback.wanted.about
+        self.session = playback.request.context
         self.id = self.session.id
         self.state = AttemptState.CONNECTING
         self.connection = self.task = None
--- a/terndrift/platform/carrier.py
+++ b/terndrift/platform/carrier.py
@@ -119,14 +119,14 @@
     def set_rung(self, playback, rung):
         """Tells the streamer to play at another rung."""
         if peer := self.peers.get(playback.streamer.id):
-            self._send_to_peer(peer, encode(m.RUNG, playback.wanted.about.id, (m.RUNG_NO, str(rung))))
+            self._send_to_peer(peer, encode(m.RUNG, playback.request.context.id, (m.RUNG_NO, str(rung))))
 
     def release_playback(self, playback, streamer):
         """Drops a playback that is over and, unless its streamer reported the end itself, tells the
         streamer."""
         peer = self.peers.get(streamer.id)
-        if peer and peer.playbacks.pop(playback.wanted.about.id, None):
-            self._send_to_peer(peer, m.release(playback.wanted.about.id, m.OVER))
+        if peer and peer.playbacks.pop(playback.request.context.id, None):
+            self._send_to_peer(peer, m.release(playback.request.context.id, m.OVER))
 
     # Called by the front.
 
@@ -153,7 +153,7 @@
 
     def track_playback(self, playback):
         """Adds a playback whose hand-over is complete to those of its streamer."""
-        self.peers[playback.streamer.id].playbacks[playback.wanted.about.id] = playback
+        self.peers[playback.streamer.id].playbacks[playback.request.context.id] = playback
 
     def cancel_hand_over(self, streamer, id, ended_by_viewer=False):
         """Removes a registered hand-over; if its viewer has ended the playback, the streamer is told."""
@@ -464,7 +464,7 @@
 
     def _playback_over(self, peer, playback, ending, report):
         self.log.debug("ended", streamer=peer.id, pb=playback.id, ending=ending.name, report=report)
-        peer.playbacks.pop(playback.wanted.about.id, None)
+        peer.playbacks.pop(playback.request.context.id, None)
         self.on_ended(playback, ending is Ending.CALLED_OFF)
         self.host.do(self.host.core.playback_ended, playback, ending, report)
 
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -7,7 +7,7 @@
 
 from collections import Counter, deque
 
-from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.core.gate import Gate
 from terndrift.platform import message as m
 from terndrift.platform.connection import Connection, new_stream
@@ -32,7 +32,7 @@
 
 
 class ViewerSession:
-    """A set-up or playback as its viewer knows it; the core gets it as `Wanted.about`.
+    """A set-up or playback as its viewer knows it; the core gets it as `PlaybackRequest.context`.
 
     `forwarded` are the parameters of the set-up that go to the streamer unchanged. The carrier sets
     `description` from the streamer's answer.
@@ -187,7 +187,7 @@
         session = ViewerSession(message.id, connection, request.forwarded)
         self.held[message.id] = self.connections[connection][message.id] = session
         session.playback = self.host.do(
-            self.host.core.want,
+            self.host.core.request_playback,
             self._wanted(session, request),
             self.carrier,
             lambda answer: self._on_answer(session, answer),
@@ -197,14 +197,14 @@
         top_rung = min(
             request.top_rung, self.configuration.deployment.plans[request.plan].top, self.rung_count - 1
         )
-        return Wanted(
+        return PlaybackRequest(
             request.plan,
             request.title,
             self.layout.holders(request.first_cell, request.copies),
             top_rung,
             request.time_left,
             request.expected_duration,
-            about=session,
+            context=session,
         )
 
     def _await_hand_over(self, connection, id, request):
@@ -240,7 +240,7 @@
                 max(rung, self.configuration.deployment.plans[request.plan].floor), self.rung_count - 1
             )
             session.playback = self.host.do(
-                self.host.core.hand_over, self._wanted(session, request), self.carrier, streamer, rung
+                self.host.core.adopt_playback, self._wanted(session, request), self.carrier, streamer, rung
             )
         if session.playback is None or session.playback.stage is PlaybackStage.ENDED:
             self._remove(session)
@@ -359,7 +359,7 @@
 
     def _playback_ended(self, playback, by_viewer):
         """Called by the carrier when a playback is over at its streamer."""
-        session = playback.wanted.about
+        session = playback.request.context
         if self.held.get(session.id) is not session:
             return
         self._remove(session)
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -12,7 +12,7 @@
 
 from terndrift import deployment
 from terndrift.audit import figures, judge, seconds
-from terndrift.core.active_playback import AnswerKind, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackRequest
 from terndrift.core.core import Core
 from terndrift.core.meter import Meter, Rationed
 from terndrift.decide import Controller
@@ -138,17 +138,17 @@
         self.do(self.core.attempt_ended, playback, ending, figures)
 
     def _arrives(self, playback, out, s, number, rung):
-        w, wanted = self.world, playback.wanted
-        br = kbit(w.rates[wanted.plan][rung])
+        w, request = self.world, playback.request
+        br = kbit(w.rates[request.plan][rung])
         w.note(
             "streamers",
             "try",
             streamer=s.id,
             pb=playback.id,
             number=number,
-            title=wanted.title,
+            title=request.title,
             br=br,
-            sid=wanted.about,
+            sid=request.context,
         )
         if out.off:
             return w.note("streamers", "try gone", streamer=s.id, pb=playback.id, number=number)
@@ -165,7 +165,7 @@
         w.note("streamers", "ran", streamer=s.id, pb=playback.id, number=number)
         if out.off:
             return w.note("streamers", "try gone", streamer=s.id, pb=playback.id, number=number)
-        s.asks(playback.id, w.rates[playback.wanted.plan][rung])
+        s.asks(playback.id, w.rates[playback.request.plan][rung])
         w.note("streamers", "try end", streamer=s.id, pb=playback.id, number=number, code=200, ran=True)
         return w.after(WAY, self._plays, playback, out, s)
 
@@ -209,21 +209,21 @@
             controller=self.front.name,
             until=w.now + abandon,
         )
-        wanted = Wanted(
+        request = PlaybackRequest(
             row["plan"],
             title.name,
             title.holders or w.everywhere,
             self.top,
             abandon,
             title.length,
-            about=row["visit"],
+            context=row["visit"],
         )
 
         def answered(answer):
             w.after(WAY, self._answered, answer)
 
         def take():
-            self.playback = self.front.do(self.front.core.want, wanted, self.front, answered)
+            self.playback = self.front.do(self.front.core.request_playback, request, self.front, answered)
 
         w.after(WAY, take)
 
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -78,7 +78,7 @@
 
     def _watch(self, event, playback, **facts):
         if event == "answer":
-            target = self.world.made.plans[playback.wanted.plan].startup_target
+            target = self.world.made.plans[playback.request.plan].startup_target
             well = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.served.count(self.world.now, 1, well)
         if self.sight is not None:
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -116,8 +116,8 @@
             return frozenset()
         return frozenset(title.holders) if title.holders else self.everywhere()
 
-    def permits(self, wanted, streamer):
-        title = self.versions.get(wanted.title)
+    def permits(self, request, streamer):
+        title = self.versions.get(request.title)
         return (
             title is not None and not title.nowhere and (not title.holders or streamer.cell in title.holders)
         )
@@ -173,7 +173,7 @@
         self.host = Host(self.core, self.clock)
         self.addresses = {}  # of what is listed, and of what is gone and may still play
         self.titles = Titles(value["deployment"], made)
-        self.core.permits = self.titles.permits
+        self.core.may_use_streamer = self.titles.permits
         self.pool = Pool(http["pool"])
         self.carrier = HttpCarrier(self.host, self.pool, self.addresses, http["connect"])
         room = SimpleNamespace(
@@ -190,7 +190,7 @@
         )
         self.sources = Sources(value, self.clock, self._list_changed, self.log, made.seed, self._playbacks_at)
         self.listing = self.sources.listing
-        self.core.narrow = self.listing.limited.narrow
+        self.core.filter_cells = self.listing.limited.narrow
         self.serving, self.offer_address = None, None
         if value["offer"]["listen"]:
             from terndrift.xds.server import serving
@@ -284,8 +284,10 @@
         )
         self.core.watch = both(self.core.watch, site.watch)
         self.front.refused = lambda plan, wait: site.gate(plan)
-        permits = self.core.permits
-        self.core.permits = lambda wanted, streamer: permits(wanted, streamer) and site.permits(streamer.id)
+        permits = self.core.may_use_streamer
+        self.core.may_use_streamer = lambda request, streamer: (
+            permits(request, streamer) and site.permits(streamer.id)
+        )
 
     def _sheds(self, limits):
         """Overload is met as the fleet settles, and its limits are kept."""
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -3,7 +3,7 @@
 No socket here: `Bridge` hands in what callers and media servers did, the core what was decided.
 """
 
-from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.interface import Ending
 from terndrift.sip import sdp
 from terndrift.sip.bridge import Asked, Call, Calling
@@ -73,8 +73,8 @@
             left = min(left, seconds * SECOND)
         call.offered, call.version = offered, 1
         call.playback = self.host.do(
-            core.want,
-            Wanted(
+            core.request_playback,
+            PlaybackRequest(
                 found.plan, title, self.titles.rooms(title), fits[-1], left, found.length, found.rates, call
             ),
             self,
@@ -90,7 +90,7 @@
         now = self.host.clock.now()
         self.gate.leave(now, self.entered.pop(call))
         if answer.kind is AnswerKind.PLAYS:
-            # `playback` is not yet on the call where the answer came within `want` itself
+            # `playback` is not yet on the call where the answer came within `request_playback` itself
             call.accept(now, call.leg.answer.body)
         elif answer.kind is AnswerKind.REJECTED:
             call.decline(now, 503, -(-answer.retry_after // SECOND))
@@ -107,7 +107,7 @@
     # What the core calls.
 
     def set_up(self, playback, streamer, rung, timeout):
-        now, call, core = self.host.clock.now(), playback.wanted.about, self.host.core
+        now, call, core = self.host.clock.now(), playback.request.context, self.host.core
         address = self.addresses.get(streamer.id)
         if not address:
             self.host.do(core.attempt_ended, playback, Ending.UNREACHED)
@@ -115,7 +115,7 @@
         if not core.may_send(now, playback):
             self.host.do(core.attempt_ended, playback, Ending.NEVER_SENT)
             return
-        uri = Uri("sip", playback.wanted.title, *_host_port(address))
+        uri = Uri("sip", playback.request.title, *_host_port(address))
         call.leg = self.legs[playback] = self.bridge.dial(
             now,
             uri,
@@ -130,8 +130,8 @@
         call.leg.playback = playback
 
     def _offer(self, call, playback, rung):
-        plan = self.host.core.deployment.plans[playback.wanted.plan]
-        rates = playback.wanted.rates or self.host.core.deployment.ladder.rates
+        plan = self.host.core.deployment.plans[playback.request.plan]
+        rates = playback.request.rates or self.host.core.deployment.ladder.rates
         call.version += 1
         bits = self._bits(rates, plan, rung)
         return sdp.renewed(sdp.with_bits(call.offered, bits), call.version).encode()
@@ -146,7 +146,7 @@
         leg = self.legs.get(playback)
         if leg is None or leg.side is None or playback.stage is not PlaybackStage.PLAYING:
             return
-        call, before = playback.wanted.about, leg.rung
+        call, before = playback.request.context, leg.rung
 
         def done(now, code, body):
             if 200 <= code < 300:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -62,7 +62,9 @@
     def want(self, plan="free", title="t", cells=4, top=3, left=4 * S):
         id = f"pb{next(self.ids)}"
         self.model.taken(self.now, id, plan, title, self.now + left)
-        self._seen(self.c.wanted(self.now, id, plan, title, frozenset(range(cells)), top, left, 0, False))
+        self._seen(
+            self.c.request_playback(self.now, id, plan, title, frozenset(range(cells)), top, left, 0, False)
+        )
         return self.c.playbacks.get(id)
 
     def play(self, pb):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -73,7 +73,7 @@
 
 
 def test_exception_in_the_controller_is_sent_as_die(monkeypatch):
-    monkeypatch.setattr("terndrift.decide.Controller.wanted", lambda *a, **k: 1 / 0)
+    monkeypatch.setattr("terndrift.decide.Controller.request_playback", lambda *a, **k: 1 / 0)
     error, output = run_adapter(ENLIST_BATCH, REQUEST_BATCH)
     assert error is None and "die reason_text=ZeroDivisionError" in output
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -99,8 +99,8 @@
 def rejecting(service):
     front, want = service.front, service.front._want
 
-    def softened(now, wanted, visit):
-        awaited = want(now, wanted, visit)
+    def softened(now, request, visit):
+        awaited = want(now, request, visit)
         answered = awaited.playback.on_answer
 
         def instead(answer):
@@ -184,7 +184,7 @@
 
 @in_world
 async def test_a_placement_that_the_catalogue_forbids_is_found(world):
-    world.service.core.permits = lambda *_: True
+    world.service.core.may_use_streamer = lambda *_: True
     controller = world.service.core.controller
     world.service.core.holders_changed = lambda *_: None
     find = world.service.titles.find
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -64,7 +64,7 @@
             chance -= 1
             self.requested += 1
             id, title = f"pb{self.requested}", f"t{self.requested % 50}"
-            changed += self.controllers[rank].wanted(
+            changed += self.controllers[rank].request_playback(
                 self.now, id, "free", title, frozenset([0]), 3, 4 * S, 0, False
             )
         return changed
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.core.core import Core
 from terndrift.core.gate import MAX_RETRY_AFTER_NS, Gate
 from terndrift.core.meter import Meter, Rationed
@@ -63,8 +63,8 @@
             assert not answers, "answered twice"
             answers.append((self.now, answer))
 
-        playback = self.core.want(
-            self.now, Wanted(plan, title, ALL_CELLS, 3, time_left, 20 * S), self.transport, on_answer
+        playback = self.core.request_playback(
+            self.now, PlaybackRequest(plan, title, ALL_CELLS, 3, time_left, 20 * S), self.transport, on_answer
         )
         self.answers[playback] = answers
         return playback
@@ -165,7 +165,7 @@
 
 def test_exception_in_the_decision_logic_still_gives_one_answer_in_time():
     harness = CoreHarness()
-    harness.core.controller.wanted = lambda *_: 1 / 0
+    harness.core.controller.request_playback = lambda *_: 1 / 0
     playback = harness.want("paid", time_left=2 * S)
     harness.wait(2 * S)
     ((at, answer),) = harness.answers[playback]
@@ -190,7 +190,9 @@
         core.list_changed(T0, [line(n, n % 4) for n in range(4)], True, False)
         transport = ScriptedTransport()
         for n in range(4):
-            core.want(T0 + n, Wanted("free", "t", ALL_CELLS, 3, S, 20 * S), transport, lambda answer: None)
+            core.request_playback(
+                T0 + n, PlaybackRequest("free", "t", ALL_CELLS, 3, S, 20 * S), transport, lambda answer: None
+            )
         assert len(transport.sends) == 4 and not core.decision_errors
         assert policy is Random or len({streamer_id for _, streamer_id in transport.sends}) == 4
 
@@ -203,12 +205,12 @@
 
 def test_adopted_playback_is_playing_and_counts_at_its_streamer():
     harness = CoreHarness()
-    playback = harness.core.hand_over(
-        harness.now, Wanted("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 2, 1
+    playback = harness.core.adopt_playback(
+        harness.now, PlaybackRequest("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 2, 1
     )
     assert playback.stage is PlaybackStage.PLAYING and harness.core.controller.streamers[2].playbacks
-    not_listed = harness.core.hand_over(
-        harness.now, Wanted("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 99, 1
+    not_listed = harness.core.adopt_playback(
+        harness.now, PlaybackRequest("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 99, 1
     )
     assert not_listed.stage is PlaybackStage.ENDED and not_listed.id not in harness.core.playbacks
 
@@ -261,7 +263,7 @@
             sent = sum(p is playback for p, _ in harness.transport.sends)
             assert (
                 sent < 2
-                or playback.wanted.plan == "free"
+                or playback.request.plan == "free"
                 or playback not in maybe_ran
                 or sent == playback.attempts
             )
@@ -271,7 +273,7 @@
         if answers:
             at, answer = answers[0]
             assert at <= playback.deadline
-            if answer.kind is AnswerKind.REJECTED and playback.wanted.plan == "paid":
+            if answer.kind is AnswerKind.REJECTED and playback.request.plan == "paid":
                 assert playback not in maybe_ran
     for playback in list(harness.transport.in_flight):
         harness.end(playback, Ending.CALLED_OFF)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -410,14 +410,14 @@
         world.service.front,
     )
     await until(lambda: len(front.connections) == 2)
-    real_want, core, cancelled = world.core.want, world.core, []
+    real_want, core, cancelled = world.core.request_playback, world.core, []
 
     def want_while_cancelled(*args):
         viewer.sendall(release(id, 16))  # while the loop handles the set-up
         cancelled.append(id)
         return real_want(*args)
 
-    core.want = want_while_cancelled
+    core.request_playback = want_while_cancelled
     viewer.sendall(set_up_message(id))
     await until(lambda: cancelled)
     await until(lambda: not core.unanswered_count)
@@ -439,7 +439,7 @@
             world.id(),
         )
         await until(lambda: len(world.service.front.connections) == 3)
-        real_want, loop, cancelled = world.core.want, asyncio.get_running_loop(), []
+        real_want, loop, cancelled = world.core.request_playback, asyncio.get_running_loop(), []
 
         def cancel():
             (other_connection if on_another_connection else viewer).sendall(release(id, 16))
@@ -449,7 +449,7 @@
             loop.call_soon(cancel)  # runs just before the attempt would start, in the same iteration
             return real_want(*args)
 
-        world.core.want = want_then_cancel
+        world.core.request_playback = want_then_cancel
         # a negative limit makes the carrier treat the iteration as a long one
         with patched(carrier_module, HELD_UP=-1 if on_another_connection else carrier_module.HELD_UP):
             viewer.sendall(set_up_message(id))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -224,7 +224,7 @@
 def test_a_handed_over_playback_keeps_its_rung_until_there_is_room_to_rise():
     front = Front(streamers=1)
     front.model.taken(front.now, "old", "free", "t", front.now + 900 * S)
-    front.c.handed_over(front.now, "old", "free", "t", frozenset(range(4)), 3, 900 * S, 0, False, 0)
+    front.c.adopt_playback(front.now, "old", "free", "t", frozenset(range(4)), 3, 900 * S, 0, False, 0)
     front.c.told_rung(front.now, "old", 1)
     playback = front.c.playbacks["old"]
     assert playback.rung == 1 and front.c.seated(playback.plan, "t") == 1
@@ -385,7 +385,7 @@
 def test_no_playback_joins_a_stream_below_its_floor():
     front = Front(streamers=1)
     front.d.plans["live"] = replace(front.d.plans["live"], floor=1)
-    front.c.handed_over(front.now, "old", "live", "match", frozenset({0}), 3, 4 * S, 0, False, 0)
+    front.c.adopt_playback(front.now, "old", "live", "match", frozenset({0}), 3, 4 * S, 0, False, 0)
     front.c.told_rung(front.now, "old", 0)
     front.use(0, link=0.78)
     playback = front.want("live", "match", cells=1)
@@ -460,6 +460,8 @@
     advice, retry_times = (2 * S, 3 * S, 5 * S, 9 * S), []
     front.c.limits(front.now, None, {}, advice)
     for n in range(80):
-        changed = front.c.wanted(front.now, f"x{n}", "free", "t", frozenset([0]), 3, 4 * S, 0, False)
+        changed = front.c.request_playback(
+            front.now, f"x{n}", "free", "t", frozenset([0]), 3, 4 * S, 0, False
+        )
         retry_times.append(changed[0].retry_after)
     assert set(retry_times) == set(advice) and all(10 <= retry_times.count(a) <= 30 for a in advice)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -355,5 +355,5 @@
     front.unsure = False
     front.sure.set()
     assert (await asking)[0] == 200
-    wanted = [c.wanted for c in world.service.core.playbacks.values() if c.wanted.title == "lesson"]
-    assert wanted and wanted[0].time_left < 1_000_000_000, "what he waited is gone from his time"
+    requests = [c.request for c in world.service.core.playbacks.values() if c.request.title == "lesson"]
+    assert requests and requests[0].time_left < 1_000_000_000, "what he waited is gone from his time"
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from platform_world import SETTINGS
 
-from terndrift.core.active_playback import AnswerKind, PlaybackStage, Wanted
+from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.core.core import Core, margin
 from terndrift.interface import Ending, Listed, Standing
 from terndrift.platform import settings
@@ -146,7 +146,7 @@
     def _watch(self, event, playback, **facts):
         assert event != "fault", facts
         # Playbacks are scanned 50 ms apart, so for a shorter wait the core's own last answer is the only one.
-        assert event != "last word" or playback.wanted.time_left < 300 * MS, "not answered by the controller"
+        assert event != "last word" or playback.request.time_left < 300 * MS, "not answered by the controller"
 
     def _list_entry(self, n, standing=Standing.READY):
         kinds = list(self.deployment.links.places) or ["other"]
@@ -175,10 +175,10 @@
 
     def set_up(self, playback, streamer, rung, timeout):
         """Checks the rules for an attempt and schedules its end, or none if the streamer stays silent."""
-        plan = self.deployment.plans[playback.wanted.plan]
+        plan = self.deployment.plans[playback.request.plan]
         assert playback not in self.pending and playback not in self.playing, "two attempts out at once"
         assert plan.repeatable or playback not in self.may_have_run, "sent again though it may have run"
-        assert plan.floor <= rung <= max(plan.floor, playback.wanted.top)
+        assert plan.floor <= rung <= max(plan.floor, playback.request.top)
         assert self.standing[streamer.id] is Standing.READY, "the streamer drains or is gone"
         assert playback.attempts <= self.deployment.rules.attempt_limit and playback.answer is None
         if playback.attempts > 1:
@@ -197,7 +197,7 @@
         seated = [
             other
             for other in [*self.pending, *self.playing]
-            if other.wanted.plan == plan.name and other.wanted.title == playback.wanted.title
+            if other.request.plan == plan.name and other.request.title == playback.request.title
         ]
         assert not plan.seats or len(seated) <= plan.seats
         ending = self.random.choice([None, None, *ATTEMPT_ENDINGS, "silent"])
@@ -213,7 +213,7 @@
 
     def set_rung(self, playback, rung):
         """Checks that the rung is one that the plan and the ladder have."""
-        assert self.deployment.plans[playback.wanted.plan].floor <= rung < len(self.deployment.ladder.rates)
+        assert self.deployment.plans[playback.request.plan].floor <= rung < len(self.deployment.ladder.rates)
 
     def release_playback(self, playback, streamer):
         """Drops a playback that is over."""
@@ -251,7 +251,7 @@
             self.random.randrange(self.cells),
             self.random.randrange(self.cells) + 1,
         )
-        wanted = Wanted(
+        request = PlaybackRequest(
             plan.name,
             f"t{self.random.randrange(3)}",
             self.layout.holders(first_cell, holder_count),
@@ -259,7 +259,7 @@
             time_left,
             self.random.choice([0, 5 * S]),
         )
-        # an answer may come within the call of `want`, before the playback is known
+        # an answer may come within the call of `request_playback`, before the playback is known
         answers, taken = [], []
 
         def answered(answer):
@@ -271,7 +271,7 @@
 
         taken_at = self.now
         self.requests.append(self.now)
-        taken.append(self.core.want(self.now, wanted, self, answered))
+        taken.append(self.core.request_playback(self.now, request, self, answered))
         return answers
 
     def advance(self, ns):
@@ -336,5 +336,10 @@
         def set_up(self, playback, streamer, rung, timeout):
             timeouts.append(timeout)
 
-    core.want(T0, Wanted("free", "t", frozenset([0]), 2, deadline_ms * MS, 0), Carrier(), lambda answer: None)
+    core.request_playback(
+        T0,
+        PlaybackRequest("free", "t", frozenset([0]), 2, deadline_ms * MS, 0),
+        Carrier(),
+        lambda answer: None,
+    )
     assert len(timeouts) == 1 and timeouts[0] > 0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -55,7 +55,7 @@
     changed = [
         playback
         for n, plan in enumerate(deployment.plans)
-        for playback in controller.wanted(
+        for playback in controller.request_playback(
             2 * S,
             f"r{n}",
             plan,
