--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -22,8 +22,8 @@
 
 from terndrift import records, service
 from terndrift.hints import cmcd
-from terndrift.http.carrier import NUMBER, PLAYBACK
 from terndrift.http.client import Broken, Pool, Unreached, fetch
+from terndrift.http.transport import NUMBER, PLAYBACK
 
 DEPLOYMENT = """
 deployment: {
--- a/terndrift/core/active_playback.py
+++ b/terndrift/core/active_playback.py
@@ -64,7 +64,7 @@
     context: object = None  # the front's context for this request; the core never reads it
 
 
-class Carrier(Protocol):
+class StreamerTransport(Protocol):
     """Transport by which the core reaches streamers; each protocol has its own. No call may block.
 
     The transport reports exactly one `Core.set_up_succeeded` or `Core.attempt_ended` for each `set_up`, also
@@ -99,7 +99,7 @@
     """
 
     def __init__(self, playback_id, request, transport, on_answer, now):
-        self.id, self.request, self.carrier = playback_id, request, transport
+        self.id, self.request, self.transport = playback_id, request, transport
         self.on_answer = on_answer
         self.accepted_at, self.deadline = now, now + request.time_left
         self.stage, self.answer = PlaybackStage.WAITING, None
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -169,7 +169,7 @@
         """
         # the streamer started it before the cancellation arrived
         if playback.stage is PlaybackStage.CANCELLING:
-            playback.carrier.release_playback(playback, playback.streamer)
+            playback.transport.release_playback(playback, playback.streamer)
             return self.attempt_ended(now, playback, Ending.CALLED_OFF, report)
         if playback.stage is not PlaybackStage.ATTEMPTING:
             return None
@@ -210,7 +210,7 @@
         if playback.stage is not PlaybackStage.PLAYING:
             return
         playback.set_stage(now, PlaybackStage.ENDED)
-        playback.carrier.release_playback(playback, playback.streamer)
+        playback.transport.release_playback(playback, playback.streamer)
         self.watch("over", playback, ending=ending.name)
         self._call(
             now,
@@ -392,11 +392,11 @@
             self.watch(
                 "try", playback, streamer=playback.streamer.id, rung=decided.rung, number=decided.attempts
             )
-            playback.carrier.set_up(playback, playback.streamer, decided.rung, decided.timeout)
+            playback.transport.set_up(playback, playback.streamer, decided.rung, decided.timeout)
         elif decided.state in (State.ATTEMPTING, State.PLAYING) and decided.rung != playback.rung:
             playback.rung = decided.rung
             self.watch("rung", playback, rung=decided.rung)
-            playback.carrier.set_rung(playback, decided.rung)
+            playback.transport.set_rung(playback, decided.rung)
         elif decided.state in (State.REJECTED, State.ABORTED) and playback.answer is None:
             kind = AnswerKind.REJECTED if decided.state is State.REJECTED else AnswerKind.ABORTED
             self._resolve(
@@ -433,7 +433,7 @@
             playback.cancel_reason = ending
             playback.set_stage(now, PlaybackStage.CANCELLING)
             self.watch("call off", playback, why=ending.name)
-            playback.carrier.cancel_attempt(playback)
+            playback.transport.cancel_attempt(playback)
         elif playback.stage is PlaybackStage.WAITING and playback.answer is not None:
             playback.set_stage(now, PlaybackStage.ENDED)
             self.playbacks.pop(playback.id, None)
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -20,11 +20,11 @@
 from terndrift.core.visits import Visits
 from terndrift.hints import cmcd, cmsd
 from terndrift.hints.meaning import kbit, understand
-from terndrift.http.carrier import report
 from terndrift.http.client import Broken, Call, Unreached
 from terndrift.http.playlists import TYPE
 from terndrift.http.seats import MOST_OUT, Seats
 from terndrift.http.server import Gone
+from terndrift.http.transport import report
 from terndrift.interface import Ending
 
 SECOND = 1_000_000_000
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class About:
-    """What the front keeps with a wanted playback, for its carrier."""
+    """What the front keeps with a wanted playback, for its transport."""
 
     hints: cmcd.Hints
     rungs: tuple
@@ -73,8 +73,8 @@
     """`titles.find(name)`: a `Served`, or None; `titles.rung(name, wanted, floor, top)`: the nearest rung
     that the title has now."""
 
-    def __init__(self, host, carrier, titles, limits, log):
-        self.host, self.carrier, self.titles, self.log = host, carrier, titles, log
+    def __init__(self, host, transport, titles, limits, log):
+        self.host, self.transport, self.titles, self.log = host, transport, titles, log
         core = host.core
         self.gate = Gate(limits.open, core.deployment.seed)
         self.visits = Visits(limits.playbacks)
@@ -205,7 +205,7 @@
         def answered(answer):
             awaited.answer = answer
             if answer.kind is AnswerKind.PLAYS:
-                awaited.playlist, awaited.said = self.carrier.playlist(awaited.playback)
+                awaited.playlist, awaited.said = self.transport.playlist(awaited.playback)
             if visit is not None:
                 self.visits.answered(visit, awaited)
             for waiter in awaited.waiters.values():
@@ -214,7 +214,7 @@
 
         if visit is not None:
             self.visits.taken(visit, awaited)
-        awaited.playback = self.host.do(self.host.core.request_playback, request, self.carrier, answered)
+        awaited.playback = self.host.do(self.host.core.request_playback, request, self.transport, answered)
         return awaited
 
     async def _await(self, exchange, awaited):
@@ -257,7 +257,7 @@
 
     def _dynamic(self, said, playback):
         """The streamers' entries and this controller's own, which tells the rung in force as `mb`."""
-        rate = self.carrier.rates(playback)[playback.rung]
+        rate = self.transport.rates(playback)[playback.rung]
         return cmsd.dynamic_header([*said.dynamic, (f"terndrift/{self.host.core.name}", {"mb": kbit(rate)})])
 
     def _over(self, seat, ending=None):
@@ -332,10 +332,10 @@
 
     async def run(self):
         front, playback = self.front, self.seat.playback
-        address = front.carrier.addresses.get(self.streamer)
+        address = front.transport.addresses.get(self.streamer)
         file = "index.m3u8" if self.number is None else f"{self.number}.ts"
         target = f"/v/{quote(playback.request.title, safe='')}/r{self.rung}/{file}"
-        headers = front.carrier.said_to_streamer(
+        headers = front.transport.said_to_streamer(
             playback,
             self.hints,
             self.rung,
@@ -344,10 +344,10 @@
         )
         # an idle connection may just have been closed by the other side: media may be asked for again, once
         for fresh in (False, True):
-            call = Call(front.carrier.pool, address or "")
+            call = Call(front.transport.pool, address or "")
             self.call, self.exchange.on_gone = call, call.close
             try:
-                await call.open(front.carrier.connect / SECOND, fresh)
+                await call.open(front.transport.connect / SECOND, fresh)
                 await call.run("GET", target, headers, self._head, self._chunk)
                 return await self._done()
             except Unreached:
--- a/terndrift/http/carrier.py
+++ b/terndrift/http/transport.py
@@ -43,7 +43,7 @@
         self.playlist = self.said = None
 
 
-class HttpCarrier:
+class HttpStreamerTransport:
     """`addresses` maps a streamer's id to where it listens; `connect` ns to make a connection. What a
     playback is wanted with (`PlaybackRequest.context`) has its player's CMCD `hints` and its title's
     `rungs`."""
--- a/terndrift/platform/attempt.py
+++ b/terndrift/platform/attempt.py
@@ -1,6 +1,6 @@
 """One attempt to set up a playback at one streamer: its states and the allowed transitions.
 
-Created by the carrier, which also drives it; performs no I/O itself.
+Created by the transport, which also drives it; performs no I/O itself.
 """
 
 from enum import Enum
--- a/terndrift/platform/connection.py
+++ b/terndrift/platform/connection.py
@@ -1,6 +1,6 @@
 """One TCP connection that carries platform messages, on a Tornado stream.
 
-The front uses it for viewers and the carrier for streamers. It passes decoded messages to a callback and
+The front uses it for viewers and the transport for streamers. It passes decoded messages to a callback and
 never interprets them.
 """
 
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -34,7 +34,7 @@
 class ViewerSession:
     """A set-up or playback as its viewer knows it; the core gets it as `PlaybackRequest.context`.
 
-    `forwarded` are the parameters of the set-up that go to the streamer unchanged. The carrier sets
+    `forwarded` are the parameters of the set-up that go to the streamer unchanged. The transport sets
     `description` from the streamer's answer.
     """
 
@@ -62,8 +62,8 @@
 class Front:
     """The connections of viewers, their open set-ups, and their playbacks."""
 
-    def __init__(self, host, carrier, configuration, log):
-        self.host, self.carrier, self.configuration, self.log = host, carrier, configuration, log
+    def __init__(self, host, transport, configuration, log):
+        self.host, self.transport, self.configuration, self.log = host, transport, configuration, log
         self.deadlines, self.layout = configuration.deadlines, configuration.layout
         self.rung_count = len(configuration.deployment.ladder.rates)
         self.max_connections = configuration.descriptors.viewers
@@ -78,7 +78,7 @@
         self.undelivered_releases = deque()  # (expiry time, bytes) of releases that no connection could carry
         self.admission = Gate(max_open_set_ups(self.deadlines), configuration.deployment.seed)
         self.ready, self.closing = False, False
-        carrier.on_ended = self._playback_ended
+        transport.on_ended = self._playback_ended
 
     def listen_on(self, address):
         """Starts to accept viewers on (host, port) and returns the bound (host, port); raises OSError."""
@@ -170,7 +170,7 @@
                 if existing is None and message.id not in self.expected and not self.closing:
                     self._await_hand_over(connection, message.id, request)
                 return
-            if existing is not None or message.id in self.expected or self.carrier.holds(message.id):
+            if existing is not None or message.id in self.expected or self.transport.holds(message.id):
                 raise InvalidMessageError("playback ID is already in use")
         except InvalidMessageError as error:
             self.log.debug("unusable", why=str(error))
@@ -189,7 +189,7 @@
         session.playback = self.host.do(
             self.host.core.request_playback,
             self._wanted(session, request),
-            self.carrier,
+            self.transport,
             lambda answer: self._on_answer(session, answer),
         )
 
@@ -220,11 +220,11 @@
 
         def on_rung(rung):
             self.expected.pop(id, None)
-            self.carrier.cancel_hand_over(streamer, id)
+            self.transport.cancel_hand_over(streamer, id)
             self._complete_hand_over(session, request, streamer, rung)
 
         self.standing[connection] += 1
-        if self.carrier.register_hand_over(streamer, id, on_rung):
+        if self.transport.register_hand_over(streamer, id, on_rung):
             self.expected[id] = self.host.clock.now(), streamer, session, on_rung
             self.answered_connections[connection] = None
         else:
@@ -240,14 +240,14 @@
                 max(rung, self.configuration.deployment.plans[request.plan].floor), self.rung_count - 1
             )
             session.playback = self.host.do(
-                self.host.core.adopt_playback, self._wanted(session, request), self.carrier, streamer, rung
+                self.host.core.adopt_playback, self._wanted(session, request), self.transport, streamer, rung
             )
         if session.playback is None or session.playback.stage is PlaybackStage.ENDED:
             self._remove(session)
             self._send_release(session)
             return
         self.held[session.id] = session
-        self.carrier.track_playback(session.playback)
+        self.transport.track_playback(session.playback)
 
     def _handle_release(self, connection, id):
         session = self.held.get(id)
@@ -255,7 +255,7 @@
         if id in self.expected:
             _, streamer, pending, _ = self.expected.pop(id)
             self._remove(pending)
-            self.carrier.cancel_hand_over(streamer, id, ended_by_viewer=True)
+            self.transport.cancel_hand_over(streamer, id, ended_by_viewer=True)
         if session is None:
             return
         if session.playback.answer is None:
@@ -300,7 +300,7 @@
                 self._send_release(session)
         for _, _, session, _ in self.expected.values():
             self._send_release(session)
-        self.carrier.last_releases()
+        self.transport.last_releases()
         self.held.clear()
         self.expected.clear()
         for sessions in self.connections.values():
@@ -358,7 +358,7 @@
             self.standing[session.connection] -= 1
 
     def _playback_ended(self, playback, by_viewer):
-        """Called by the carrier when a playback is over at its streamer."""
+        """Called by the transport when a playback is over at its streamer."""
         session = playback.request.context
         if self.held.get(session.id) is not session:
             return
--- a/terndrift/platform/message.py
+++ b/terndrift/platform/message.py
@@ -3,7 +3,7 @@
     message   = length:2 type:1 id:8 parameters      length counts every byte after it; big-endian
     parameter = code:1 length:2 value                (PROTOCOL, "Messages")
 
-Used by the front, the carrier and the message reader. Performs no I/O. Malformed framing raises
+Used by the front, the transport and the message reader. Performs no I/O. Malformed framing raises
 MessageFramingError, after which the connection can't be used any more; a well-framed message with missing or
 invalid parameters raises InvalidMessageError and leaves the connection usable.
 """
--- a/terndrift/platform/peer.py
+++ b/terndrift/platform/peer.py
@@ -1,6 +1,6 @@
 """Connection state of one streamer: its address, the connections to it, and the playbacks there.
 
-Owned by the carrier, which opens and closes the connections.
+Owned by the transport, which opens and closes the connections.
 """
 
 # Connections per streamer; beyond these, set-ups share connections. Up to here each set-up gets one of its
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -1,8 +1,8 @@
 """The controller process on the operators' platform: startup, SIGHUP (reload), SIGTERM (shutdown).
 
 `main` is called by `terndrift.platform.__main__`. A `Service` wires configuration, core, viewer front,
-streamer carrier and control feed together and owns their lifetime. It takes no placement decisions: those are
-the core's.
+streamer transport and control feed together and owns their lifetime. It takes no placement decisions: those
+are the core's.
 """
 
 import asyncio
@@ -16,9 +16,9 @@
 from terndrift.interface import Standing
 from terndrift.log_stream import LogStream
 from terndrift.platform import settings
-from terndrift.platform.carrier import Carrier
 from terndrift.platform.feed import Feed
 from terndrift.platform.front import Front
+from terndrift.platform.transport import StreamerTransport
 from terndrift.terms import Malformed
 
 NS_PER_SECOND = 1_000_000_000
@@ -54,7 +54,7 @@
 
 
 class Service:
-    """One controller: owns its configuration, core, front, carrier and feed.
+    """One controller: owns its configuration, core, front, transport and feed.
 
     `path` is the configuration file, read again by `reread`.
     """
@@ -70,8 +70,8 @@
             logs.watcher(log),
         )
         self.host = Host(self.core, self.clock)
-        self.carrier = Carrier(self.host, configuration, log)
-        self.front = Front(self.host, self.carrier, configuration, log)
+        self.transport = StreamerTransport(self.host, configuration, log)
+        self.front = Front(self.host, self.transport, configuration, log)
         self.feed = Feed(configuration.feed_address, 0, self._apply_event, log, configuration.deployment.seed)
         self.list_is_cached = True  # the configuration's events are a list from before this start
         self.tasks, self.address, self.stopped = [], None, asyncio.Event()
@@ -99,12 +99,12 @@
             except Malformed as error:
                 unreadable = unreadable or str(error)
                 continue
-            self.carrier.listed(entry, name, address)
+            self.transport.listed(entry, name, address)
             entries.append(entry)
             changes.append((name, entry.standing.name))
         whole = bool(members.get("whole")) and (unreadable is None or final)
         if whole:
-            self.carrier.only({listed.id for listed in entries if listed.standing is not Standing.GONE})
+            self.transport.only({listed.id for listed in entries if listed.standing is not Standing.GONE})
         self.host.do(self.core.list_changed, entries, whole, self.list_is_cached)
         self.log.info("list", n=event.get("n"), whole=whole, changed=changes[:20])
         return unreadable
@@ -148,7 +148,7 @@
             try:
                 self.host.tell_late(self.log)
                 self.front.every_quarter()
-                self.carrier.every_quarter()
+                self.transport.every_quarter()
             except Exception as exception:  # a bug in one round must not end the later ones
                 self.log.error("fault of a bound", exc_info=exception)
 
@@ -198,14 +198,14 @@
         for _ in range(ACCEPT_LOOP_TURNS):
             await asyncio.sleep(0)
         self.front.finish()
-        for connection in self.carrier.connections():
+        for connection in self.transport.connections():
             connection.finish("controller is shutting down")
         await self._wait_until(CLOSE_TIMEOUT_S, lambda: not self.front.connections)
         self.close()
 
     def _all_sent(self):
         return not any(
-            connection.unsent() for connection in [*self.front.connections, *self.carrier.connections()]
+            connection.unsent() for connection in [*self.front.connections, *self.transport.connections()]
         )
 
     async def _wait_until(self, timeout_s, condition):
@@ -226,7 +226,7 @@
         self.front.listener.close()
         for connection in list(self.front.connections):
             connection.close("controller is shutting down")
-        self.carrier.close()
+        self.transport.close()
         self.feed.close()
         self.stopped.set()
 
--- a/terndrift/platform/carrier.py
+++ b/terndrift/platform/transport.py
@@ -1,8 +1,8 @@
 """The streamer side of the platform controller: sends set-up attempts and receives reports on playbacks.
 
-Created by the service; called by the core (see `core.active_playback.Carrier`) and by the front. It owns the
-connections to streamers. It reports how each attempt ended, but never chooses a streamer, a rung or a retry
-itself.
+Created by the service; called by the core (see `core.active_playback.StreamerTransport`) and by the front. It
+owns the connections to streamers. It reports how each attempt ended, but never chooses a streamer, a rung or
+a retry itself.
 """
 
 import asyncio
@@ -51,7 +51,7 @@
     """The limit of connections to streamers is reached and none of them is idle, or no descriptor is left."""
 
 
-class Carrier:
+class StreamerTransport:
     """Set-up attempts, playbacks and connections, by streamer.
 
     The front sets `on_ended(playback, by_viewer)`, which is called when a streamer reports that a playback is
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -83,7 +83,7 @@
 
 
 class Front:
-    """One controller: its core, and the wires that its carrier would use."""
+    """One controller: its core, and the wires that its transport would use."""
 
     def __init__(self, world, n, made, grace, decisions):
         self.world, self.name = world, f"c{n}"
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -21,10 +21,10 @@
 from terndrift.fleet.sight import Sight
 from terndrift.fleet.site import Site
 from terndrift.fleet.surge import Surge
-from terndrift.http.carrier import HttpCarrier
 from terndrift.http.client import Pool
 from terndrift.http.front import Front, Served
 from terndrift.http.server import Server
+from terndrift.http.transport import HttpStreamerTransport
 from terndrift.listing.kept import STREAM as LISTING
 from terndrift.scheduler.runner import Runner
 from terndrift.store.commit import Committer
@@ -175,11 +175,11 @@
         self.titles = Titles(value["deployment"], made)
         self.core.may_use_streamer = self.titles.permits
         self.pool = Pool(http["pool"])
-        self.carrier = HttpCarrier(self.host, self.pool, self.addresses, http["connect"])
+        self.transport = HttpStreamerTransport(self.host, self.pool, self.addresses, http["connect"])
         room = SimpleNamespace(
             open=limits["open"], playbacks=limits["playbacks"], idle=http["idle"], stall=http["stall"]
         )
-        self.front = Front(self.host, self.carrier, self.titles, room, self.log)
+        self.front = Front(self.host, self.transport, self.titles, room, self.log)
         self.server = Server(
             self.front.handle,
             http["connections"],
@@ -308,7 +308,7 @@
         self.core.watch, self.front.sheds = both(self.core.watch, surge.watch), surge.sheds
         refused = self.front.refused
         self.front.refused = lambda plan, wait: (refused(plan, wait), surge.gate(plan, wait))
-        self.carrier.pace = surge.connecting
+        self.transport.pace = surge.connecting
         for source in self.sources.xds.values():
             source.patience.floor = surge.calling
 
@@ -487,9 +487,9 @@
         if self.sip:
             self.sip.close()
         await self.server.drain(1.0)
-        if self.carrier.farewells:
-            await asyncio.wait(self.carrier.farewells, timeout=1.0)
-        self.carrier.close()
+        if self.transport.farewells:
+            await asyncio.wait(self.transport.farewells, timeout=1.0)
+        self.transport.close()
         self.pool.close()
         await self.admin.drain(1.0)
         if self.fleet:
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -1,4 +1,4 @@
-"""The SIP front and carrier: an INVITE becomes a wanted playback, a set-up try an INVITE to a media server.
+"""The SIP front and transport: an INVITE becomes a wanted playback, a set-up try an INVITE to a media server.
 
 No socket here: `Bridge` hands in what callers and media servers did, the core what was decided.
 """
--- a/terndrift/standin/streamer.py
+++ b/terndrift/standin/streamer.py
@@ -10,8 +10,8 @@
 from terndrift.hints import cmcd, cmsd
 from terndrift.hints.meaning import kbit
 from terndrift.http import playlists
-from terndrift.http.carrier import LINK, NUMBER, PLAYBACK, STREAMS, UPLINK
 from terndrift.http.server import Gone, Server
+from terndrift.http.transport import LINK, NUMBER, PLAYBACK, STREAMS, UPLINK
 
 SECOND = 1_000_000_000
 MEDIA = (b"\x47\x1f\xff\x10" + b"\xff" * 184) * 400  # null packets of an MPEG transport stream
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -292,7 +292,7 @@
         self.feed.tell(*(s.row() for s in self.streamers), whole=True)
         self.write_configuration()
         self.service = Service(settings.read(self.path), world.Log(self.said), self.path)
-        self.core, self.carrier = self.service.core, self.service.carrier
+        self.core, self.transport = self.service.core, self.service.transport
         # By default a controller that has just started assumes that the streamers may have just started too;
         # tests of that set it themselves.
         self.core.controller.began_empty = False
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -32,7 +32,7 @@
     service.front._turn_away = turn_away
 
 
-@in_world(carrier=late)
+@in_world(customize_service=late)
 async def test_a_late_answer_breaks_the_first_rule(world):
     for s in world.fleet.streamers.values():
         s.begin("full", 1)
@@ -47,27 +47,27 @@
     service.server.handle = handle
 
 
-@in_world(carrier=silent)
+@in_world(customize_service=silent)
 async def test_no_answer_breaks_the_first_rule(world):
     await asks(world, "clip", 2)
     assert broken(world) == {"answers"}
 
 
 def resending(service):
-    carrier, over = service.carrier, service.carrier._over
+    transport, over = service.transport, service.transport._over
 
     def again(playback, ending, figures=None):
         if ending.may_have_run and playback.attempts < 2:
             playback.attempts += 1
-            carrier.tries.pop(playback)
-            carrier.set_up(playback, playback.streamer, playback.rung, 0)
+            transport.tries.pop(playback)
+            transport.set_up(playback, playback.streamer, playback.rung, 0)
         else:
             over(playback, ending, figures)
 
-    carrier._over = again
+    transport._over = again
 
 
-@in_world(carrier=resending, streamers=2)
+@in_world(customize_service=resending, streamers=2)
 async def test_a_paid_plan_sent_again_breaks_the_second_rule(world):
     for s in world.fleet.streamers.values():
         s.begin("error", 1.0)
@@ -76,19 +76,19 @@
 
 
 def hedging(service):
-    carrier, set_up = service.carrier, service.carrier.set_up
+    transport, set_up = service.transport, service.transport.set_up
 
     def twice(playback, streamer, rung, timeout):
         set_up(playback, streamer, rung, timeout)
-        first = carrier.tries[playback]
+        first = transport.tries[playback]
         playback.attempts += 1
         set_up(playback, streamer, rung, timeout)
-        carrier.tries[playback] = first
+        transport.tries[playback] = first
 
-    carrier.set_up = twice
+    transport.set_up = twice
 
 
-@in_world(carrier=hedging)
+@in_world(customize_service=hedging)
 async def test_two_tries_at_once_break_the_second_rule(world):
     for s in world.fleet.streamers.values():
         s.begin("late", 0.3)
@@ -112,7 +112,7 @@
     front._want = softened
 
 
-@in_world(carrier=rejecting, streamers=1)
+@in_world(customize_service=rejecting, streamers=1)
 async def test_a_paid_plan_rejected_though_it_may_have_run_breaks_the_second_rule(world):
     world.fleet.streamers[0].begin("still", 1)
     await asks(world, "lesson", 1)
@@ -152,7 +152,7 @@
     service.titles.rung = lambda name, wanted, floor, top: wanted  # or it would mend it
 
 
-@in_world(carrier=floorless)
+@in_world(customize_service=floorless)
 async def test_a_rung_under_the_floor_breaks_the_fifth_rule(world):
     await world.player("lesson", "v").watch()
     assert broken(world) == {"terms"}
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -341,16 +341,16 @@
 
 @in_world
 async def test_holders_moved_between_the_choice_and_the_connect_send_nothing_to_the_old_one(world):
-    carrier = world.service.carrier
+    transport = world.service.transport
     began, may = asyncio.Event(), asyncio.Event()
-    tried = carrier._try
+    tried = transport._try
 
     async def slow(playback, call, rung):
         began.set()
         await may.wait()
         await tried(playback, call, rung)
 
-    carrier._try = slow
+    transport._try = slow
     # An attempt of a repeatable plan times out after 200 ms, sooner than a busy disk writes the change;
     # one of a plan that may not be repeated waits until the playback's own deadline.
     await world.service.catalogue.apply(Change("n", put={"moved": Title("paid", 2, holders=(1,))}))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -20,7 +20,7 @@
 
 
 class ScriptedTransport:
-    """Transport that reports nothing by itself and asserts that the core keeps to the `Carrier` protocol."""
+    """Reports nothing by itself and asserts that the core keeps to the `StreamerTransport` protocol."""
 
     def __init__(self):
         self.in_flight, self.playing, self.cancelling, self.rungs, self.sends = {}, {}, set(), {}, []
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,10 +18,10 @@
 from world import Log, until
 
 from terndrift.core.active_playback import PlaybackStage
-from terndrift.platform import carrier as carrier_module
 from terndrift.platform import message as m
 from terndrift.platform import service as service_module
 from terndrift.platform import settings
+from terndrift.platform import transport as carrier_module
 from terndrift.platform.attempt import TRANSITIONS as ATTEMPT_TRANSITIONS
 from terndrift.platform.attempt import Attempt, AttemptState
 from terndrift.platform.connection import TRANSITIONS as CONNECTION_TRANSITIONS
@@ -75,7 +75,7 @@
 async def sent_ids(world, type=m.SET_UP):
     """Ids of the messages sent to streamers so far, returned once streamers have read all of them."""
     markers = []
-    for connection in world.carrier.connections():
+    for connection in world.transport.connections():
         marker = world.id()
         if connection.send(encode(m.PROGRESS, marker)):
             markers.append(marker)
@@ -102,7 +102,7 @@
 
 
 class DelayedConnects:
-    """Replaces the carrier's `connect`: connections are established only once `allow` is called.
+    """Replaces the transport's `connect`: connections are established only once `allow` is called.
 
     As with asyncio.wait_for of Python 3.11, a connect that completes in the iteration of the event loop in
     which it is cancelled swallows the cancellation.
@@ -186,7 +186,7 @@
     await until(lambda: streamer.ids(m.SET_UP) == [id])
     world.service.front.last_answers()
     streamer.say(encode(m.ANSWER, id, (m.DESCRIPTION, b"too late")))
-    link = next(iter(next(iter(world.carrier.peers.values())).connections)).link
+    link = next(iter(next(iter(world.transport.peers.values())).connections)).link
     await until(lambda: link.count)
     received = await received_so_far(viewer, world)
     assert [(message.type, message.id, message.cause) for message in received] == [
@@ -203,7 +203,7 @@
     streamer = next(s for s in world.streamers if s.heard)
     world.service.front.last_answers()
     streamer.say(release(id, 34))
-    connections = world.carrier.connections()
+    connections = world.transport.connections()
     await until(lambda: any(connection.link.count for connection in connections))
     await received_so_far(viewer, world)
     assert await sent_ids(world) == [id]
@@ -450,7 +450,7 @@
             return real_want(*args)
 
         world.core.request_playback = want_then_cancel
-        # a negative limit makes the carrier treat the iteration as a long one
+        # a negative limit makes the transport treat the iteration as a long one
         with patched(carrier_module, HELD_UP=-1 if on_another_connection else carrier_module.HELD_UP):
             viewer.sendall(set_up_message(id))
             await until(lambda: cancelled)
@@ -509,13 +509,13 @@
     async def test(world):
         connects = DelayedConnects()
         with patched(carrier_module, connect=connects):
-            viewer, id, real_call_off = await world.viewer(), world.id(), world.carrier.cancel_attempt
+            viewer, id, real_call_off = await world.viewer(), world.id(), world.transport.cancel_attempt
 
             def allow_connect_then_call_off(playback):
                 connects.allow()
                 real_call_off(playback)
 
-            world.carrier.cancel_attempt = allow_connect_then_call_off
+            world.transport.cancel_attempt = allow_connect_then_call_off
             viewer.send(set_up_message(id))
             await until(lambda: connects.started)
             if departure == "cancel":
@@ -523,10 +523,10 @@
             else:
                 viewer.writer.close()
             await until(lambda: not world.core.playbacks)
-            await until(lambda: not any(p.connecting for p in world.carrier.peers.values()))
+            await until(lambda: not any(p.connecting for p in world.transport.peers.values()))
             await received_so_far(await world.viewer(), world)
-        assert not await sent_ids(world) and not world.carrier.attempts
-        peer = next(iter(world.carrier.peers.values()))
+        assert not await sent_ids(world) and not world.transport.attempts
+        peer = next(iter(world.transport.peers.values()))
         assert all(connection.up() and not attempts for connection, attempts in peer.connections.items())
 
     test()
@@ -535,21 +535,21 @@
 @in_world(streamers=2, how="silent")
 async def test_connection_established_as_the_next_attempt_starts_carries_no_set_up(world):
     """Otherwise two attempts for one playback would run at once."""
-    connects, real_call_off = DelayedConnects(delayed=1), world.carrier.cancel_attempt
+    connects, real_call_off = DelayedConnects(delayed=1), world.transport.cancel_attempt
 
     def allow_connect_then_call_off(playback):
         connects.allow()
         real_call_off(playback)
 
-    world.carrier.cancel_attempt = allow_connect_then_call_off
+    world.transport.cancel_attempt = allow_connect_then_call_off
     with patched(carrier_module, connect=connects):
         viewer = await world.viewer()
         id = viewer.ask()
         await until(lambda: received_ids(world))
-        await until(lambda: not any(peer.connecting for peer in world.carrier.peers.values()))
+        await until(lambda: not any(peer.connecting for peer in world.transport.peers.values()))
         await received_so_far(viewer, world)
-        assert await sent_ids(world) == [id] and len(world.carrier.attempts) == 1
-    assert len(world.carrier.connections()) == 2, "the first connection is established"
+        assert await sent_ids(world) == [id] and len(world.transport.attempts) == 1
+    assert len(world.transport.connections()) == 2, "the first connection is established"
 
 
 @in_world(streamers=1)
@@ -561,9 +561,9 @@
         await until(lambda: connects.started)
         assert (await viewer.hear()).type == m.RELEASE
         connects.allow()
-        await until(lambda: not any(peer.connecting for peer in world.carrier.peers.values()))
+        await until(lambda: not any(peer.connecting for peer in world.transport.peers.values()))
         await received_so_far(viewer, world)
-    assert not await sent_ids(world) and not world.carrier.attempts
+    assert not await sent_ids(world) and not world.transport.attempts
 
 
 @in_world(streamers=2)
@@ -641,7 +641,7 @@
         viewer.ask(id=id)
         assert (await viewer.hear()).cause == m.UNUSABLE
         streamer.say(encode(m.RELEASE_HEARD, id))
-        await until(lambda: not world.carrier.holds(id))
+        await until(lambda: not world.transport.holds(id))
         viewer.ask(id=id)
         await until(lambda: streamer.ids(m.SET_UP) == [id, id])
 
@@ -664,7 +664,7 @@
     viewer = await world.viewer()
     id = viewer.ask(plan="paid")
     await until(lambda: received_ids(world) == [id])
-    connection = next(c for c in world.carrier.connections())
+    connection = next(c for c in world.transport.connections())
     connection.close("unreadable: closed by the test")
     next(iter(world.streamers)).how = "plays"
     answer = await viewer.hear()
@@ -682,7 +682,7 @@
     viewer.send(release(id, 16))
     await until(lambda: streamer.ids(m.RELEASE) == [id])
     assert len(streamer.writers) == 1
-    world.carrier.stale_after = 0
+    world.transport.stale_after = 0
     paid_id = viewer.ask(plan="paid")
     await until(lambda: streamer.ids(m.SET_UP) == [id, paid_id])
     assert len(streamer.writers) == 2, "the set-up must use a new connection"
@@ -692,12 +692,12 @@
 async def test_idle_connection_is_closed_before_the_streamer_closes_it(world):
     viewer, streamer = await world.viewer(), world.streamers[0]
     id, _ = await world.plays(viewer)
-    world.carrier.stale_after = 0
-    world.carrier.every_quarter()
-    assert world.carrier.connections()[0].up(), "a connection to a streamer with a playback stays open"
+    world.transport.stale_after = 0
+    world.transport.every_quarter()
+    assert world.transport.connections()[0].up(), "a connection to a streamer with a playback stays open"
     viewer.send(release(id, 16))
     await until(lambda: streamer.ids(m.RELEASE) == [id])
-    await until(lambda: not world.carrier.connections())
+    await until(lambda: not world.transport.connections())
 
 
 @pytest.mark.parametrize(
@@ -721,8 +721,8 @@
             },
         },
     }
-    carrier = carrier_module.Carrier(None, settings.configuration(value), Log([]))
-    assert carrier.stale_after // 10**6 == stale_after_ms
+    transport = carrier_module.StreamerTransport(None, settings.configuration(value), Log([]))
+    assert transport.stale_after // 10**6 == stale_after_ms
 
 
 @in_world
@@ -808,7 +808,7 @@
     viewer = await world.viewer()
     for n in range(8):
         id, streamer = await world.plays(viewer, figures=f"home:{n % 4};copies:1;top:2")
-        assert len(world.carrier.connections()) <= 2
+        assert len(world.transport.connections()) <= 2
         viewer.send(release(id, 16))
         await until(lambda ended_id=id, at_streamer=streamer: ended_id in at_streamer.ids(m.RELEASE))
         assert (await viewer.hear()).type == m.RELEASE_HEARD
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -341,4 +341,4 @@
     await until(lambda: world.service.feed.held == 2)
     assert world.by_name("s-00000002").listed.standing is Standing.GONE
     assert world.by_name("s-00000001").listed.standing is Standing.READY
-    assert settings.streamer_id("s-00000001") in world.carrier.peers
+    assert settings.streamer_id("s-00000001") in world.transport.peers
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,8 +20,8 @@
 from terndrift import terms
 from terndrift.core.active_playback import PlaybackStage
 from terndrift.interface import Standing
-from terndrift.platform import carrier, settings
 from terndrift.platform import message as m
+from terndrift.platform import settings, transport
 from terndrift.platform.link import MessageReader
 from terndrift.platform.message import (
     InvalidMessageError,
@@ -339,7 +339,12 @@
 
 @in_world(streamers=2)
 async def test_no_state_is_left_of_ended_playbacks_and_closed_connections(world):
-    core, controller, carrier, front = world.core, world.core.controller, world.carrier, world.service.front
+    core, controller, transport, front = (
+        world.core,
+        world.core.controller,
+        world.transport,
+        world.service.front,
+    )
     remaining = await world.viewer()
     await world.plays(remaining)
     for n in range(40):
@@ -354,10 +359,10 @@
         await until(lambda: len(core.playbacks) == 1)
     counts = {
         "core": len(core.playbacks),
-        "attempts": len(carrier.attempts),
-        "cancelled": len(carrier.cancelled),
+        "attempts": len(transport.attempts),
+        "cancelled": len(transport.cancelled),
         "playing": sum(
-            len(p.playbacks) + len(p.hand_overs) + len(p.unsent_messages) for p in carrier.peers.values()
+            len(p.playbacks) + len(p.hand_overs) + len(p.unsent_messages) for p in transport.peers.values()
         ),
         "front": len(front.held) + len(front.expected) + len(front.undelivered_releases),
         "connections": len(front.connections),
@@ -374,7 +379,7 @@
         "controller": 1,
         "streamers": 1,
     }
-    assert sum(len(p.connections) for p in carrier.peers.values()) <= 4
+    assert sum(len(p.connections) for p in transport.peers.values()) <= 4
     # timers of ended playbacks stay until they expire
     latest_expiry = world.service.clock.now() + 3 * SECOND
     assert all(at <= latest_expiry for at, _, _ in core.alarms)
@@ -411,7 +416,7 @@
 
 @in_world(how="silent")
 async def test_next_attempt_waits_for_the_confirmation_of_the_cancel(world):
-    original, carrier.CONFIRM = carrier.CONFIRM, 30
+    original, transport.CONFIRM = transport.CONFIRM, 30
     try:
         viewer = await world.viewer()
         id = viewer.ask()
@@ -423,7 +428,7 @@
         first.say(encode(m.RELEASE_HEARD, id))
         assert (await viewer.hear()).type == m.ANSWER and other.ids(m.SET_UP) == [id]
     finally:
-        carrier.CONFIRM = original
+        transport.CONFIRM = original
 
 
 @in_world(how="plays twice")
@@ -564,7 +569,7 @@
     state = world.by_name(streamer.name)
     await until(lambda: state.shares and state.heard and state.rack.seen and playback.rung == 0)
     assert state.shares[-1][1] == 0.7 and world.core.controller.playbacks[playback.id].rung == 0
-    world.carrier.set_rung(playback, 2)
+    world.transport.set_rung(playback, 2)
     await until(lambda: streamer.ids(m.RUNG) == [id])
     assert next(message for message in streamer.heard if message.type == m.RUNG).parameters[m.RUNG_NO] == b"2"
 
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -119,7 +119,7 @@
 
 
 class Day:
-    """A core in virtual time, with itself as carrier, whose streamers answer at random.
+    """A core in virtual time, with itself as transport, whose streamers answer at random.
 
     Asserts the rules at every call of the core: one attempt out at a time, no set-up of a non-repeatable
     plan that may have run, rungs, seats and attempts within their limits, one answer by the deadline.
@@ -171,7 +171,7 @@
                 self.unready_since.setdefault(entry.id, self.now)
         self.core.list_changed(self.now, entries, False, False)
 
-    # The calls of core.active_playback.Carrier.
+    # The calls of core.active_playback.StreamerTransport.
 
     def set_up(self, playback, streamer, rung, timeout):
         """Checks the rules for an attempt and schedules its end, or none if the streamer stays silent."""
@@ -332,14 +332,14 @@
     core.list_changed(T0, [Listed(1, "box", "here", 0, 0, Standing.READY, 1, 0)], True, False)
     timeouts = []
 
-    class Carrier:
+    class StreamerTransport:
         def set_up(self, playback, streamer, rung, timeout):
             timeouts.append(timeout)
 
     core.request_playback(
         T0,
         PlaybackRequest("free", "t", frozenset([0]), 2, deadline_ms * MS, 0),
-        Carrier(),
+        StreamerTransport(),
         lambda answer: None,
     )
     assert len(timeouts) == 1 and timeouts[0] > 0
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -112,12 +112,12 @@
 @in_world
 async def test_new_connections_wait_their_turn_and_one_that_may_not_be_made_is_a_try_never_sent(world):
     surge, _ = surge_of(world)
-    world.service.carrier.pace = surge.connecting
+    world.service.transport.pace = surge.connecting
     assert (await world.ask("clip"))[0] == 200, "no limit"
-    world.service.carrier.pace = lambda address: None
+    world.service.transport.pace = lambda address: None
     world.service.pool.close()
     code, *_, took = await world.ask("lesson")
     assert code == 503, "a paid one is told so: it never ran"
-    world.service.carrier.pace = lambda address: 50_000_000
+    world.service.transport.pace = lambda address: 50_000_000
     assert (await world.ask("lesson"))[0] == 200
     assert world.breaks()["rules"] == NO_BREAKS
--- a/tests/test_xds_client.py
+++ b/tests/test_xds_client.py
@@ -137,7 +137,7 @@
 
 @sourced("delta")
 async def test_a_streamer_told_off_between_choice_and_connect_gets_nothing(world):
-    """In the ms between the two the list changes: the carrier asks the core once more before the first
+    """In the ms between the two the list changes: the transport asks the core once more before the first
     byte."""
     core, sent = world.service.core, []
     permitted = core.may_send
--- a/tests/world.py
+++ b/tests/world.py
@@ -38,15 +38,15 @@
 class World:
     """A running controller (`service`) with `streamers` stand-in streamers on two racks (`fleet`).
 
-    `front` is text appended to the controller's settings file, `carrier` a callable that gets the service
-    before it starts and may replace parts of it. `told` collects the log as (level, event, facts).
+    `front` is text appended to the controller's settings file, `customize_service` a callable that gets the
+    service before it starts and may replace parts of it. `told` collects the log as (level, event, facts).
     """
 
     list_file = "list.rec"
 
-    def __init__(self, streamers=3, front="", carrier=None):
+    def __init__(self, streamers=3, front="", customize_service=None):
         self.folder = tempfile.TemporaryDirectory()
-        self.streamers, self.more, self.customize_service = streamers, front, carrier
+        self.streamers, self.more, self.customize_service = streamers, front, customize_service
         self.pool, self.told = Pool(), []
 
     def path(self, name):
@@ -169,7 +169,7 @@
 
     async def quiet(self):
         """Wait until the controller has no playback and no attempt in flight."""
-        while self.service.core.playbacks or self.service.carrier.tries:
+        while self.service.core.playbacks or self.service.transport.tries:
             await asyncio.sleep(0.01)
 
 
