--- a/terndrift/core/gate.py
+++ b/terndrift/core/admission.py
@@ -20,36 +20,40 @@
 MIN_RETRY_AFTER_NS, MAX_RETRY_AFTER_NS = SECOND, 30 * SECOND  # before jitter
 
 
-class Gate:
+class AdmissionGate:
     """Admission control with room for `capacity` open requests. `seed` makes the jitter reproducible."""
 
     def __init__(self, capacity, seed=0):
-        self.room, self.seed, self.draw_count = capacity, seed, 0
+        self.capacity, self.seed, self.draw_count = capacity, seed, 0
         self.open_by_source = {}  # source -> number of its open requests
-        self.count = 0  # number of all open requests
+        self.open_count = 0  # number of all open requests
         self.departures = deque(maxlen=64)  # times at which the last requests were closed
 
-    def enter(self, now, source):
+    def admit(self, now, source):
         """Admit a request of `source` and return 0, or return the ns after which the client should retry.
 
-        The caller has to call `leave` once for each request admitted.
+        The caller has to call `release` once for each request admitted.
         """
         source_count = self.open_by_source.get(source, 0)
-        source_limited = self.count >= SOURCE_LIMIT_THRESHOLD * self.room
-        if self.count >= self.room or source_limited and source_count >= max(1, MAX_SOURCE_SHARE * self.room):
+        source_limited = self.open_count >= SOURCE_LIMIT_THRESHOLD * self.capacity
+        if (
+            self.open_count >= self.capacity
+            or source_limited
+            and source_count >= max(1, MAX_SOURCE_SHARE * self.capacity)
+        ):
             return self.retry_after(now)
         self.open_by_source[source] = source_count + 1
-        self.count += 1
+        self.open_count += 1
         return 0
 
-    def leave(self, now, source):
-        """Close a request that `enter` admitted. Raises KeyError if `source` has none open."""
+    def release(self, now, source):
+        """Close a request that `admit` admitted. Raises KeyError if `source` has none open."""
         source_count = self.open_by_source[source] - 1
         if source_count:
             self.open_by_source[source] = source_count
         else:
             del self.open_by_source[source]  # keeps only sources with open requests, so memory is bounded
-        self.count -= 1
+        self.open_count -= 1
         self.departures.append(now)
 
     def retry_after(self, now):
@@ -59,7 +63,7 @@
         for the delay, plus jitter of up to the same again.
         """
         if len(self.departures) >= 2 and now > self.departures[0]:
-            delay = int(self.count / 2 * (now - self.departures[0]) / len(self.departures))
+            delay = int(self.open_count / 2 * (now - self.departures[0]) / len(self.departures))
         else:
             delay = MIN_RETRY_AFTER_NS
         self.draw_count += 1
--- a/terndrift/fleet/crowds.py
+++ b/terndrift/fleet/crowds.py
@@ -13,7 +13,7 @@
 from terndrift.fleet.window import SECOND, Seconds
 
 HEAVY = 0.5  # of what all ask for: no one title is that in quiet times, in the days and catalogues seen here
-SHARE = 0.25  # of what can be served a heavy key keeps: as one source at a controller's own gate (gate.py)
+SHARE = 0.25  # of what can be served a heavy key keeps: as one source at a controller's front (admission.py)
 OTHERS, PART = 10, 0.05  # others in the window, and their part: with fewer there is nobody to be guarded
 KEYS = 6  # of a kind in a word
 BACK = 0.1  # steps back, each beat, while all is well: five seconds from a whole part
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -15,7 +15,7 @@
 from urllib.parse import quote, unquote
 
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest
-from terndrift.core.gate import Gate
+from terndrift.core.admission import AdmissionGate
 from terndrift.core.meter import Meter, Rationed
 from terndrift.core.visits import Visits
 from terndrift.hints import cmcd, cmsd
@@ -76,7 +76,7 @@
     def __init__(self, host, transport, titles, limits, log):
         self.host, self.transport, self.titles, self.log = host, transport, titles, log
         core = host.core
-        self.gate = Gate(limits.open, core.deployment.seed)
+        self.admission = AdmissionGate(limits.open, core.deployment.seed)
         self.visits = Visits(limits.playbacks)
         self.seats = Seats(limits.idle, limits.playbacks)
         self.meter, self.rationed = Meter(), Rationed()
@@ -147,14 +147,14 @@
         visit, joins = self.visits.come(now, asked.visit, title)
         source = exchange.source
         shut = self.draining or self.unsure
-        wait = SECOND if shut or self.seats.full() else self.gate.enter(now, source)
+        wait = SECOND if shut or self.seats.full() else self.admission.admit(now, source)
         if wait:
             if shut:
                 return await self._elsewhere(exchange, wait)
             self.refused(found.plan, wait)
             return await self._turn_away(exchange, wait)
         if shed := self.sheds(found.plan, asked.visit or source, f"title {title}", f"from {source}"):
-            self.gate.leave(now, source)
+            self.admission.release(now, source)
             wait, sent_on = shed
             return await (self._elsewhere if sent_on else self._turn_away)(exchange, wait)
         try:
@@ -178,7 +178,7 @@
                 )
             answer = await self._await(exchange, awaited)
         finally:
-            self.gate.leave(self.now(), source)
+            self.admission.release(self.now(), source)
         if answer is None:
             return None  # this viewer has left
         if answer.kind is AnswerKind.PLAYS:
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -8,7 +8,7 @@
 from collections import Counter, deque
 
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
-from terndrift.core.gate import Gate
+from terndrift.core.admission import AdmissionGate
 from terndrift.platform import message as m
 from terndrift.platform.connection import Connection, new_stream
 from terndrift.platform.listener import Listener
@@ -76,7 +76,7 @@
         # ID -> (since, streamer ID, ViewerSession, callback) of a hand-over that waits for its rung
         self.expected = {}
         self.undelivered_releases = deque()  # (expiry time, bytes) of releases that no connection could carry
-        self.admission = Gate(max_open_set_ups(self.deadlines), configuration.deployment.seed)
+        self.admission = AdmissionGate(max_open_set_ups(self.deadlines), configuration.deployment.seed)
         self.ready, self.closing = False, False
         transport.on_ended = self._playback_ended
 
@@ -181,7 +181,7 @@
         if self.closing:
             self._send_rejection(connection, message.id, self.host.core.controller.advice)
             return
-        if retry_after := self.admission.enter(now, connection):
+        if retry_after := self.admission.admit(now, connection):
             self._send_rejection(connection, message.id, retry_after)
             return
         session = ViewerSession(message.id, connection, request.forwarded)
@@ -317,7 +317,7 @@
         """Removes an answered or cancelled set-up from the open ones."""
         if session.connection in self.connections:
             del self.connections[session.connection][session.id]
-        self.admission.leave(self.host.clock.now(), session.connection)
+        self.admission.release(self.host.clock.now(), session.connection)
 
     def _on_answer(self, session, answer):
         connection = session.connection
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -34,11 +34,11 @@
 
 class SipFront:
     """`titles` as of the HTTP front, with `rooms(name)`: cells that take calls; `addresses`: streamer id ->
-    HOST:PORT; `peer(address)`: how to reach it; `gate`: a core.gate.Gate."""
+    HOST:PORT; `peer(address)`: how to reach it; `admission`: a core.admission.AdmissionGate."""
 
-    def __init__(self, host, titles, addresses, peer, gate, log):
+    def __init__(self, host, titles, addresses, peer, admission, log):
         self.host, self.titles, self.addresses, self.peer = host, titles, addresses, peer
-        self.gate, self.log, self.bridge = gate, log, None
+        self.admission, self.log, self.bridge = admission, log, None
         # ActivePlayback -> Leg; Call -> its source while it awaits its answer
         self.legs, self.entered = {}, {}
         self.draining = False
@@ -64,7 +64,7 @@
         if not fits:
             return call.decline(now, 488, reason="Not Acceptable Here (bandwidth under the floor)")
         source = call.transaction.peer.source
-        wait = SECOND if self.draining else self.gate.enter(now, source)
+        wait = SECOND if self.draining else self.admission.admit(now, source)
         if wait:
             return call.decline(now, 503, -(-wait // SECOND))
         self.entered[call] = source
@@ -88,7 +88,7 @@
 
     def _answered(self, call, answer):
         now = self.host.clock.now()
-        self.gate.leave(now, self.entered.pop(call))
+        self.admission.release(now, self.entered.pop(call))
         if answer.kind is AnswerKind.PLAYS:
             # `playback` is not yet on the call where the answer came within `request_playback` itself
             call.accept(now, call.leg.answer.body)
@@ -102,7 +102,7 @@
         if call.playback is not None:
             self.host.do(self.host.core.viewer_left, call.playback)
         if call in self.entered:
-            self.gate.leave(now, self.entered.pop(call))
+            self.admission.release(now, self.entered.pop(call))
 
     # What the core calls.
 
--- a/terndrift/sip/service.py
+++ b/terndrift/sip/service.py
@@ -3,7 +3,7 @@
 import os
 import secrets
 
-from terndrift.core.gate import Gate
+from terndrift.core.admission import AdmissionGate
 from terndrift.sip.bridge import Bridge
 from terndrift.sip.digest import Guard
 from terndrift.sip.front import SipFront
@@ -17,8 +17,8 @@
     def __init__(self, value, host, titles, addresses, room, log):
         self.value, self.host, self.log = value, host, log
         self.wire = Wire(host.clock, log)
-        gate = Gate(room, host.core.deployment.seed)
-        self.front = SipFront(host, titles, addresses, self.wire.peer, gate, log)
+        admission = AdmissionGate(room, host.core.deployment.seed)
+        self.front = SipFront(host, titles, addresses, self.wire.peer, admission, log)
         self.guard = None
         if value["realm"]:
             passwords = {name: account["password"] for name, account in value["accounts"].items()}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
+from terndrift.core.admission import MAX_RETRY_AFTER_NS, AdmissionGate
 from terndrift.core.core import Core
-from terndrift.core.gate import MAX_RETRY_AFTER_NS, Gate
 from terndrift.core.meter import Meter, Rationed
 from terndrift.core.visits import MAX_JOINED_REQUESTS, VISIT_TTL_NS, Visits
 from terndrift.interface import Ending, Standing
@@ -287,26 +287,26 @@
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.booleans(), st.integers(0, 10**9)), max_size=150))
 def test_gate_limits_open_requests_in_all_and_by_source(events):
-    gate, now, open_sources = Gate(8), 0, []
+    gate, now, open_sources = AdmissionGate(8), 0, []
     for source, enters, elapsed in events:
         now += elapsed
         if enters:
             open_before, from_source = len(open_sources), open_sources.count(source)
-            retry_after = gate.enter(now, source)
+            retry_after = gate.admit(now, source)
             assert bool(retry_after) == (open_before >= 8 or open_before >= 4 and from_source >= 2)
             assert retry_after == 0 or S <= retry_after <= 2 * MAX_RETRY_AFTER_NS
             if not retry_after:
                 open_sources.append(source)
         elif open_sources:
-            gate.leave(now, open_sources.pop(0))
-        assert gate.count == len(open_sources) and gate.open_by_source == {
+            gate.release(now, open_sources.pop(0))
+        assert gate.open_count == len(open_sources) and gate.open_by_source == {
             s: open_sources.count(s) for s in set(open_sources)
         }
 
 
 def test_retry_delays_of_requests_refused_together_differ():
-    gate = Gate(1)
-    gate.enter(0, "a")
+    gate = AdmissionGate(1)
+    gate.admit(0, "a")
     assert len({gate.retry_after(0) for _ in range(50)}) > 40
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -183,7 +183,7 @@
     for sock in socks:
         sock.close()
     await world.quiet()
-    assert world.service.core.unanswered_count == 0 and world.service.front.gate.count == 0
+    assert world.service.core.unanswered_count == 0 and world.service.front.admission.open_count == 0
 
 
 @in_world(front="limits: open: 10")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -449,7 +449,7 @@
     await until(lambda: world.core.unanswered_count == 20)
     viewer.writer.close()
     await until(lambda: not world.core.playbacks and not world.service.front.held)
-    assert not world.service.front.admission.count and not world.core.controller.pending
+    assert not world.service.front.admission.open_count and not world.core.controller.pending
 
 
 @in_world
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -246,7 +246,7 @@
 
 @calling
 async def test_a_flood_of_calls_from_one_source_is_turned_away_with_advice(world):
-    world.service.sip.front.gate.room = 8
+    world.service.sip.front.admission.capacity = 8
     for room in world.rooms:
         room.faults["ringing"] = 1
     callers = [await world.caller("clip", visit=f"f{n}", abandon=1.0) for n in range(16)]
@@ -255,7 +255,7 @@
     await until(lambda: sum(c.code == 503 for c in callers) >= 8)
     assert all(c.retry_after >= 1 for c in callers if c.code == 503)
     await until(lambda: all(c.state == "over" for c in callers) and not world.service.core.playbacks)
-    assert all(c.answers == 1 for c in callers) and world.service.sip.front.gate.count == 0
+    assert all(c.answers == 1 for c in callers) and world.service.sip.front.admission.open_count == 0
 
 
 @calling
