--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 
 from terndrift.core.core import Core
-from terndrift.core.host import Clock
+from terndrift.core.runner import Clock
 from terndrift.interface import Deployment, Ladder, Links, Plan, Rules
 from terndrift.listing.service import Listing
 from terndrift.service import COLLECT
--- a/terndrift/cli/xds.py
+++ b/terndrift/cli/xds.py
@@ -9,7 +9,7 @@
 
 from terndrift import logs, records, service
 from terndrift.cli.stored import ask, fail
-from terndrift.core.host import Clock
+from terndrift.core.runner import Clock
 from terndrift.listing.file import lines as file_lines
 from terndrift.listing.lines import Unusable, checked
 from terndrift.listing.service import Listing
@@ -73,7 +73,7 @@
     async def __aenter__(self):
         if self.value is None:
             value = records.load(self.spec, "list")
-            self.listing.whole(self.spec, checked(file_lines(value, self.clock.of_wall), False))
+            self.listing.whole(self.spec, checked(file_lines(value, self.clock.from_wall_seconds), False))
             return self
         who = {"name": "terndrift-xds", "region": "", "zone": ""}
         follower = source(self.spec, self.value, who, self.listing, self.clock, 0, self.log)
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -1,6 +1,6 @@
 """Session core: reports events to the decision logic and carries out what it decides.
 
-Fronts and transports call `Core` through `host.Host`, on one thread. A call may come from within a
+Fronts and transports call `Core` through `runner.CoreRunner`, on one thread. A call may come from within a
 transport's own method, as when an attempt fails at once: calls to the decision logic are queued, so that it
 is never re-entered and its decisions are carried out in order.
 """
--- a/terndrift/core/host.py
+++ b/terndrift/core/runner.py
@@ -1,6 +1,7 @@
 """Runs a session core on a Tornado event loop: its clock and the timer for its next deadline.
 
-Services create one `Clock` and one `Host`; fronts and transports reach the core through `Host.do` alone.
+Services create one `Clock` and one `CoreRunner`; fronts and transports reach the core through
+`CoreRunner.run` alone.
 """
 
 import time
@@ -27,18 +28,18 @@
         """Return the monotonic time in ns."""
         return time.monotonic_ns()
 
-    def of_wall(self, seconds):
+    def from_wall_seconds(self, seconds):
         """Convert seconds since 1970 to monotonic ns.
 
         Returns 0, "long ago", for 0 and for times before the monotonic clock's zero, the machine's start.
         """
-        return self.of_wall_ns(int(seconds * SECOND))
+        return self.from_wall_ns(int(seconds * SECOND))
 
-    def of_wall_ns(self, wall):
-        """Convert ns since 1970 to monotonic ns, with the same use of 0 as `of_wall`."""
+    def from_wall_ns(self, wall):
+        """Convert ns since 1970 to monotonic ns, with the same use of 0 as `from_wall_seconds`."""
         return max(0, wall - self.wall_offset) if wall else 0
 
-    def wall_ns(self, monotonic):
+    def to_wall_ns(self, monotonic):
         """Convert monotonic ns to ns since 1970; 0, "long ago", stays 0.
 
         The result is a whole number, so that converting it back gives the same value.
@@ -46,30 +47,30 @@
         return monotonic + self.wall_offset if monotonic else 0
 
 
-class Host:
-    """Owns the timer of a core. All calls of the core go through `do`, so that the timer is kept up to date.
+class CoreRunner:
+    """Owns the timer of a core. All calls of the core go through `run`, so that the timer is kept up to date.
 
-    `after`, a callable that a transport may set, is called after each step of the core: it can send what the
-    core's decisions left to be sent.
+    `after_step`, a callable that a transport may set, is called after each step of the core: it can send what
+    the core's decisions left to be sent.
     """
 
     def __init__(self, core, clock):
         self.core, self.clock = core, clock
         self.timer, self.timer_due = None, None
-        self.after = lambda: None
+        self.after_step = lambda: None
         self.stopped = False  # calls are dropped from then on
-        self.late = 0  # longest delay of a timer since the last `tell_late`, ns
+        self.max_timer_delay = 0  # longest delay of a timer since the last `report_timer_delay`, ns
 
-    def do(self, call, *args):
+    def run(self, call, *args):
         """Call a method of the core, `call(now, *args)`, and return its result.
 
-        Once the host is stopped, the call is dropped and None is returned.
+        Once the runner is stopped, the call is dropped and None is returned.
         """
         if self.stopped:
             return None
         result = call(self.clock.now(), *args)
         self._schedule_timer()
-        self.after()
+        self.after_step()
         return result
 
     def _schedule_timer(self):
@@ -84,15 +85,15 @@
 
     def _on_timer(self):
         now = self.clock.now()
-        self.late = max(self.late, now - self.timer_due)
+        self.max_timer_delay = max(self.max_timer_delay, now - self.timer_due)
         self.timer = self.timer_due = None
         self.core.tick(now)
         self._schedule_timer()
-        self.after()
+        self.after_step()
 
-    def tell_late(self, log):
+    def report_timer_delay(self, log):
         """Return the longest delay of a timer since the last call, in ns, and log it if it is too long."""
-        late, self.late = self.late, 0
+        late, self.max_timer_delay = self.max_timer_delay, 0
         if late > LATE_TIMER_NS:
             log.warning("loop held", ms=late // 1_000_000)
         return late
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -25,14 +25,14 @@
 class Sight:
     """`returning()`: whether this controller's return is still under way."""
 
-    def __init__(self, controller, listing, host, cold_for, rank, returning):
-        self.known, self.controller, self.listing, self.host = controller.warm, controller, listing, host
-        self.core, self.clock, self.returning = host.core, host.clock, returning
+    def __init__(self, controller, listing, runner, cold_for, rank, returning):
+        self.known, self.controller, self.listing, self.runner = controller.warm, controller, listing, runner
+        self.core, self.clock, self.returning = runner.core, runner.clock, returning
         self.rank = rank  # (rank, controllers) of the files, as long as nothing is settled
         self.known.cold_for, controller.ranked = cold_for, True
         self.last = {}  # id -> when it was last seen well
         self.handed, self.told = (), set()  # what the decisions have: count and turn; ids proven warm
-        self.keep_at = host.clock.now() + EVERY
+        self.keep_at = runner.clock.now() + EVERY
         self.former = None  # (its turn, until when) of its last run, if that is not long ago
 
     def watch(self, event, playback, **facts):
@@ -58,7 +58,7 @@
         self.told |= warm.keys()
         if warm or handed != self.handed:
             self.handed = handed
-            self.host.do(self.core.among, *handed, warm)
+            self.runner.run(self.core.among, *handed, warm)
 
     def _turn(self, now):
         """As settled; until this run has heard of that, as its last run knew, for as long as that counts:
@@ -85,16 +85,16 @@
             if line is None or last is None and now - ill > FADES:
                 continue
             use = min(999, int(100 * streamer.use(now)))
-            out.append((line.address, self.clock.wall_ns(line.started), last or ill, ill, use))
+            out.append((line.address, self.clock.to_wall_ns(line.started), last or ill, ill, use))
         return out
 
     def _proven(self, now):
         """id -> hundredths of its link, of what stands in the list of this run."""
         fresh, of = self.listing.fresh(), self.listing.flow.numbers.of
-        started = {line.address: self.clock.wall_ns(line.started) for line in fresh}
+        started = {line.address: self.clock.to_wall_ns(line.started) for line in fresh}
 
         def here(wall):
-            return self.clock.wall_ns(self.clock.of_wall_ns(wall))
+            return self.clock.to_wall_ns(self.clock.from_wall_ns(wall))
 
         found = self.known.proven(now, started, here)
         return {of[address]: use for address, use in found.items() if address in of}
@@ -106,7 +106,7 @@
         now = self.clock.now()
         if now < self.keep_at:
             return None
-        wall = self.clock.wall_ns(now)
+        wall = self.clock.to_wall_ns(now)
         rows = self.known.keeps(now, wall)
         self.keep_at = now + max(EVERY, 100 * len(rows) * SECOND // BUDGET)  # a row is up to 100 bytes long
         turn = self.handed[1] if self.handed else None
@@ -114,7 +114,7 @@
 
     def restore(self, kept):
         now = self.clock.now()
-        wall = self.clock.wall_ns(now)
+        wall = self.clock.to_wall_ns(now)
         self.known.restore(now, wall, kept.rows)
         age = None if kept.age is None else kept.age + wall - kept.at
         if kept.turn and wall >= kept.at and may_place(age):
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -41,10 +41,10 @@
     `sends_on()`: whether viewers are sent on instead, so that the plan's whole drain time costs nobody."""
 
     def __init__(
-        self, controller, listing, versions, host, cold_for, draining, drain, stop, sends_on=lambda: False
+        self, controller, listing, versions, runner, cold_for, draining, drain, stop, sends_on=lambda: False
     ):
-        self.controller, self.listing, self.versions, self.host = controller, listing, versions, host
-        self.core, self.clock, self.cold_for = host.core, host.clock, cold_for
+        self.controller, self.listing, self.versions, self.runner = controller, listing, versions, runner
+        self.core, self.clock, self.cold_for = runner.core, runner.clock, cold_for
         self.draining, self.drain, self.drains, self.turned = draining, drain, False, OfLate()
         self.stop, self.stops, self.sends_on = stop, False, sends_on
         self.since = {}  # (machine, step) that was told off -> when this controller saw it
@@ -53,7 +53,7 @@
         self.me = CONTROLLER + controller.me
         controller.machines, controller.holding = self.machines, self.holding
         controller.wall, controller.turned = (
-            lambda: self.clock.wall_ns(self.clock.now()) // 1_000_000,
+            lambda: self.clock.to_wall_ns(self.clock.now()) // 1_000_000,
             self.turned.of_late,
         )
         controller.ill = self.ill
@@ -100,7 +100,7 @@
                         line.zone,
                         line.weight,
                         standing == "ready",
-                        self.clock.wall_ns(line.started),
+                        self.clock.to_wall_ns(line.started),
                         frozenset(self.held.get(of.get(address), ())),
                         frozenset(line.labels),
                     ),
@@ -208,4 +208,4 @@
 
     def _end(self, playbacks):
         for one in playbacks:
-            self.host.do(self.core.playback_ended, one, Ending.CALLED_OFF)
+            self.runner.run(self.core.playback_ended, one, Ending.CALLED_OFF)
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -29,9 +29,9 @@
     `address`: of a streamer's id, by which members name it; `elsewhere()`: whether viewers can be sent on to
     another one."""
 
-    def __init__(self, controller, host, plans, limits=(), address=str, elsewhere=lambda: False):
-        self.controller, self.core, self.clock = controller, host.core, host.clock
-        self.host, self.address, self.elsewhere = host, address, elsewhere
+    def __init__(self, controller, runner, plans, limits=(), address=str, elsewhere=lambda: False):
+        self.controller, self.core, self.clock = controller, runner.core, runner.clock
+        self.runner, self.address, self.elsewhere = runner, address, elsewhere
         self.plans, self.order, self.own = plans, importance(plans), Own()
         now = self.clock.now()
         self.found, self.pending = findings.Own(), set()
@@ -127,7 +127,7 @@
         told = self.leases.left(now, "extra"), found, self.book.advice(rides.back, asked)
         if told != self.told or None not in told:
             self.told = told
-            self.host.do(self.core.limits, *told)
+            self.runner.run(self.core.limits, *told)
 
     def _aside(self):
         streamers = self.core.controller.streamers
@@ -143,7 +143,7 @@
     def level(self):
         """In force here: an operator's word as long as it holds, else the fleet's."""
         now, held = self.clock.now(), self.controller.follower.state["map"].get(HELD)
-        if held and self.clock.wall_ns(now) < held["until"] * 1_000_000:
+        if held and self.clock.to_wall_ns(now) < held["until"] * 1_000_000:
             return held["level"]
         return self.controller.loads.in_force(now)
 
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -73,9 +73,9 @@
     """`titles.find(name)`: a `Served`, or None; `titles.rung(name, wanted, floor, top)`: the nearest rung
     that the title has now."""
 
-    def __init__(self, host, transport, titles, limits, log):
-        self.host, self.transport, self.titles, self.log = host, transport, titles, log
-        core = host.core
+    def __init__(self, runner, transport, titles, limits, log):
+        self.runner, self.transport, self.titles, self.log = runner, transport, titles, log
+        core = runner.core
         self.admission = AdmissionGate(limits.open, core.deployment.seed)
         self.visits = Visits(limits.playbacks)
         self.seats = Seats(limits.idle, limits.playbacks)
@@ -93,7 +93,7 @@
         self.stall = limits.stall  # a streamer that takes longer over a segment stands still
 
     def now(self):
-        return self.host.clock.now()
+        return self.runner.clock.now()
 
     async def handle(self, exchange):
         parts = exchange.path.split("/")
@@ -106,7 +106,7 @@
             if seat is None:
                 return await exchange.reply(404, text="no such playback")
             if exchange.method == "DELETE" and len(parts) == 3:
-                self.host.do(self.host.core.viewer_left, seat.playback)
+                self.runner.run(self.runner.core.viewer_left, seat.playback)
                 self.seats.over(self.now(), seat)
                 return await exchange.reply(204)
             rung, file = _rung(parts), parts[4] if len(parts) == 5 else ""
@@ -128,7 +128,7 @@
     # Set-ups.
 
     async def _set_up(self, exchange, title):
-        came, core = self.now(), self.host.core
+        came, core = self.now(), self.runner.core
         if self.unsure:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.sure.wait(), SOON_SURE)
@@ -214,7 +214,9 @@
 
         if visit is not None:
             self.visits.taken(visit, awaited)
-        awaited.playback = self.host.do(self.host.core.request_playback, request, self.transport, answered)
+        awaited.playback = self.runner.run(
+            self.runner.core.request_playback, request, self.transport, answered
+        )
         return awaited
 
     async def _await(self, exchange, awaited):
@@ -228,7 +230,7 @@
                 waiter.set_result(None)
             awaited.waiters.pop(exchange, None)
             if not awaited.waiters and awaited.answer is None:
-                self.host.do(self.host.core.viewer_left, awaited.playback)
+                self.runner.run(self.runner.core.viewer_left, awaited.playback)
 
         exchange.on_gone = left
         if exchange.gone:
@@ -258,20 +260,22 @@
     def _dynamic(self, said, playback):
         """The streamers' entries and this controller's own, which tells the rung in force as `mb`."""
         rate = self.transport.rates(playback)[playback.rung]
-        return cmsd.dynamic_header([*said.dynamic, (f"terndrift/{self.host.core.name}", {"mb": kbit(rate)})])
+        return cmsd.dynamic_header(
+            [*said.dynamic, (f"terndrift/{self.runner.core.name}", {"mb": kbit(rate)})]
+        )
 
     def _over(self, seat, ending=None):
         self.seats.over(self.now(), seat)
         if ending is None:
-            self.host.do(self.host.core.viewer_left, seat.playback)
+            self.runner.run(self.runner.core.viewer_left, seat.playback)
         else:
-            self.host.do(self.host.core.playback_ended, seat.playback, ending)
+            self.runner.run(self.runner.core.playback_ended, seat.playback, ending)
 
     # What plays.
 
     async def _relay(self, exchange, seat, asked, number):
         """A rung's playlist (`number` None) or a segment, from the playback's streamer to its player."""
-        playback, core = seat.playback, self.host.core
+        playback, core = seat.playback, self.runner.core
         hints = self._hints(exchange)
         self.seats.heard(self.now(), seat, hints)
         if seat.out >= MOST_OUT:
@@ -299,7 +303,7 @@
             if relay.waited(now) > self.stall:
                 relay.give_up()
         for streamer, share in self.meter.due(now):
-            self.host.do(self.host.core.told_share, streamer, share)
+            self.runner.run(self.runner.core.told_share, streamer, share)
         for seat in self.seats.silent(now):
             self._over(seat)
 
@@ -372,8 +376,8 @@
         now = front.now()
         said, figures = report(headers)
         if figures and front.rationed.due(now, self.streamer):
-            front.host.do(
-                front.host.core.told_use, self.seat.playback, figures.get("link"), figures.get("uplink")
+            front.runner.run(
+                front.runner.core.told_use, self.seat.playback, figures.get("link"), figures.get("uplink")
             )
         if code != 200:
             return None
--- a/terndrift/http/transport.py
+++ b/terndrift/http/transport.py
@@ -48,15 +48,15 @@
     playback is wanted with (`PlaybackRequest.context`) has its player's CMCD `hints` and its title's
     `rungs`."""
 
-    def __init__(self, host, pool, addresses, connect):
-        self.host, self.pool, self.addresses, self.connect = host, pool, addresses, connect
+    def __init__(self, runner, pool, addresses, connect):
+        self.runner, self.pool, self.addresses, self.connect = runner, pool, addresses, connect
         self.tries = {}  # ActivePlayback -> Try, of tries out and playlists not yet fetched
         self.farewells = set()
         self.pace = None  # of new connections for set-ups, by address: see Call.open
 
     def rates(self, playback):
         """Bytes a second, rung by rung, of this playback's title and plan."""
-        d = self.host.core.deployment
+        d = self.runner.core.deployment
         ladder = playback.request.rates or d.ladder.rates
         return [kb * 1000 * d.plans[playback.request.plan].scale for kb in ladder]
 
@@ -115,7 +115,7 @@
     # The wire.
 
     async def _try(self, playback, call, rung):
-        plan = self.host.core.deployment.plans[playback.request.plan]
+        plan = self.runner.core.deployment.plans[playback.request.plan]
         if not call.address:
             await asyncio.sleep(0)
             return self._over(playback, Ending.UNREACHED)
@@ -127,7 +127,7 @@
             return self._over(playback, Ending.UNREACHED)
         if call.given_up:
             return None
-        if not self.host.core.may_send(self.host.clock.now(), playback):
+        if not self.runner.core.may_send(self.runner.clock.now(), playback):
             self.pool.give(call.address, call.stream)
             return self._over(playback, Ending.NEVER_SENT)
         body = bytearray()
@@ -158,11 +158,11 @@
             self._farewell(call.address, playback.id)
             return self._over(playback, Ending.ERRED, figures)
         out.said = said
-        return self.host.do(self.host.core.set_up_succeeded, playback, figures)
+        return self.runner.run(self.runner.core.set_up_succeeded, playback, figures)
 
     def _over(self, playback, ending, figures=None):
         self.tries.pop(playback, None)
-        self.host.do(self.host.core.attempt_ended, playback, ending, figures)
+        self.runner.run(self.runner.core.attempt_ended, playback, ending, figures)
 
     def _farewell(self, address, id):
         if len(self.farewells) >= MOST_FAREWELLS:
--- a/terndrift/listing/file.py
+++ b/terndrift/listing/file.py
@@ -6,8 +6,9 @@
 from terndrift.listing.lines import Line, Unusable, checked
 
 
-def lines(value, of_wall):
-    """The lines of a file's plain value; `of_wall` turns seconds since 1970 into the service's clock."""
+def lines(value, from_wall_seconds):
+    """The lines of a file's plain value; `from_wall_seconds` turns seconds since 1970 into the service's
+    clock."""
     return [
         Line(
             name,
@@ -18,7 +19,7 @@
             s["zone"],
             s["standing"],
             s["weight"],
-            of_wall(s["started"]),
+            from_wall_seconds(s["started"]),
             tuple(s["labels"]),
         )
         for name, s in value["streamers"].items()
@@ -28,8 +29,14 @@
 class Followed:
     """Watches a file; `told(lines)` takes every list that can be taken."""
 
-    def __init__(self, path, every, of_wall, told, log):
-        self.path, self.every, self.of_wall, self.told, self.log = path, every, of_wall, told, log
+    def __init__(self, path, every, from_wall_seconds, told, log):
+        self.path, self.every, self.from_wall_seconds, self.told, self.log = (
+            path,
+            every,
+            from_wall_seconds,
+            told,
+            log,
+        )
         self.seen = None  # what the file looked like when it was last read
         self.had = False  # whether a list was ever taken
 
@@ -51,7 +58,7 @@
             return None
 
     def _take(self, value):
-        found = checked(lines(value, self.of_wall), self.had)
+        found = checked(lines(value, self.from_wall_seconds), self.had)
         self.had = self.had or bool(found)
         self.told(found)
 
--- a/terndrift/listing/kept.py
+++ b/terndrift/listing/kept.py
@@ -63,9 +63,9 @@
     ]
 
 
-def line_of(row, of_wall):
+def line_of(row, from_wall_ns):
     """The reverse; a store of before there were labels has none."""
-    return Line(*row[:8], of_wall(row[8]), tuple(row[9]) if len(row) > 9 else ())
+    return Line(*row[:8], from_wall_ns(row[8]), tuple(row[9]) if len(row) > 9 else ())
 
 
 def records(dirty, sources, to_wall, as_of=0):
--- a/terndrift/listing/service.py
+++ b/terndrift/listing/service.py
@@ -37,7 +37,7 @@
         whether that was anything. An old list names streamers that are gone, drain, or have another address
         by now: what is set up by it is lost time, or breaks a drain."""
         self.committer = committer
-        now = self.clock.wall_ns(self.clock.now())
+        now = self.clock.to_wall_ns(self.clock.now())
         for name, rows in self.kept.rows.items():
             if name not in self.names:
                 self.log.warning("kept list of a source that is no longer asked", source=name)
@@ -53,7 +53,7 @@
                 )
                 self.dirty[name] |= rows.keys()  # or it would count as new with the next word that is kept
                 continue
-            lines = [line_of(row, self.clock.of_wall_ns) for row in rows.values()]
+            lines = [line_of(row, self.clock.from_wall_ns) for row in rows.values()]
             self._gather(self.merged.restored(name, lines))
         found = bool(self.merged.lines)
         while self.flow.next_at(0) is not None:
@@ -187,7 +187,7 @@
 
     def _stands(self, now):
         """Of sources that are in reach and say nothing new, as of when that is so, now and then."""
-        wall = self.clock.wall_ns(now)
+        wall = self.clock.to_wall_ns(now)
         for name in self.names:
             late = wall - self.kept.as_of.get(name, 0) > STANDS
             if self.merged.sources[name].reached and late and name not in self.dirty:
@@ -200,7 +200,9 @@
 
     async def _save(self):
         dirty, self.dirty = self.dirty, defaultdict(set)
-        made = records(dirty, self.merged.sources, self.clock.wall_ns, self.clock.wall_ns(self.clock.now()))
+        made = records(
+            dirty, self.merged.sources, self.clock.to_wall_ns, self.clock.to_wall_ns(self.clock.now())
+        )
         try:
             await self.committer.append(made)
         except (OSError, Broken) as wrong:  # the list in force is as good: the next second tries again
@@ -239,7 +241,7 @@
                 "zone": line.zone,
                 "standing": line.standing,
                 "weight": line.weight,
-                "started": self.clock.wall_ns(line.started) / SECOND,
+                "started": self.clock.to_wall_ns(line.started) / SECOND,
                 "sources": [merged.holders[address][r].name for r in sorted(merged.holders[address])],
             }
             for address, line in sorted(merged.lines.items())
--- a/terndrift/platform/attempt.py
+++ b/terndrift/platform/attempt.py
@@ -26,7 +26,7 @@
 class Attempt:
     """A set-up attempt for `playback` at `peer`.
 
-    `session` is the front's ViewerSession of the playback; `due` is the time, in ns of the host's clock,
+    `session` is the front's ViewerSession of the playback; `due` is the time, in ns of the runner's clock,
     after which a set-up is of no use.
     """
 
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -62,8 +62,8 @@
 class Front:
     """The connections of viewers, their open set-ups, and their playbacks."""
 
-    def __init__(self, host, transport, configuration, log):
-        self.host, self.transport, self.configuration, self.log = host, transport, configuration, log
+    def __init__(self, runner, transport, configuration, log):
+        self.runner, self.transport, self.configuration, self.log = runner, transport, configuration, log
         self.deadlines, self.layout = configuration.deadlines, configuration.layout
         self.rung_count = len(configuration.deployment.ladder.rates)
         self.max_connections = configuration.descriptors.viewers
@@ -88,7 +88,9 @@
         if len(self.connections) >= self.max_connections and not self._close_quiet():
             sock.close()
             return
-        connection = Connection(new_stream(sock), self.host.clock, self._on_messages, self._connection_closed)
+        connection = Connection(
+            new_stream(sock), self.runner.clock, self._on_messages, self._connection_closed
+        )
         self.connections[connection], self.standing[connection] = {}, 0
 
     def _close_quiet(self):
@@ -110,7 +112,7 @@
 
     def every_quarter(self):
         """Enforces the timeouts of the front; called four times a second."""
-        now = self.host.clock.now()
+        now = self.runner.clock.now()
         for connection, sessions in list(self.connections.items()):
             if connection.link.is_overdue(now):
                 connection.close("incomplete message timed out")
@@ -163,7 +165,7 @@
             connection.close(f"unexpected message type {message.type}")
 
     def _handle_set_up(self, connection, message):
-        existing, now = self.held.get(message.id), self.host.clock.now()
+        existing, now = self.held.get(message.id), self.runner.clock.now()
         try:
             request = parse_set_up(message, self.deadlines, self.layout.cells)
             if request.current_streamer is not None:
@@ -179,15 +181,15 @@
             connection.send(release(message.id, m.UNUSABLE))
             return
         if self.closing:
-            self._send_rejection(connection, message.id, self.host.core.controller.advice)
+            self._send_rejection(connection, message.id, self.runner.core.controller.advice)
             return
         if retry_after := self.admission.admit(now, connection):
             self._send_rejection(connection, message.id, retry_after)
             return
         session = ViewerSession(message.id, connection, request.forwarded)
         self.held[message.id] = self.connections[connection][message.id] = session
-        session.playback = self.host.do(
-            self.host.core.request_playback,
+        session.playback = self.runner.run(
+            self.runner.core.request_playback,
             self._wanted(session, request),
             self.transport,
             lambda answer: self._on_answer(session, answer),
@@ -225,7 +227,7 @@
 
         self.standing[connection] += 1
         if self.transport.register_hand_over(streamer, id, on_rung):
-            self.expected[id] = self.host.clock.now(), streamer, session, on_rung
+            self.expected[id] = self.runner.clock.now(), streamer, session, on_rung
             self.answered_connections[connection] = None
         else:
             self.log.warning(
@@ -239,8 +241,12 @@
             rung = min(
                 max(rung, self.configuration.deployment.plans[request.plan].floor), self.rung_count - 1
             )
-            session.playback = self.host.do(
-                self.host.core.adopt_playback, self._wanted(session, request), self.transport, streamer, rung
+            session.playback = self.runner.run(
+                self.runner.core.adopt_playback,
+                self._wanted(session, request),
+                self.transport,
+                streamer,
+                rung,
             )
         if session.playback is None or session.playback.stage is PlaybackStage.ENDED:
             self._remove(session)
@@ -270,7 +276,7 @@
         Only a full garbage collection would free a cycle, and those are rare (process.py), so it would stay
         for many minutes; in a soak test memory grew by 1.5 MB in each quarter of the run.
         """
-        self.host.do(self.host.core.viewer_left, session.playback)
+        self.runner.run(self.runner.core.viewer_left, session.playback)
         session.playback = None
 
     def _cancel_set_up(self, session):
@@ -288,14 +294,14 @@
     def last_answers(self):
         """Sends the last answer to every open set-up and releases every playback; called once, at shutdown.
 
-        The host is stopped first, so that an answer or a refusal of a streamer that is still on its way
+        The runner is stopped first, so that an answer or a refusal of a streamer that is still on its way
         causes neither a second answer nor a further attempt. Set-ups that arrive later are rejected.
         """
         self.closing = True
-        self.host.stop()
+        self.runner.stop()
         for session in self.held.values():
             if session.playback.answer is None:
-                self._send_refusal(session, self.host.core.fallback_answer(session.playback))
+                self._send_refusal(session, self.runner.core.fallback_answer(session.playback))
             else:
                 self._send_release(session)
         for _, _, session, _ in self.expected.values():
@@ -317,7 +323,7 @@
         """Removes an answered or cancelled set-up from the open ones."""
         if session.connection in self.connections:
             del self.connections[session.connection][session.id]
-        self.admission.release(self.host.clock.now(), session.connection)
+        self.admission.release(self.runner.clock.now(), session.connection)
 
     def _on_answer(self, session, answer):
         connection = session.connection
@@ -373,4 +379,4 @@
         if not session.connection.send(data) and not any(
             connection.send(data) for connection in self.answered_connections
         ):
-            self.undelivered_releases.append((self.host.clock.now() + RELEASE_RETENTION_NS, data))
+            self.undelivered_releases.append((self.runner.clock.now() + RELEASE_RETENTION_NS, data))
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -12,7 +12,7 @@
 
 from terndrift import logs, process
 from terndrift.core.core import Core
-from terndrift.core.host import Clock, Host
+from terndrift.core.runner import Clock, CoreRunner
 from terndrift.interface import Standing
 from terndrift.log_stream import LogStream
 from terndrift.platform import settings
@@ -69,9 +69,9 @@
             configuration.drain_grace,
             logs.watcher(log),
         )
-        self.host = Host(self.core, self.clock)
-        self.transport = StreamerTransport(self.host, configuration, log)
-        self.front = Front(self.host, self.transport, configuration, log)
+        self.runner = CoreRunner(self.core, self.clock)
+        self.transport = StreamerTransport(self.runner, configuration, log)
+        self.front = Front(self.runner, self.transport, configuration, log)
         self.feed = Feed(configuration.feed_address, 0, self._apply_event, log, configuration.deployment.seed)
         self.list_is_cached = True  # the configuration's events are a list from before this start
         self.tasks, self.address, self.stopped = [], None, asyncio.Event()
@@ -105,7 +105,7 @@
         whole = bool(members.get("whole")) and (unreadable is None or final)
         if whole:
             self.transport.only({listed.id for listed in entries if listed.standing is not Standing.GONE})
-        self.host.do(self.core.list_changed, entries, whole, self.list_is_cached)
+        self.runner.run(self.core.list_changed, entries, whole, self.list_is_cached)
         self.log.info("list", n=event.get("n"), whole=whole, changed=changes[:20])
         return unreadable
 
@@ -146,7 +146,7 @@
         while True:
             await asyncio.sleep(0.25)
             try:
-                self.host.tell_late(self.log)
+                self.runner.report_timer_delay(self.log)
                 self.front.every_quarter()
                 self.transport.every_quarter()
             except Exception as exception:  # a bug in one round must not end the later ones
@@ -222,7 +222,7 @@
         self._change_stage(Stage.STOPPED)
         for task in self.tasks:
             task.cancel()
-        self.host.stop()
+        self.runner.stop()
         self.front.listener.close()
         for connection in list(self.front.connections):
             connection.close("controller is shutting down")
--- a/terndrift/platform/settings.py
+++ b/terndrift/platform/settings.py
@@ -129,7 +129,7 @@
                 rack=layout.rack(cell),
                 standing=standing,
                 weight=float(row.get("share", 1)),
-                started=clock.of_wall_ns(started_ms * 1_000_000),
+                started=clock.from_wall_ns(started_ms * 1_000_000),
             ),
             name,
             str(row.get("dial", "")),
--- a/terndrift/platform/transport.py
+++ b/terndrift/platform/transport.py
@@ -58,8 +58,8 @@
     over or when it counts as cut; `by_viewer` says whether the viewer ended it.
     """
 
-    def __init__(self, host, configuration, log):
-        self.host, self.configuration, self.log = host, configuration, log
+    def __init__(self, runner, configuration, log):
+        self.runner, self.configuration, self.log = runner, configuration, log
         self.peers, self.attempts = {}, {}  # streamer ID -> Peer; ActivePlayback -> Attempt
         self.cancelled = {}  # playback ID -> cancelled Attempt that may still be outstanding
         self.start_queue = []  # attempts to start in the next turn of the event loop
@@ -96,7 +96,7 @@
     def set_up(self, playback, streamer, rung, timeout):
         """Starts an attempt; its set-up is not sent any more once `timeout` ns have passed."""
         peer = self.peers.get(streamer.id)
-        attempt = self.attempts[playback] = Attempt(playback, peer, rung, self.host.clock.now() + timeout)
+        attempt = self.attempts[playback] = Attempt(playback, peer, rung, self.runner.clock.now() + timeout)
         if peer is None:
             return self._attempt_over(attempt, Ending.UNREACHED)
         self._queue_start(attempt)
@@ -165,7 +165,7 @@
     # Connections.
 
     def _is_stale(self, connection):
-        return self.host.clock.now() - connection.idle_since() >= self.stale_after
+        return self.runner.clock.now() - connection.idle_since() >= self.stale_after
 
     def _connection_for_set_up(self, peer):
         return peer.connection_for_set_up(self._is_stale, self.configuration.most_on_connection)
@@ -205,12 +205,12 @@
             raise ListEntryChangedError("list entry changed while connecting")
         connection = Connection(
             stream,
-            self.host.clock,
+            self.runner.clock,
             lambda source, received: [self._on_message(peer, source, message) for message in received],
             lambda source: self._connection_closed(peer, source),
             PARTIAL_MESSAGE_TIMEOUT_NS,
         )
-        peer.connections[connection], peer.last_message_at = {}, self.host.clock.now()
+        peer.connections[connection], peer.last_message_at = {}, self.runner.clock.now()
         for data in peer.unsent_messages:
             connection.send(data)
         peer.unsent_messages.clear()
@@ -223,7 +223,7 @@
         held up would start attempts for viewers who have cancelled or disconnected long ago.
         """
         if attempt.remaining_turns is None:
-            attempt.queued_at = self.host.clock.now()
+            attempt.queued_at = self.runner.clock.now()
         if not self.start_queue:
             asyncio.get_running_loop().call_soon(self._start_queued)
         self.start_queue.append(attempt)
@@ -234,7 +234,7 @@
             if attempt.state is not AttemptState.CONNECTING or self.closing:
                 continue
             if attempt.remaining_turns is None:
-                loop_was_late = self.host.clock.now() - attempt.queued_at > HELD_UP
+                loop_was_late = self.runner.clock.now() - attempt.queued_at > HELD_UP
                 attempt.remaining_turns = (
                     READ_TURNS if loop_was_late or attempt.session.has_unread_input() else 0
                 )
@@ -276,8 +276,12 @@
             attempt.session.is_disconnected()
         ):  # the end of its connection, in this turn or the next, cancels it
             return None
-        now = self.host.clock.now()
-        if attempt.peer.delisted or attempt.due <= now or not self.host.core.may_send(now, attempt.playback):
+        now = self.runner.clock.now()
+        if (
+            attempt.peer.delisted
+            or attempt.due <= now
+            or not self.runner.core.may_send(now, attempt.playback)
+        ):
             return self._attempt_over(attempt, Ending.NEVER_SENT)
         wait_ms = str(max(1, (attempt.due - now) // MS))
         parameters = [*attempt.session.forwarded, (m.WAIT, wait_ms), (m.RUNG_NO, str(attempt.rung))]
@@ -368,7 +372,7 @@
 
     def every_quarter(self):
         """Enforces the timeouts of connections to streamers; called four times a second."""
-        now = self.host.clock.now()
+        now = self.runner.clock.now()
         for id, peer in list(self.peers.items()):
             for connection, attempts in list(peer.connections.items()):
                 if connection.link.is_overdue(now):
@@ -423,7 +427,7 @@
     def _on_message(self, peer, connection, message):
         if self.closing or not connection.up():
             return
-        peer.last_message_at = self.host.clock.now()
+        peer.last_message_at = self.runner.clock.now()
         attempts = peer.connections.get(connection, {})
         if message.type == m.ANSWER:
             if attempt := attempts.get(message.id):
@@ -460,13 +464,13 @@
         attempt.turn(AttemptState.OVER)
         attempt.session.description = message.parameters[m.DESCRIPTION]
         peer.playbacks[message.id] = attempt.playback
-        self.host.do(self.host.core.set_up_succeeded, attempt.playback, m.parse_load_report(message))
+        self.runner.run(self.runner.core.set_up_succeeded, attempt.playback, m.parse_load_report(message))
 
     def _playback_over(self, peer, playback, ending, report):
         self.log.debug("ended", streamer=peer.id, pb=playback.id, ending=ending.name, report=report)
         peer.playbacks.pop(playback.request.context.id, None)
         self.on_ended(playback, ending is Ending.CALLED_OFF)
-        self.host.do(self.host.core.playback_ended, playback, ending, report)
+        self.runner.run(self.runner.core.playback_ended, playback, ending, report)
 
     def _handle_note(self, peer, message):
         try:
@@ -475,18 +479,18 @@
             return
         if name == "at_rung" and message.id in peer.hand_overs:
             peer.hand_overs[message.id](int(value))
-        playback, do, core = peer.playbacks.get(message.id), self.host.do, self.host.core
+        playback, run, core = peer.playbacks.get(message.id), self.runner.run, self.runner.core
         if playback is None:
             return
         self.log.debug("note", streamer=peer.id, pb=playback.id, name=name, value=value)
         if name == "served":
-            do(core.told_share, peer.id, value)
+            run(core.told_share, peer.id, value)
         elif name == "at_rung":
-            do(core.rung_stands, playback, int(value))
+            run(core.rung_stands, playback, int(value))
         elif name == "link_use":
-            do(core.told_use, playback, value, None)
+            run(core.told_use, playback, value, None)
         elif name == "rack_use":
-            do(core.told_use, playback, None, value)
+            run(core.told_use, playback, None, value)
 
     def _attempt_over(self, attempt, ending, report=None):
         """Ends an attempt that did not lead to a playback; every such attempt ends here. Repeats are
@@ -498,7 +502,7 @@
             del self.cancelled[attempt.id]
         if self.attempts.get(attempt.playback) is attempt:
             del self.attempts[attempt.playback]
-            self.host.do(self.host.core.attempt_ended, attempt.playback, ending, report)
+            self.runner.run(self.runner.core.attempt_ended, attempt.playback, ending, report)
 
     def _attempt_over_later(self, attempt, ending):
         IOLoop.current().call_later(CONFIRM, self._attempt_over, attempt, ending)
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -91,7 +91,7 @@
         self.meter, self.rationed = Meter(), Rationed()
         self.out, self.timer_at = {}, None  # ActivePlayback -> try that is out: [called off, sent]
 
-    def do(self, call, *args):
+    def run(self, call, *args):
         result = call(self.world.now, *args)
         at = self.core.next_at()
         if at is not None and (self.timer_at is None or at < self.timer_at):
@@ -102,11 +102,11 @@
     def _ring(self, at):
         if self.timer_at == at:
             self.timer_at = None
-            self.do(self.core.tick)
+            self.run(self.core.tick)
 
     def second(self):
         for streamer, share in self.meter.due(self.world.now):
-            self.do(self.core.told_share, streamer, share)
+            self.run(self.core.told_share, streamer, share)
         self.world.after(SECOND, self.second)
 
     # What the core calls.
@@ -135,7 +135,7 @@
         s.asks(pb, 0)
 
     def _over(self, playback, ending, figures):
-        self.do(self.core.attempt_ended, playback, ending, figures)
+        self.run(self.core.attempt_ended, playback, ending, figures)
 
     def _arrives(self, playback, out, s, number, rung):
         w, request = self.world, playback.request
@@ -178,7 +178,7 @@
         if out.off:
             return s.asks(playback.id, 0)
         self.out.pop(playback)
-        return self.do(self.core.set_up_succeeded, playback, s.figures(True))
+        return self.run(self.core.set_up_succeeded, playback, s.figures(True))
 
 
 class Viewer:
@@ -223,7 +223,7 @@
             w.after(WAY, self._answered, answer)
 
         def take():
-            self.playback = self.front.do(self.front.core.request_playback, request, self.front, answered)
+            self.playback = self.front.run(self.front.core.request_playback, request, self.front, answered)
 
         w.after(WAY, take)
 
@@ -248,7 +248,7 @@
         w.note("streamers", "media", streamer=s.id, pb=playback.id, rung=playback.rung)
         figures = s.figures(False)
         if front.rationed.due(w.now, s.id):
-            front.do(front.core.told_use, playback, figures["link"], figures["uplink"])
+            front.run(front.core.told_use, playback, figures["link"], figures["uplink"])
         took = int(piece / s.speed())
         w.after(took, self._came, s, rate, took)
 
@@ -272,7 +272,7 @@
         self.number += 1
         whole = self.number >= w.titles[self.row["title"]].segments
         if dry > PATIENCE or whole or w.now >= self.until:
-            front.do(
+            front.run(
                 front.core.playback_ended, self.playback, Ending.PLAYED_OUT if whole else Ending.CALLED_OFF
             )
             return self.note("end", seen=self.seen)
@@ -332,7 +332,7 @@
             self.note("runner", "controller up", name=front.name, address=front.name)
             # processes do not start on one beat
             late = n * SECOND // (4 * len(self.fronts))
-            self.after(late, front.do, front.core.list_changed, listed, True, False)
+            self.after(late, front.run, front.core.list_changed, listed, True, False)
             self.after(SECOND + n * SECOND // len(self.fronts), front.second)
         begin = self.now + EARLY
         self.note(
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -49,17 +49,17 @@
         return self.world.now
 
     @staticmethod
-    def wall_ns(at):
+    def to_wall_ns(at):
         return at
 
-    of_wall_ns = wall_ns
+    from_wall_ns = to_wall_ns
 
 
 class Front(virtual.Front):
     def __init__(self, world, n, deployment, grace, decisions):
         super().__init__(world, n, deployment, grace, decisions)
         self.dead, self.waiting, self.kept = False, {}, None
-        self.host = SimpleNamespace(core=self.core, clock=Clock(world), do=self.do)
+        self.runner = SimpleNamespace(core=self.core, clock=Clock(world), run=self.run)
         self.back, self.served = Return(world.now, True), OfLate(HOLDS)
         self.rank = n, deployment.controllers
         self.sight = None
@@ -69,7 +69,12 @@
         """With what members tell (None: nothing) it looks at once, and then again and again."""
         if controller is not None:
             self.sight = Sight(
-                controller, self.world.listing, self.host, self.world.cold_for, self.rank, self.back.under_way
+                controller,
+                self.world.listing,
+                self.runner,
+                self.world.cold_for,
+                self.rank,
+                self.back.under_way,
             )
             self.controller = controller
             if kept is not None:
@@ -110,8 +115,8 @@
         super().set_up(playback, streamer, rung, timeout)
         self.out[playback].sent = self.world.now
 
-    def do(self, call, *args):
-        return None if self.dead else super().do(call, *args)
+    def run(self, call, *args):
+        return None if self.dead else super().run(call, *args)
 
     def second(self):
         if not self.dead:
@@ -165,7 +170,7 @@
         id = self.playback.streamer.id
         gone = id in self.world.off or self.playback.sent_at < self.world.restarted.get(id, 0)
         if gone and not self.front.dead:
-            self.front.do(self.front.core.playback_ended, self.playback, Ending.BROKEN)
+            self.front.run(self.front.core.playback_ended, self.playback, Ending.BROKEN)
         if gone or self.front.dead:
             self.breaks("break")
             return True
@@ -261,7 +266,7 @@
         front = self.fronts[n] = self._front(n)
         self.note("runner", "controller up", name=front.name, address=front.name)
         self.arena.start(front.name)
-        front.do(front.core.list_changed, self.listed(), True, False)
+        front.run(front.core.list_changed, self.listed(), True, False)
         self._told(front, was.kept if "kept" in self.parts else None)
         self.after(SECOND, front.second)
 
@@ -298,7 +303,7 @@
             self.list_of[id] = standing, self.restarted.get(id, 0)
             self.listing.lines[id].started = self.restarted.get(id, 0)
         for front in self.fronts:
-            front.do(front.core.list_changed, self.listed(ids), False, False)
+            front.run(front.core.list_changed, self.listed(ids), False, False)
 
     def report(self, facts=None):
         facts = facts or self.facts()
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -15,7 +15,7 @@
 from terndrift.catalogue.titles import available, dense, nearest, valid
 from terndrift.catalogue.versions import change_of
 from terndrift.core.core import Core
-from terndrift.core.host import Clock, Host
+from terndrift.core.runner import Clock, CoreRunner
 from terndrift.decide import Controller
 from terndrift.fleet.service import Fleet, settled
 from terndrift.fleet.sight import Sight
@@ -170,16 +170,16 @@
             logs.watcher(self.log),
             controller or Controller,
         )
-        self.host = Host(self.core, self.clock)
+        self.core_runner = CoreRunner(self.core, self.clock)
         self.addresses = {}  # of what is listed, and of what is gone and may still play
         self.titles = Titles(value["deployment"], made)
         self.core.may_use_streamer = self.titles.permits
         self.pool = Pool(http["pool"])
-        self.transport = HttpStreamerTransport(self.host, self.pool, self.addresses, http["connect"])
+        self.transport = HttpStreamerTransport(self.core_runner, self.pool, self.addresses, http["connect"])
         room = SimpleNamespace(
             open=limits["open"], playbacks=limits["playbacks"], idle=http["idle"], stall=http["stall"]
         )
-        self.front = Front(self.host, self.transport, self.titles, room, self.log)
+        self.front = Front(self.core_runner, self.transport, self.titles, room, self.log)
         self.server = Server(
             self.front.handle,
             http["connections"],
@@ -217,7 +217,7 @@
             from terndrift.sip.service import Sip
 
             self.sip = Sip(
-                value["sip"], self.host, self.titles, self.addresses, value["sip"]["open"], self.log
+                value["sip"], self.core_runner, self.titles, self.addresses, value["sip"]["open"], self.log
             )
         self.sip_address = None
         self.address, self.admin_address, self.tasks, self.stopped = None, None, [], asyncio.Event()
@@ -252,7 +252,7 @@
         (self.log.info if old else self.log.debug)(
             "list", changed=len(entries), streamers=len(self.titles.there), old=old
         )
-        self.host.do(self.core.list_changed, entries, False, old)
+        self.core_runner.run(self.core.list_changed, entries, False, old)
 
     def _loads(self, tally, source):
         """What playbacks used since the last report, in the clusters of that source."""
@@ -275,7 +275,7 @@
             self.fleet.controller,
             self.listing,
             self.titles.versions,
-            self.host,
+            self.core_runner,
             self.value["deployment"]["rules"]["cold_for"],
             self._draining,
             self.value["http"]["drain"],
@@ -299,7 +299,7 @@
         elsewhere = self.fleet.elsewhere
         surge = self.fleet.surge = Surge(
             self.fleet.controller,
-            self.host,
+            self.core_runner,
             self.core.deployment.plans,
             limits,
             address,
@@ -318,7 +318,7 @@
         sight = fleet.sight = Sight(
             fleet.controller,
             self.listing,
-            self.host,
+            self.core_runner,
             self.value["deployment"]["rules"]["cold_for"],
             (self.core.deployment.rank, self.core.deployment.controllers),
             fleet.back.under_way,
@@ -368,7 +368,7 @@
         self.source = Source(value["file"], value["poll"] / SECOND, self.catalogue, self.log, time.time)
 
     def _titles_changed(self, names):
-        self.host.do(self.core.holders_changed, {name: self.titles.cells(name) for name in names})
+        self.core_runner.run(self.core.holders_changed, {name: self.titles.cells(name) for name in names})
 
     async def _first_titles(self):
         """The titles of the front file, where the catalogue has none of its own yet; then its file."""
@@ -428,7 +428,7 @@
         while True:
             await asyncio.sleep(1.0)
             try:
-                late = self.host.tell_late(self.log)
+                late = self.core_runner.report_timer_delay(self.log)
                 if self.fleet and self.fleet.surge and self.fleet.surge.second(late, *process.used()):
                     self.log.warning(
                         "strain",
@@ -500,7 +500,7 @@
             await self.serving.stop()
         if self.catalogue.committer:
             self.catalogue.committer.close()
-        self.host.stop()
+        self.core_runner.stop()
         self.stopped.set()
 
     async def run(self):
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -36,8 +36,8 @@
     """`titles` as of the HTTP front, with `rooms(name)`: cells that take calls; `addresses`: streamer id ->
     HOST:PORT; `peer(address)`: how to reach it; `admission`: a core.admission.AdmissionGate."""
 
-    def __init__(self, host, titles, addresses, peer, admission, log):
-        self.host, self.titles, self.addresses, self.peer = host, titles, addresses, peer
+    def __init__(self, runner, titles, addresses, peer, admission, log):
+        self.runner, self.titles, self.addresses, self.peer = runner, titles, addresses, peer
         self.admission, self.log, self.bridge = admission, log, None
         # ActivePlayback -> Leg; Call -> its source while it awaits its answer
         self.legs, self.entered = {}, {}
@@ -46,7 +46,7 @@
     # A caller.
 
     def wanted(self, now, call):
-        core, title = self.host.core, Uri.read(call.invite.uri).user
+        core, title = self.runner.core, Uri.read(call.invite.uri).user
         found = self.titles.find(title)
         if found is None:
             return call.decline(now, 404)
@@ -72,7 +72,7 @@
         if (seconds := call.invite.number("expires")) is not None:
             left = min(left, seconds * SECOND)
         call.offered, call.version = offered, 1
-        call.playback = self.host.do(
+        call.playback = self.runner.run(
             core.request_playback,
             PlaybackRequest(
                 found.plan, title, self.titles.rooms(title), fits[-1], left, found.length, found.rates, call
@@ -87,7 +87,7 @@
         return int(rates[rung] * plan.scale * 8000)
 
     def _answered(self, call, answer):
-        now = self.host.clock.now()
+        now = self.runner.clock.now()
         self.admission.release(now, self.entered.pop(call))
         if answer.kind is AnswerKind.PLAYS:
             # `playback` is not yet on the call where the answer came within `request_playback` itself
@@ -100,20 +100,20 @@
     def left(self, now, call):
         """Its caller cancelled, hung up, or is lost."""
         if call.playback is not None:
-            self.host.do(self.host.core.viewer_left, call.playback)
+            self.runner.run(self.runner.core.viewer_left, call.playback)
         if call in self.entered:
             self.admission.release(now, self.entered.pop(call))
 
     # What the core calls.
 
     def set_up(self, playback, streamer, rung, timeout):
-        now, call, core = self.host.clock.now(), playback.request.context, self.host.core
+        now, call, core = self.runner.clock.now(), playback.request.context, self.runner.core
         address = self.addresses.get(streamer.id)
         if not address:
-            self.host.do(core.attempt_ended, playback, Ending.UNREACHED)
+            self.runner.run(core.attempt_ended, playback, Ending.UNREACHED)
             return
         if not core.may_send(now, playback):
-            self.host.do(core.attempt_ended, playback, Ending.NEVER_SENT)
+            self.runner.run(core.attempt_ended, playback, Ending.NEVER_SENT)
             return
         uri = Uri("sip", playback.request.title, *_host_port(address))
         call.leg = self.legs[playback] = self.bridge.dial(
@@ -130,15 +130,15 @@
         call.leg.playback = playback
 
     def _offer(self, call, playback, rung):
-        plan = self.host.core.deployment.plans[playback.request.plan]
-        rates = playback.request.rates or self.host.core.deployment.ladder.rates
+        plan = self.runner.core.deployment.plans[playback.request.plan]
+        rates = playback.request.rates or self.runner.core.deployment.ladder.rates
         call.version += 1
         bits = self._bits(rates, plan, rung)
         return sdp.renewed(sdp.with_bits(call.offered, bits), call.version).encode()
 
     def cancel_attempt(self, playback):
         if leg := self.legs.get(playback):
-            leg.call_off(self.host.clock.now())
+            leg.call_off(self.runner.clock.now())
 
     def set_rung(self, playback, rung):
         """A new offer to the media server; what it answers goes to the caller. While one is out the newest
@@ -155,13 +155,13 @@
                     call.side.propose(now, body, lambda *_: None)
             elif code and playback.stage is PlaybackStage.PLAYING:
                 self.log.info("rung refused", pb=playback.id, code=code, rung=rung, stays=before)
-                self.host.do(self.host.core.rung_stands, playback, before)
+                self.runner.run(self.runner.core.rung_stands, playback, before)
 
-        leg.side.propose(self.host.clock.now(), self._offer(call, playback, rung), done)
+        leg.side.propose(self.runner.clock.now(), self._offer(call, playback, rung), done)
 
     def release_playback(self, playback, streamer):
         if leg := self.legs.pop(playback, None):
-            leg.end(self.host.clock.now())
+            leg.end(self.runner.clock.now())
 
     # A media server.
 
@@ -171,7 +171,7 @@
         if playback.stage is not PlaybackStage.ATTEMPTING:
             leg.end(now)
             return
-        self.host.do(self.host.core.set_up_succeeded, playback, report(leg.answer))
+        self.runner.run(self.runner.core.set_up_succeeded, playback, report(leg.answer))
 
     def leg_over(self, now, leg, why, code):
         playback = leg.playback
@@ -179,14 +179,14 @@
         ending = {"silent": Ending.SILENT, "broken": Ending.BROKEN, "called off": Ending.CALLED_OFF}.get(why)
         if ending is None:
             ending = Ending.FULL if code in FULL else Ending.ERRED
-        self.host.do(self.host.core.attempt_ended, playback, ending)
+        self.runner.run(self.runner.core.attempt_ended, playback, ending)
 
     def leg_ended(self, now, leg, why):
         playback = leg.playback
         self.legs.pop(playback, None)
         leg.about.end(now, why)
         ending = Ending.PLAYED_OUT if why == "ended there" else Ending.BROKEN
-        self.host.do(self.host.core.playback_ended, playback, ending)
+        self.runner.run(self.runner.core.playback_ended, playback, ending)
 
     def passed_on(self, side, body):
         """A caller's new offer goes to its media server within the rung in force; the other way as it is."""
@@ -220,7 +220,7 @@
 
     def close(self):
         """Ends what stands, and turns away what waits."""
-        now = self.host.clock.now()
+        now = self.runner.clock.now()
         for call in list(self.bridge.calls.values()):
             if call.state is Asked.ASKED:
                 call.decline(now, 503, 1)
--- a/terndrift/sip/service.py
+++ b/terndrift/sip/service.py
@@ -14,11 +14,11 @@
 class Sip:
     """`value`: the `sip` record of a front file."""
 
-    def __init__(self, value, host, titles, addresses, room, log):
-        self.value, self.host, self.log = value, host, log
-        self.wire = Wire(host.clock, log)
-        admission = AdmissionGate(room, host.core.deployment.seed)
-        self.front = SipFront(host, titles, addresses, self.wire.peer, admission, log)
+    def __init__(self, value, runner, titles, addresses, room, log):
+        self.value, self.runner, self.log = value, runner, log
+        self.wire = Wire(runner.clock, log)
+        admission = AdmissionGate(room, runner.core.deployment.seed)
+        self.front = SipFront(runner, titles, addresses, self.wire.peer, admission, log)
         self.guard = None
         if value["realm"]:
             passwords = {name: account["password"] for name, account in value["accounts"].items()}
@@ -38,7 +38,7 @@
             self._gate,
             value["least_session"],
         )
-        self.host.after = self.wire.flush  # what the core decided may have left something to be sent
+        self.runner.after_step = self.wire.flush  # what the core decided may have left something to be sent
         return f"{host}:{port}"
 
     def _gate(self, now, transaction):
--- a/terndrift/xds/codec.py
+++ b/terndrift/xds/codec.py
@@ -80,7 +80,7 @@
     return Response(m.type_url, version, m.nonce, packed, removed, m.control_plane.identifier)
 
 
-def decoded(found, of_wall, before=None):
+def decoded(found, from_wall_seconds, before=None):
     """A generator over a Response's resources: yields now and then, and returns ({name: resource}, {name:
     version}, faults). `before`: {name: Assignment} in force."""
     out, versions, faults, before = {}, {}, [], before or {}
@@ -102,7 +102,7 @@
             resource = meaning.cluster(message, faults)
         else:
             was = before.get(message.cluster_name)
-            resource = yield from meaning.assignment(message, of_wall, faults, was)
+            resource = yield from meaning.assignment(message, from_wall_seconds, faults, was)
         if named and named != resource.name:
             faults.append(f"resource {named}: it names itself {resource.name!r}")
         if resource.name in out:
--- a/terndrift/xds/follow.py
+++ b/terndrift/xds/follow.py
@@ -20,7 +20,7 @@
         self.file = Followed(
             value["list"],
             value["list_poll"] / SECOND,
-            clock.of_wall,
+            clock.from_wall_seconds,
             lambda lines: self.listing.whole("file", lines),
             log,
         )
--- a/terndrift/xds/meaning.py
+++ b/terndrift/xds/meaning.py
@@ -86,7 +86,7 @@
     return Cluster(message.name, follows, facts(message.metadata, faults, where), most)
 
 
-def assignment(message, of_wall, faults, before=None):
+def assignment(message, from_wall_seconds, faults, before=None):
     """A generator: pauses now and then, returns the Assignment. What is wrong is added to `faults`; endpoints
     that are byte by byte as in `before`, the Assignment in force, are not read again."""
     out = Assignment(message.cluster_name)
@@ -104,7 +104,7 @@
             found = known.get(key)
             if found is None:
                 where = f"{out.name}[{zone or '-'}/{m}]"
-                found = _line(one, zone, rack, locality.priority, of_wall, faults, where)
+                found = _line(one, zone, rack, locality.priority, from_wall_seconds, faults, where)
             n += 1
             if n % SLICE == 0:
                 yield
@@ -123,7 +123,7 @@
     return out
 
 
-def _line(one, zone, rack, priority, of_wall, faults, where):
+def _line(one, zone, rack, priority, from_wall_seconds, faults, where):
     """(Line, priority, Facts) of an endpoint, or None with its faults told."""
     socket = one.endpoint.address.socket_address
     if not one.HasField("endpoint") or not socket.address or not 0 < socket.port_value < 65536:
@@ -153,7 +153,7 @@
         zone,
         STANDING[one.health_status],
         said.weight or 1.0,
-        of_wall(said.started),
+        from_wall_seconds(said.started),
     )
     return line, priority, said
 
--- a/terndrift/xds/poll.py
+++ b/terndrift/xds/poll.py
@@ -123,7 +123,7 @@
             self.log.error("file not taken, the last one stays in force", path=path, why=str(wrong))
             return
         before = self.reader.view.assignments
-        resources, _, faults = await sliced(codec.decoded(found, self.reader.clock.of_wall, before))
+        resources, _, faults = await sliced(codec.decoded(found, self.reader.clock.from_wall_seconds, before))
         if faults:
             self.reader.refused += 1
             self.log.error("file not taken, the last one stays in force", path=path, why="; ".join(faults))
--- a/terndrift/xds/reader.py
+++ b/terndrift/xds/reader.py
@@ -23,7 +23,7 @@
     async def arrived(self, found):
         """A codec.Response; returns what is to be sent for it. What is wrong is refused whole, and logged."""
         before = self.view.assignments
-        resources, versions, faults = await sliced(codec.decoded(found, self.clock.of_wall, before))
+        resources, versions, faults = await sliced(codec.decoded(found, self.clock.from_wall_seconds, before))
         if self.form == "delta":
             sends, accepted = self.session.answered(
                 found.type_url, found.version, found.nonce, resources, faults, versions, found.removed
--- a/terndrift/xds/server.py
+++ b/terndrift/xds/server.py
@@ -21,7 +21,7 @@
 
 def serving(listing, clock, region, log, every):
     """What serves a listing.service.Listing, not yet started."""
-    offer = Offer(lambda at: clock.wall_ns(at) / SECOND, region, listing.flow.numbers.of.get)
+    offer = Offer(lambda at: clock.to_wall_ns(at) / SECOND, region, listing.flow.numbers.of.get)
     made = Serving(offer, log, every)
     listing.taps.append(made.changed)
     return made
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -11,7 +11,7 @@
 
 from terndrift import records
 from terndrift.cli.main import cli
-from terndrift.core.host import Clock
+from terndrift.core.runner import Clock
 from terndrift.deployment import Amiss
 from terndrift.fleet.record import Role
 from terndrift.fleet.service import Fleet, settled
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -293,7 +293,7 @@
 
 def test_a_list_too_old_is_not_handed_on_and_does_not_come_back_with_the_next_word():
     hour, told = 3600 * 10**9, []
-    clock = SimpleNamespace(now=lambda: 0, wall_ns=lambda at: 20 * hour, of_wall_ns=lambda at: at)
+    clock = SimpleNamespace(now=lambda: 0, to_wall_ns=lambda at: 20 * hour, from_wall_ns=lambda at: at)
     log = SimpleNamespace(warning=lambda what, **facts: told.append((what, facts)))
     one = Listing(clock, lambda *_: told.append("handed on"), log, ("file",))
     for _, record in records(
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -322,9 +322,9 @@
 
 @in_world
 async def test_a_loop_that_is_held_is_told_once(world):
-    world.service.host.late = 3600 * 10**9
+    world.service.core_runner.max_timer_delay = 3600 * 10**9
     await until(lambda: {"ms": 3_600_000} in told(world, "loop held"))
-    assert world.service.host.late < 3600 * 10**9
+    assert world.service.core_runner.max_timer_delay < 3600 * 10**9
 
 
 @in_world
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -183,12 +183,12 @@
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
         handed = []
         core = Made(controller=Made(streamers={}, racks={}), among=lambda *args: handed.append(args))
-        clock = Made(now=lambda: at, wall_ns=lambda now: now, of_wall_ns=lambda wall: wall)
+        clock = Made(now=lambda: at, to_wall_ns=lambda now: now, from_wall_ns=lambda wall: wall)
         listing = Made(fresh=list, flow=Made(numbers=Made(of={})))
         one = Sight(
             fleet,
             listing,
-            Made(core=core, clock=clock, do=lambda call, *args: call(*args)),
+            Made(core=core, clock=clock, run=lambda call, *args: call(*args)),
             SECOND,
             (0, 2),
             lambda: True,
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -161,11 +161,11 @@
         pb = core.controller.playbacks[playback.id]
         core._call(now, None, lambda: core.controller._step(now, pb, rung) or [pb])
 
-    world.service.host.do(step, 1)
+    world.service.core_runner.run(step, 1)
     await until(lambda: one.rungs[-1][2] == 400_000)
     await until(lambda: caller.offers and caller.offers[-1] == 400_000)
     one.faults["refuse"] = 1
-    world.service.host.do(step, 3)
+    world.service.core_runner.run(step, 3)
     await until(lambda: playback.rung == 1 and core.controller.playbacks[playback.id].rung == 1)
     assert caller.state == "up" and one.up()[0].bits == 400_000
 
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -23,7 +23,7 @@
         members=Made(alive=lambda: []),
         follower=Made(state={"map": {}}),
     )
-    surge = Surge(fleet, service.host, service.core.deployment.plans)
+    surge = Surge(fleet, service.core_runner, service.core.deployment.plans)
     watched = service.core.watch
 
     def watch(event, playback, **facts):
@@ -73,7 +73,7 @@
 async def test_an_operators_word_wins_until_it_lapses_and_is_agreed_like_any_entry(world):
     surge, fleet = surge_of(world, 2.0)
     clock = world.service.clock
-    wall = clock.wall_ns(clock.now()) // 1_000_000
+    wall = clock.to_wall_ns(clock.now()) // 1_000_000
     _, value = hold(0.0, 60, "ops", wall)
     fleet.follower.state["map"] |= value
     assert surge.level() == 0 and surge.report()["held"]["by"] == "ops"
--- a/tests/test_xds_client.py
+++ b/tests/test_xds_client.py
@@ -11,7 +11,7 @@
 from test_path import NO_BREAKS
 from world import DEPLOYMENT, Log, World, in_world
 
-from terndrift.core.host import Clock
+from terndrift.core.runner import Clock
 from terndrift.listing.service import Listing
 from terndrift.standin.xds import Source, streamer
 from terndrift.xds import codec
