--- a/terndrift/core/meter.py
+++ b/terndrift/core/delivery.py
@@ -16,22 +16,22 @@
 SAMPLE_WINDOW_NS = 2 * SECOND
 
 
-class Meter:
+class DeliveryMeter:
     """Delivery samples by streamer, and the shares that are due to be reported."""
 
     def __init__(self):
         self.samples = {}  # streamer id -> deque of (end time, nominal ns, actual ns)
         self.reported = {}  # streamer id -> (time, share) of the last report
 
-    def delivered(self, now, streamer_id, nominal_ns, actual_ns):
+    def segment_delivered(self, now, streamer_id, nominal_ns, actual_ns):
         """Record a media segment that plays for `nominal_ns` and took `actual_ns` to arrive."""
         if nominal_ns > 0 and actual_ns > 0:
             self.samples.setdefault(streamer_id, deque(maxlen=32)).append((now, nominal_ns, actual_ns))
 
-    def standing(self, now, streamer_id, nominal_ns, waited_ns):
+    def segment_pending(self, now, streamer_id, nominal_ns, waited_ns):
         """Record a segment that is still incomplete, if it is late: a stalled one shows before it ends."""
         if waited_ns > nominal_ns:
-            self.delivered(now, streamer_id, nominal_ns, waited_ns)
+            self.segment_delivered(now, streamer_id, nominal_ns, waited_ns)
 
     def share(self, now, streamer_id):
         """Return the mean share of recent segments, weighted by their actual time, or None without any."""
@@ -44,7 +44,7 @@
             return None
         return sum(min(nominal, actual) for nominal, actual in recent) / sum(actual for _, actual in recent)
 
-    def due(self, now):
+    def due_reports(self, now):
         """Return the (streamer id, share) pairs to report now, and record them as reported."""
         reports = []
         for streamer_id in list(self.samples):
@@ -65,7 +65,7 @@
         return reports
 
 
-class Rationed:
+class ReportRateLimiter:
     """Limits how often a streamer's own load report is passed to the decision logic.
 
     Each report makes the decision logic evaluate the streamer's whole rack again, and repeating it with every
@@ -78,7 +78,7 @@
     def __init__(self):
         self.last_passed, self.max_entries = {}, 4096  # streamer id -> time of the last report passed on
 
-    def due(self, now, streamer_id):
+    def may_pass(self, now, streamer_id):
         """Return whether a report of the streamer may be passed on now; True counts as passed on."""
         if now - self.last_passed.get(streamer_id, -self.INTERVAL_NS) < self.INTERVAL_NS:
             return False
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -16,7 +16,7 @@
 
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest
 from terndrift.core.admission import AdmissionGate
-from terndrift.core.meter import Meter, Rationed
+from terndrift.core.delivery import DeliveryMeter, ReportRateLimiter
 from terndrift.core.visits import Visits
 from terndrift.hints import cmcd, cmsd
 from terndrift.hints.meaning import kbit, understand
@@ -79,7 +79,7 @@
         self.admission = AdmissionGate(limits.open, core.deployment.seed)
         self.visits = Visits(limits.playbacks)
         self.seats = Seats(limits.idle, limits.playbacks)
-        self.meter, self.rationed = Meter(), Rationed()
+        self.meter, self.report_limiter = DeliveryMeter(), ReportRateLimiter()
         self.relays = {}  # Relay -> None, of segments under way
         self.draining = False
         self.unsure = False  # whether titles are those of now is not known: until then no viewer is taken
@@ -299,10 +299,10 @@
         """Tells what was measured, and ends what has fallen silent."""
         now = self.now()
         for relay in list(self.relays):
-            self.meter.standing(now, relay.streamer, relay.should, relay.waited(now))
+            self.meter.segment_pending(now, relay.streamer, relay.should, relay.waited(now))
             if relay.waited(now) > self.stall:
                 relay.give_up()
-        for streamer, share in self.meter.due(now):
+        for streamer, share in self.meter.due_reports(now):
             self.runner.run(self.runner.core.told_share, streamer, share)
         for seat in self.seats.silent(now):
             self._over(seat)
@@ -375,7 +375,7 @@
         front, self.code = self.front, code
         now = front.now()
         said, figures = report(headers)
-        if figures and front.rationed.due(now, self.streamer):
+        if figures and front.report_limiter.may_pass(now, self.streamer):
             front.runner.run(
                 front.runner.core.told_use, self.seat.playback, figures.get("link"), figures.get("uplink")
             )
@@ -415,7 +415,7 @@
                 return await self._lost(Ending.BROKEN)  # it does not know this playback: it has started anew
             return await self.exchange.reply(502, text="the streamer did not deliver")
         now = front.now()
-        front.meter.delivered(now, self.streamer, self.should, self.waited(now))
+        front.meter.segment_delivered(now, self.streamer, self.should, self.waited(now))
         self.exchange.finish_answer()
         if self.number is not None and front.seats.delivered(seat, self.number) and seat.over_at is None:
             front._over(seat, Ending.PLAYED_OUT)
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -14,7 +14,7 @@
 from terndrift.audit import figures, judge, seconds
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest
 from terndrift.core.core import Core
-from terndrift.core.meter import Meter, Rationed
+from terndrift.core.delivery import DeliveryMeter, ReportRateLimiter
 from terndrift.decide import Controller
 from terndrift.hints.meaning import kbit
 from terndrift.interface import Ending, Listed, Standing
@@ -88,7 +88,7 @@
     def __init__(self, world, n, made, grace, decisions):
         self.world, self.name = world, f"c{n}"
         self.core = Core(made, world.now, self.name, grace, decisions=decisions)
-        self.meter, self.rationed = Meter(), Rationed()
+        self.meter, self.report_limiter = DeliveryMeter(), ReportRateLimiter()
         self.out, self.timer_at = {}, None  # ActivePlayback -> try that is out: [called off, sent]
 
     def run(self, call, *args):
@@ -105,7 +105,7 @@
             self.run(self.core.tick)
 
     def second(self):
-        for streamer, share in self.meter.due(self.world.now):
+        for streamer, share in self.meter.due_reports(self.world.now):
             self.run(self.core.told_share, streamer, share)
         self.world.after(SECOND, self.second)
 
@@ -247,14 +247,14 @@
         s.asks(playback.id, rate)
         w.note("streamers", "media", streamer=s.id, pb=playback.id, rung=playback.rung)
         figures = s.figures(False)
-        if front.rationed.due(w.now, s.id):
+        if front.report_limiter.may_pass(w.now, s.id):
             front.run(front.core.told_use, playback, figures["link"], figures["uplink"])
         took = int(piece / s.speed())
         w.after(took, self._came, s, rate, took)
 
     def _came(self, s, rate, took):
         w, front, piece = self.world, self.front, self.world.piece
-        front.meter.delivered(w.now, s.id, piece, took)
+        front.meter.segment_delivered(w.now, s.id, piece, took)
         if not self.number:
             self.begun = w.now
         dry = max(0, w.now - self.begun - self.ahead)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.core.admission import MAX_RETRY_AFTER_NS, AdmissionGate
 from terndrift.core.core import Core
-from terndrift.core.meter import Meter, Rationed
+from terndrift.core.delivery import DeliveryMeter, ReportRateLimiter
 from terndrift.core.visits import MAX_JOINED_REQUESTS, VISIT_TTL_NS, Visits
 from terndrift.interface import Ending, Standing
 from terndrift.rehearse.baselines import LeastConnections, Random, RoundRobin
@@ -337,27 +337,27 @@
 
 
 def test_low_delivery_share_is_reported_once_a_second_and_once_after_recovery():
-    meter, reports = Meter(), []
+    meter, reports = DeliveryMeter(), []
     for n in range(40):
-        meter.delivered(n * 250 * MS, 1, 250 * MS, 500 * MS if n < 20 else 200 * MS)
-        reports += [(n, round(share, 2)) for _, share in meter.due(n * 250 * MS)]
+        meter.segment_delivered(n * 250 * MS, 1, 250 * MS, 500 * MS if n < 20 else 200 * MS)
+        reports += [(n, round(share, 2)) for _, share in meter.due_reports(n * 250 * MS)]
     assert [n for n, _ in reports[:5]] == [0, 4, 8, 12, 16] and reports[0][1] == 0.5
     assert reports[-1][1] >= 0.98 and sum(share >= 0.98 for _, share in reports) == 1
 
 
 def test_stalled_segment_lowers_the_share_before_it_ends():
-    meter = Meter()
-    meter.standing(S, 1, S, 900 * MS)
-    assert meter.due(S) == []
-    meter.standing(4 * S, 1, S, 4 * S)
-    assert meter.due(4 * S) == [(1, 0.25)]
+    meter = DeliveryMeter()
+    meter.segment_pending(S, 1, S, 900 * MS)
+    assert meter.due_reports(S) == []
+    meter.segment_pending(4 * S, 1, S, 4 * S)
+    assert meter.due_reports(4 * S) == [(1, 0.25)]
 
 
 def test_load_reports_of_a_streamer_are_passed_on_every_two_seconds():
-    limiter = Rationed()
-    assert [limiter.due(n * S, 1) for n in range(5)] == [True, False, True, False, True]
+    limiter = ReportRateLimiter()
+    assert [limiter.may_pass(n * S, 1) for n in range(5)] == [True, False, True, False, True]
     for n in range(9000):
-        limiter.due(n * S, n)
+        limiter.may_pass(n * S, n)
     assert len(limiter.last_passed) < 5000
 
 
