--- a/terndrift/core/visits.py
+++ b/terndrift/core/visits.py
@@ -22,7 +22,7 @@
     def __init__(self, key, now):
         self.key, self.first_seen, self.last_seen = key, now, now
         self.attempts = 0  # playbacks requested for it
-        self.awaited = None  # the playback whose answer is awaited
+        self.pending_playback = None  # the playback whose answer is awaited
         self.joined = 0  # requests that joined it
 
 
@@ -32,7 +32,7 @@
     def __init__(self, capacity):
         self.capacity, self.visits = capacity, OrderedDict()
 
-    def come(self, now, session_id, title):
+    def register_request(self, now, session_id, title):
         """Return the visit that a request belongs to and whether it joins the playback awaited there.
 
         Returns (None, False) for a request without a session id.
@@ -47,23 +47,23 @@
                 self.visits.popitem(last=False)
         self.visits.move_to_end(visit.key)
         visit.last_seen = now
-        if visit.awaited is not None and visit.joined < MAX_JOINED_REQUESTS:
+        if visit.pending_playback is not None and visit.joined < MAX_JOINED_REQUESTS:
             visit.joined += 1
             return visit, True
         return visit, False
 
-    def taken(self, visit, playback):
+    def playback_requested(self, visit, playback):
         """Record that `playback` was requested for the visit and that its answer is awaited."""
-        visit.attempts, visit.awaited, visit.joined = visit.attempts + 1, playback, 0
+        visit.attempts, visit.pending_playback, visit.joined = visit.attempts + 1, playback, 0
 
-    def answered(self, visit, playback):
+    def playback_answered(self, visit, playback):
         """Record that `playback` was answered; a newer one of the visit stays awaited."""
-        if visit.awaited is playback:
-            visit.awaited = None
+        if visit.pending_playback is playback:
+            visit.pending_playback = None
 
     def _remove_expired(self, now):
         while self.visits:
             oldest = next(iter(self.visits.values()))
-            if now - oldest.last_seen < VISIT_TTL_NS or oldest.awaited is not None:
+            if now - oldest.last_seen < VISIT_TTL_NS or oldest.pending_playback is not None:
                 return
             del self.visits[oldest.key]
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -144,7 +144,7 @@
         asked = understand(hints, title, plan.floor, plan.top, rates, found.abandon)
         for what in asked.ignored:
             self.log.info("hint ignored", key=what.key, why=what.why, title=title)
-        visit, joins = self.visits.come(now, asked.visit, title)
+        visit, joins = self.visits.register_request(now, asked.visit, title)
         source = exchange.source
         shut = self.draining or self.unsure
         wait = SECOND if shut or self.seats.full() else self.admission.admit(now, source)
@@ -159,7 +159,7 @@
             return await (self._elsewhere if sent_on else self._turn_away)(exchange, wait)
         try:
             if joins:
-                awaited = visit.awaited
+                awaited = visit.pending_playback
             else:
                 left = asked.time_left - (now - came)
                 awaited = self._want(
@@ -207,13 +207,13 @@
             if answer.kind is AnswerKind.PLAYS:
                 awaited.playlist, awaited.said = self.transport.playlist(awaited.playback)
             if visit is not None:
-                self.visits.answered(visit, awaited)
+                self.visits.playback_answered(visit, awaited)
             for waiter in awaited.waiters.values():
                 if not waiter.done():
                     waiter.set_result(answer)
 
         if visit is not None:
-            self.visits.taken(visit, awaited)
+            self.visits.playback_requested(visit, awaited)
         awaited.playback = self.runner.run(
             self.runner.core.request_playback, request, self.transport, answered
         )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -312,16 +312,16 @@
 
 def test_concurrent_requests_of_a_visit_share_a_playback_and_a_later_one_is_a_new_attempt():
     visits = Visits(10)
-    visit, joins = visits.come(0, "v", "t")
-    visits.taken(visit, "pb1")
-    assert visits.come(1, "v", "t") == (visit, True)
-    other, joins = visits.come(1, "v", "another title")
+    visit, joins = visits.register_request(0, "v", "t")
+    visits.playback_requested(visit, "pb1")
+    assert visits.register_request(1, "v", "t") == (visit, True)
+    other, joins = visits.register_request(1, "v", "another title")
     assert other is not visit and not joins
-    visits.answered(visit, "pb1")
-    assert visits.come(2, "v", "t") == (visit, False)
-    assert visits.come(2, "", "t") == (None, False)
-    visits.taken(visit, "pb2")
-    assert [visits.come(3, "v", "t")[1] for _ in range(MAX_JOINED_REQUESTS + 1)] == [
+    visits.playback_answered(visit, "pb1")
+    assert visits.register_request(2, "v", "t") == (visit, False)
+    assert visits.register_request(2, "", "t") == (None, False)
+    visits.playback_requested(visit, "pb2")
+    assert [visits.register_request(3, "v", "t")[1] for _ in range(MAX_JOINED_REQUESTS + 1)] == [
         True
     ] * MAX_JOINED_REQUESTS + [False]
     assert visit.attempts == 2
@@ -330,9 +330,9 @@
 def test_visits_expire_and_their_number_is_limited():
     visits = Visits(5)
     for n in range(20):
-        visits.come(n, f"v{n}", "t")
+        visits.register_request(n, f"v{n}", "t")
     assert len(visits.visits) == 5
-    visits.come(20 + VISIT_TTL_NS, "new", "t")
+    visits.register_request(20 + VISIT_TTL_NS, "new", "t")
     assert list(visits.visits) == [("new", "t")]
 
 
