--- a/terndrift/patience.py
+++ b/terndrift/backoff.py
@@ -12,32 +12,36 @@
 
 MS = 1_000_000
 # First and longest delay, ns. Envoy's own are 500 ms and 30 s; a stale list costs more than a connection.
-LEAST, MOST = 200 * MS, 10_000 * MS
+MIN_DELAY_NS, MAX_DELAY_NS = 200 * MS, 10_000 * MS
 
 
-class Patience:
+class Backoff:
     """Backoff state of one source. `seed` makes the jitter reproducible; the delays are in ns.
 
-    `floor` is a callable that returns the least delay that the fleet's shared rate limit allows, in ns.
+    `min_shared_delay` is a callable that returns the least delay that the fleet's shared rate limit allows,
+    in ns.
     """
 
-    def __init__(self, seed, min_delay=LEAST, max_delay=MOST):
+    def __init__(self, seed, min_delay=MIN_DELAY_NS, max_delay=MAX_DELAY_NS):
         self.seed, self.draw_count = zlib.crc32(b"patience:%d" % seed), 0
-        self.next_delay, self.min_delay, self.max_delay = min_delay, min_delay, max_delay
-        self.floor = lambda: 0
+        self.base_delay, self.min_delay, self.max_delay = min_delay, min_delay, max_delay
+        self.min_shared_delay = lambda: 0
 
-    def lost(self, received):
+    def next_delay_after(self, received):
         """Return the ns to wait before the next attempt, after a connection was lost.
 
         `received`: whether that connection brought anything that was accepted; the backoff then starts again.
         """
         if received:
-            self.next_delay = self.min_delay
-        delay, self.next_delay = self.next_delay, min(self.max_delay, 2 * self.next_delay)
+            self.base_delay = self.min_delay
+        delay, self.base_delay = self.base_delay, min(self.max_delay, 2 * self.base_delay)
         self.draw_count += 1
         fraction = zlib.crc32(b"%d" % self.draw_count, self.seed) * 2654435761 % 2**32 / 2**32
         return int(delay * (0.5 + 0.5 * fraction))
 
-    def pause(self, received):
-        """Return the delay as `lost` does, but at least `floor()`: for a source shared with the fleet."""
-        return max(self.lost(received), self.floor())
+    def next_shared_delay(self, received):
+        """Return the delay as `next_delay_after` does, but at least `min_shared_delay()`.
+
+        For a source that is shared with the fleet.
+        """
+        return max(self.next_delay_after(received), self.min_shared_delay())
--- a/terndrift/platform/feed.py
+++ b/terndrift/platform/feed.py
@@ -12,8 +12,8 @@
 import json
 import time
 
+from terndrift.backoff import Backoff
 from terndrift.http.client import Broken, Pool, Unreached, fetch
-from terndrift.patience import Patience
 
 NS_PER_SECOND = 1_000_000_000
 # How long the server may hold a call open while it has no new event. Short, because a feed that stops
@@ -61,7 +61,7 @@
     def __init__(self, address, held, apply_event, log, seed=0):
         self.address, self.held, self.apply_event, self.log = address, held, apply_event, log
         self.pool, self.call = Pool(), None
-        self.backoff = Patience(seed, int(BACKOFF_MIN_S * NS_PER_SECOND), int(BACKOFF_MAX_S * NS_PER_SECOND))
+        self.backoff = Backoff(seed, int(BACKOFF_MIN_S * NS_PER_SECOND), int(BACKOFF_MAX_S * NS_PER_SECOND))
         self.failed_calls = 0  # in a row
         self.retried_event = None  # number of the event that was requested a second time
         self.address_changed = asyncio.Event()
@@ -163,7 +163,7 @@
 
     def retry_delay(self):
         """Seconds to wait before the next call, after `failed_calls` failures in a row."""
-        return self.backoff.lost(self.failed_calls == 1) / NS_PER_SECOND
+        return self.backoff.next_delay_after(self.failed_calls == 1) / NS_PER_SECOND
 
     def apply_reply(self, reply):
         """Applies a reply's new events in order of their numbers.
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -310,7 +310,7 @@
         self.front.refused = lambda plan, wait: (refused(plan, wait), surge.gate(plan, wait))
         self.transport.pace = surge.connecting
         for source in self.sources.xds.values():
-            source.patience.floor = surge.calling
+            source.backoff.min_shared_delay = surge.calling
 
     def _sees(self):
         """What is seen of streamers, told to the others and kept for the next run."""
--- a/terndrift/xds/client.py
+++ b/terndrift/xds/client.py
@@ -5,7 +5,7 @@
 
 import grpc
 
-from terndrift.patience import Patience
+from terndrift.backoff import Backoff
 from terndrift.xds import codec
 
 SECOND = 1_000_000_000
@@ -37,12 +37,12 @@
 
     def __init__(self, value, who, reader, seed, log):
         self.value, self.who, self.reader, self.log = value, who, reader, log
-        self.patience, self.tls = Patience(seed), credentials(value)
+        self.backoff, self.tls = Backoff(seed), credentials(value)
 
     def channel(self):
         options = [
             ("grpc.max_receive_message_length", int(self.value["largest"])),
-            # channels of a process share their connections and back-offs else; ours are in `patience`
+            # channels of a process share their connections and back-offs else; ours are in `backoff`
             ("grpc.use_local_subchannel_pool", 1),
             ("grpc.enable_retries", 0),
             *KEEPALIVE,
@@ -61,7 +61,7 @@
                 self.log.error("fault of a source's stream", source=self.reader.name, exc_info=fault)
                 why = repr(fault)
             self.reader.listing.reached(self.reader.name, False, why)
-            await asyncio.sleep(self.patience.pause(self.reader.taken > before) / SECOND)
+            await asyncio.sleep(self.backoff.next_shared_delay(self.reader.taken > before) / SECOND)
 
     async def _stream(self):
         """One stream to its end; returns why it ended."""
--- a/terndrift/xds/poll.py
+++ b/terndrift/xds/poll.py
@@ -5,8 +5,8 @@
 from urllib.parse import urlsplit
 
 from terndrift import records
+from terndrift.backoff import Backoff
 from terndrift.http.client import Broken, Pool, Unreached, fetch
-from terndrift.patience import Patience
 from terndrift.scheduler.slices import sliced
 from terndrift.xds import codec
 from terndrift.xds.session import CLUSTER, ENDPOINT
@@ -20,7 +20,7 @@
 
     def __init__(self, value, who, reader, seed, log):
         self.value, self.who, self.reader, self.log = value, who, reader, log
-        self.patience, self.pool, self.seed, self.polls = Patience(seed), Pool(), seed, 0
+        self.backoff, self.pool, self.seed, self.polls = Backoff(seed), Pool(), seed, 0
         self.address = urlsplit(value["source"]).netloc
         self.next = {}  # type -> Send that the next poll carries: the version known, or why it was refused
 
@@ -31,9 +31,9 @@
                 why = await self._round()
                 if why:
                     self.reader.listing.reached(self.reader.name, False, why)
-                    await asyncio.sleep(self.patience.pause(self.reader.taken > before) / SECOND)
+                    await asyncio.sleep(self.backoff.next_shared_delay(self.reader.taken > before) / SECOND)
                     continue
-                self.patience.lost(True)
+                self.backoff.next_delay_after(True)
                 self.polls += 1
                 # up to a fifth sooner: controllers started together do not ask together for ever
                 part = zlib.crc32(b"%d:%d" % (self.seed, self.polls)) % 1000 / 5000
--- a/terndrift/xds/reporter.py
+++ b/terndrift/xds/reporter.py
@@ -4,7 +4,7 @@
 
 import grpc
 
-from terndrift.patience import Patience
+from terndrift.backoff import Backoff
 from terndrift.xds import load
 from terndrift.xds.codec import Unreadable
 
@@ -16,7 +16,7 @@
     was last called."""
 
     def __init__(self, ads, figures, seed, log):
-        self.ads, self.figures, self.log, self.patience = ads, figures, log, Patience(seed)
+        self.ads, self.figures, self.log, self.backoff = ads, figures, log, Backoff(seed)
         self.sent = 0
 
     async def follow(self):
@@ -28,7 +28,7 @@
                 self.log.error("fault of a load report", source=self.ads.reader.name, exc_info=fault)
                 why = repr(fault)
             self.log.info("load reports ended", source=self.ads.reader.name, why=why)
-            await asyncio.sleep(self.patience.lost(self.sent > before) / SECOND)
+            await asyncio.sleep(self.backoff.next_delay_after(self.sent > before) / SECOND)
 
     async def _stream(self):
         channel = self.ads.channel()
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -5,9 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from terndrift.backoff import MAX_DELAY_NS, MIN_DELAY_NS, Backoff
 from terndrift.listing.limits import Limits
 from terndrift.listing.lines import Line
-from terndrift.patience import LEAST, MOST, Patience
 from terndrift.xds import codec, meaning
 from terndrift.xds.session import CLUSTER, ENDPOINT, MOST_SAID, Delta, World, reasons
 from terndrift.xds.tiers import open_tiers
@@ -284,11 +284,14 @@
 
 
 def test_the_wait_for_a_lost_source_doubles_and_begins_anew_once_it_brought_something():
-    patience = Patience(1)
-    waits = [patience.lost(False) for _ in range(9)]
-    most = [min(MOST, LEAST * 2**n) for n in range(9)]
+    backoff = Backoff(1)
+    waits = [backoff.next_delay_after(False) for _ in range(9)]
+    most = [min(MAX_DELAY_NS, MIN_DELAY_NS * 2**n) for n in range(9)]
     assert all(w / 2 <= x <= w for x, w in zip(waits, most, strict=True))
-    assert patience.lost(True) <= LEAST and len({Patience(n).lost(False) for n in range(20)}) > 10
+    assert (
+        backoff.next_delay_after(True) <= MIN_DELAY_NS
+        and len({Backoff(n).next_delay_after(False) for n in range(20)}) > 10
+    )
 
 
 # Both forms, whatever happens on the way.
