--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -19,7 +19,7 @@
 from terndrift.core.runner import Clock
 from terndrift.interface import Deployment, Ladder, Links, Plan, Rules
 from terndrift.listing.service import Listing
-from terndrift.service import COLLECT
+from terndrift.process import GC_THRESHOLDS
 from terndrift.standin.xds import Source, streamer
 from terndrift.xds import codec
 from terndrift.xds.reader import Reader
@@ -226,7 +226,7 @@
 
 async def flood(size, form, period, count):
     """(latency histogram in us, Loop, calls of the decisions) of so many changes, one every `period` s."""
-    gc.set_threshold(*COLLECT)  # as in service
+    gc.set_threshold(*GC_THRESHOLDS)  # as in service
     async with sourced(size) as (process, address):
         following = Following()
         follower = following.follow(address, form)
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -241,9 +241,9 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         await self.begin()
         if self.stage is not Stage.STOPPED:
-            process.stands()
+            process.tune_garbage_collector()
         await self.stopped.wait()
-        process.goes_down(loop, HANDLED_SIGNALS)
+        process.ignore_signals(loop, HANDLED_SIGNALS)
         self.log.info("stopped")
 
 
--- a/terndrift/process.py
+++ b/terndrift/process.py
@@ -12,11 +12,11 @@
 # thousand playbacks, while there is little cyclic garbage (tasks, exceptions). With a list of 10,000
 # streamers that changes a thousand times a second, collections of the middle generation still take tens of
 # ms: 7 to 65 ms in 30 s (benchmarks.xds), against 37 to 102 ms with thresholds of 20,000, 20 and 50.
-COLLECT = (10_000, 5, 400)
+GC_THRESHOLDS = (10_000, 5, 400)
 FD_DIRECTORY = "/proc/self/fd"  # one entry for each open file descriptor; Linux only
 
 
-def stands():
+def tune_garbage_collector():
     """Tune the garbage collector at the end of start-up.
 
     The objects that exist then live as long as the process. They are excluded from collection, so that
@@ -24,10 +24,10 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-def goes_down(loop, signal_numbers):
+def ignore_signals(loop, signal_numbers):
     """Ignore the given signals for the rest of the shutdown; they must have handlers on `loop`.
 
     Event loop and interpreter restore the default action of handled signals as they close, so that a further
@@ -41,7 +41,7 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, signal_numbers)
 
 
-def used():
+def resource_utilisation():
     """Return (share of file descriptors, share of memory) in use, each from 0 to 1; 0 if there is no limit.
 
     The memory is that of the process's control group.
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -429,7 +429,11 @@
             await asyncio.sleep(1.0)
             try:
                 late = self.core_runner.report_timer_delay(self.log)
-                if self.fleet and self.fleet.surge and self.fleet.surge.second(late, *process.used()):
+                if (
+                    self.fleet
+                    and self.fleet.surge
+                    and self.fleet.surge.second(late, *process.resource_utilisation())
+                ):
                     self.log.warning(
                         "strain",
                         standing=self.fleet.surge.strain.standing.value,
@@ -521,7 +525,7 @@
             starting.cancel()
             return
         await starting
-        process.stands()
+        process.tune_garbage_collector()
         await self.stopped.wait()
-        process.goes_down(loop, (signal.SIGTERM, signal.SIGINT))
+        process.ignore_signals(loop, (signal.SIGTERM, signal.SIGINT))
         self.log.info("stopped")
