--- a/terndrift/cli/main.py
+++ b/terndrift/cli/main.py
@@ -160,7 +160,7 @@
     """One controller, three streamers and one title, all on loopback; prints a URL that curl can play."""
     from terndrift.rehearse.demo import run
 
-    logs.setup("warning")
+    logs.configure_logging("warning")
     sys.exit(asyncio.run(run(click.echo, seconds, try_it)))
 
 
--- a/terndrift/cli/xds.py
+++ b/terndrift/cli/xds.py
@@ -304,7 +304,7 @@
 
     A controller serves its own by `offer` in its front file."""
     value = service.read(file)
-    log = logs.setup(value["log"]["level"], value["log"]["form"])
+    log = logs.configure_logging(value["log"]["level"], value["log"]["form"])
 
     async def run():
         clock = Clock()
--- a/terndrift/logs.py
+++ b/terndrift/logs.py
@@ -8,7 +8,7 @@
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
-def setup(level="info", log_format="console", stream=None):
+def configure_logging(level="info", log_format="console", stream=None):
     """Configure logging for the process and return its logger; to be called once.
 
     `level`: a key of `LEVELS`, else KeyError is raised; `log_format`: "json" or "console"; `stream`: a text
@@ -33,7 +33,7 @@
     return structlog.get_logger()
 
 
-def watcher(log):
+def event_logger(log):
     """Return a `watch` callable for `core.Core` that logs its events to `log`.
 
     Answers are logged at info, exceptions of the decision logic and answers given without it at error, and
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -67,7 +67,7 @@
             self.clock.now(),
             configuration.name,
             configuration.drain_grace,
-            logs.watcher(log),
+            logs.event_logger(log),
         )
         self.runner = CoreRunner(self.core, self.clock)
         self.transport = StreamerTransport(self.runner, configuration, log)
@@ -252,7 +252,7 @@
 
     Logs JSON lines to standard error; exits with status 1 and one line if it cannot start.
     """
-    log = logs.setup("info", "json", LogStream(sys.stderr.fileno()))
+    log = logs.configure_logging("info", "json", LogStream(sys.stderr.fileno()))
     path = environ.get("LB_CONFIG")
     if not path:
         sys.exit("terndrift: LB_CONFIG is not set")
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -158,7 +158,7 @@
 class Service:
     def __init__(self, value, log=None, controller=None):
         self.value = value
-        self.log = log or logs.setup(value["log"]["level"], value["log"]["form"])
+        self.log = log or logs.configure_logging(value["log"]["level"], value["log"]["form"])
         self.clock = Clock()
         made = deployment.made(value["deployment"], value["controller"])
         http, limits = value["http"], value["limits"]
@@ -167,7 +167,7 @@
             self.clock.now(),
             value["controller"]["name"],
             value["deployment"]["rules"]["drain_grace"],
-            logs.watcher(self.log),
+            logs.event_logger(self.log),
             controller or Controller,
         )
         self.core_runner = CoreRunner(self.core, self.clock)
