--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -9,7 +9,7 @@
 import click
 
 from terndrift.decide import Controller, State
-from terndrift.interface import Deployment, Ending, Ladder, Links, Listed, Plan, Rules, Standing
+from terndrift.interface import Deployment, Ending, Ladder, Links, ListEntry, Plan, Rules, Standing
 
 MS, S = 1_000_000, 1_000_000_000
 
@@ -30,9 +30,9 @@
     def __init__(self, streamers, racks, controllers=8):
         self.now, self.n, self.costs, self.chance = 1000 * S, 0, [], random.Random(3)
         self.c = Controller(deployment(controllers), self.now)
-        self.c.began_empty = False
+        self.c.started_without_state = False
         entries = [
-            Listed(1000 + i, "box", "here", i, i % racks, Standing.READY, 1.0, 0) for i in range(streamers)
+            ListEntry(1000 + i, "box", "here", i, i % racks, Standing.READY, 1.0, 0) for i in range(streamers)
         ]
         self.all = frozenset(range(streamers))
         self.c.list_changed(self.now, entries, True, False)
@@ -63,12 +63,14 @@
         """Every set-up that is out comes to play, and its streamer tells of its link."""
         for pb in [p for p in self.c.pending if p.state is State.ATTEMPTING]:
             self.c.set_up_succeeded(self.now, pb.id, 50 * MS)
-            self.c.told_use(self.now, pb.id, pb.streamer.listed.id, self.chance.uniform(0.2, 0.8), None)
+            self.c.utilisation_reported(
+                self.now, pb.id, pb.streamer.entry.id, self.chance.uniform(0.2, 0.8), None
+            )
 
     def some_end(self, count):
         playing = [p for p in self.c.playbacks.values() if p.state is State.PLAYING]
         for pb in self.chance.sample(playing, min(count, len(playing))):
-            self.call(self.c.attempt_ended, pb.id, Ending.PLAYED_OUT, 9 * S, True, pb.streamer.listed.id, {})
+            self.call(self.c.attempt_ended, pb.id, Ending.PLAYED_OUT, 9 * S, True, pb.streamer.entry.id, {})
 
     def told(self):
         costs, self.costs = sorted(self.costs), []
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -72,7 +72,7 @@
     def __init__(self):
         self.clock = Clock()
         self.core = Core(deployment(), self.clock.now())
-        self.core.controller.began_empty = False
+        self.core.controller.started_without_state = False
         self.seen = []  # (when, entries) as the decisions had taken them
         self.listing = Listing(self.clock, self.hand, Quiet(), ("main",))
 
@@ -248,7 +248,7 @@
         process.stdin.write(b"tell\n")
         told = json.loads(await process.stdout.readline())
         newest = {id: weight for id, weight, _ in told}
-        while any(following.core.controller.streamers[i].listed.weight < w - 1e-9 for i, w in newest.items()):
+        while any(following.core.controller.streamers[i].entry.weight < w - 1e-9 for i, w in newest.items()):
             await asyncio.sleep(0.02)
         task.cancel()
         await asyncio.wait([task, watching])
--- a/terndrift/adapter/codec.py
+++ b/terndrift/adapter/codec.py
@@ -6,7 +6,7 @@
 
 import contextlib
 
-from terndrift.interface import Ending, Listed, Standing
+from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.terms import Malformed, read_float, read_text, reported, whole
 
 # Result code of a set-up or a probe on the wire -> Ending.
@@ -47,14 +47,14 @@
 
 
 def parse_list_entry(line):
-    """Parses an `entry` line of the server list to a Listed; raises Malformed.
+    """Parses an `entry` line of the server list to a ListEntry; raises Malformed.
 
     The rack is left at 0: it follows from the cell by the settings of each instance, which the caller has.
     """
     name, fields = parse_line(line)
     if name != "entry":
         raise Malformed(f"expected 'entry', got '{name}'")
-    return Listed(
+    return ListEntry(
         id=whole(fields, "streamer"),
         kind=fields.get("generation_hw", ""),
         zone=fields.get("az", ""),
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -25,7 +25,7 @@
         self.unknown_settings = settings.unknown()
         self.controller = Controller(self.deployment, now)
         self.last_sent = {}  # playback id -> [number of attempts, rung]
-        self.list_requests_sent = 0  # value of the controller's list_calls at the last `subscribe`
+        self.list_requests_sent = 0  # value of the controller's list_requests at the last `subscribe`
         self.timer_at = None  # ns at which the simulator's timer fires; None: no timer is set
 
     def encode(self, changed, out):
@@ -34,8 +34,8 @@
         Only differences from what was last sent become actions. Rejected and failed playbacks are forgotten
         afterwards, as nothing more is sent for them.
         """
-        if self.controller.list_calls > self.list_requests_sent:
-            self.list_requests_sent = self.controller.list_calls
+        if self.controller.list_requests > self.list_requests_sent:
+            self.list_requests_sent = self.controller.list_requests
             out.append("subscribe on=1")
         for playback in changed:
             sent = self.last_sent.setdefault(playback.id, [0, playback.plan.floor])
@@ -44,7 +44,7 @@
                 sent[1] = playback.rung
             if playback.state is State.ATTEMPTING and playback.attempts > sent[0]:
                 out.append(
-                    f"relay corr={playback.id} streamer={playback.streamer.listed.id} "
+                    f"relay corr={playback.id} streamer={playback.streamer.entry.id} "
                     f"allow_for_ns={playback.timeout}"
                 )
                 sent[0] = playback.attempts
@@ -214,13 +214,15 @@
         )
         controller = instance.controller
         if sort == 1:
-            return controller.told_share(now, streamer, value)
+            return controller.delivery_reported(now, streamer, value)
         if sort == 2:
             if id in instance.last_sent:
                 instance.last_sent[id][1] = int(value)
-            return controller.told_rung(now, id, int(value))
+            return controller.rung_reported(now, id, int(value))
         if sort in (3, 4):
-            return controller.told_use(now, id, streamer, *((value, None) if sort == 3 else (None, value)))
+            return controller.utilisation_reported(
+                now, id, streamer, *((value, None) if sort == 3 else (None, value))
+            )
         return []
 
     def memo(self, instance, now, fields):
--- a/terndrift/core/active_playback.py
+++ b/terndrift/core/active_playback.py
@@ -73,7 +73,7 @@
     """
 
     def set_up(self, playback, streamer, rung, timeout):
-        """Send a set-up to `streamer` (a `Listed`) at `rung`; the core cancels it after `timeout` ns.
+        """Send a set-up to `streamer` (a `ListEntry`) at `rung`; the core cancels it after `timeout` ns.
 
         The transport asks `Core.may_send` once it is connected, just before it sends the first byte.
         """
@@ -103,7 +103,7 @@
         self.on_answer = on_answer
         self.accepted_at, self.deadline = now, now + request.time_left
         self.stage, self.answer = PlaybackStage.WAITING, None
-        self.streamer = None  # Listed of the attempt in flight or of the running playback
+        self.streamer = None  # ListEntry of the attempt in flight or of the running playback
         self.rung, self.attempts = 0, 0
         self.sent_at, self.attempt_deadline = 0, 0
         self.cancel_reason = None  # Ending for which the attempt in flight was cancelled
--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -55,14 +55,14 @@
         self.controller = decisions(deployment, now)
         self.watch = watch or (lambda *_, **__: None)
         self.drain_grace = drain_grace
-        # Whether a streamer (a Listed) may still serve the request; asked just before an attempt is sent.
+        # Whether a streamer (a ListEntry) may still serve the request; asked just before an attempt is sent.
         self.may_use_streamer = lambda request, streamer: True
         # The cells that a playback may use of those that hold its title; asked once, when it is requested.
         self.filter_cells = lambda cells: cells
         self.playbacks = {}  # playback id -> ActivePlayback
         self.unanswered_count = 0  # number of playbacks accepted and not yet answered
         self.playback_numbers = itertools.count(1)
-        self.told_off = {}  # streamer id -> when it was first listed as draining or gone
+        self.withdrawn_since = {}  # streamer id -> when it was first listed as draining or gone
         self.alarms = []  # heap of (time, sequence number, playback id): an attempt or an answer is due
         self.timer_sequence = itertools.count()
         self.pending_calls, self.dispatching = deque(), False
@@ -116,7 +116,7 @@
             playback.set_stage(now, PlaybackStage.ENDED)
             del self.playbacks[playback.id]
             return playback
-        playback.answer, playback.streamer = Answer(AnswerKind.PLAYS), known_streamer.listed
+        playback.answer, playback.streamer = Answer(AnswerKind.PLAYS), known_streamer.entry
         playback.set_stage(now, PlaybackStage.ATTEMPTING)
         playback.set_stage(now, PlaybackStage.PLAYING)
 
@@ -133,7 +133,7 @@
                 False,
                 streamer_id,
             )
-            self.controller.told_rung(now, playback.id, rung)
+            self.controller.rung_reported(now, playback.id, rung)
             return changed
 
         self._call(now, playback, adopt)
@@ -149,7 +149,7 @@
             playback.request, playback.streamer
         ):
             return False
-        withdrawn_at = self.told_off.get(playback.streamer.id)
+        withdrawn_at = self.withdrawn_since.get(playback.streamer.id)
         return withdrawn_at is None or now <= withdrawn_at + self.drain_grace
 
     def fallback_answer(self, playback):
@@ -159,7 +159,7 @@
         an attempt may have run and the answer is ABORTED.
         """
         if playback.attempts == 0 or self.deployment.plans[playback.request.plan].repeatable:
-            return Answer(AnswerKind.REJECTED, self.controller.advice)
+            return Answer(AnswerKind.REJECTED, self.controller.retry_advice)
         return Answer(AnswerKind.ABORTED, reason="no decision in time")
 
     def set_up_succeeded(self, now, playback, report):
@@ -182,7 +182,7 @@
             self._call(
                 now,
                 playback,
-                lambda: self.controller.told_use(
+                lambda: self.controller.utilisation_reported(
                     now, playback.id, playback.streamer.id, report.get("link"), report.get("uplink")
                 ),
             )
@@ -235,13 +235,13 @@
         self._cancel_attempt(now, playback, Ending.CALLED_OFF)
         return None
 
-    def rung_stands(self, now, playback, rung):
+    def rung_change_refused(self, now, playback, rung):
         """Report that a change of rung was refused and that `rung` is the one in force."""
         if playback.stage is PlaybackStage.PLAYING:
             playback.rung = rung
-            self._call(now, playback, lambda: self.controller.told_rung(now, playback.id, rung))
+            self._call(now, playback, lambda: self.controller.rung_reported(now, playback.id, rung))
 
-    def told_use(self, now, playback, link_use, uplink_use):
+    def utilisation_reported(self, now, playback, link_use, uplink_use):
         """Report the load of the streamer's link and of its rack's uplink, as demand over capacity.
 
         Either may be None: not reported. Ignored unless the playback runs.
@@ -250,17 +250,17 @@
             self._call(
                 now,
                 playback,
-                lambda: self.controller.told_use(
+                lambda: self.controller.utilisation_reported(
                     now, playback.id, playback.streamer.id, link_use, uplink_use
                 ),
             )
 
-    def told_share(self, now, streamer_id, share):
+    def delivery_reported(self, now, streamer_id, share):
         """Report the share of their rates that the playbacks at a streamer get, 0 to 1."""
-        self._call(now, None, lambda: self.controller.told_share(now, streamer_id, share))
+        self._call(now, None, lambda: self.controller.delivery_reported(now, streamer_id, share))
 
     def list_changed(self, now, entries, is_snapshot, is_cached):
-        """Report the server list: `entries` of `Listed`, all of them (`is_snapshot`) or only changes.
+        """Report the server list: `entries` of `ListEntry`, all of them (`is_snapshot`) or only changes.
 
         `is_cached`: the entries are a copy from before a restart.
         """
@@ -271,15 +271,17 @@
                 streamer_id for streamer_id in self.controller.streamers if streamer_id not in listed_ids
             ]
         for streamer_id in withdrawn:
-            self.told_off.setdefault(streamer_id, now)
+            self.withdrawn_since.setdefault(streamer_id, now)
         for entry in entries:
             if entry.standing is Standing.READY:
-                self.told_off.pop(entry.id, None)
+                self.withdrawn_since.pop(entry.id, None)
         self._call(now, None, lambda: self.controller.list_changed(now, entries, is_snapshot, is_cached))
         # The decision logic can't choose a streamer that it has forgotten. Removing those bounds the memory
         # that a list with ever new streamers takes.
-        if len(self.told_off) > 2 * len(self.controller.streamers):
-            self.told_off = {s: t for s, t in self.told_off.items() if s in self.controller.streamers}
+        if len(self.withdrawn_since) > 2 * len(self.controller.streamers):
+            self.withdrawn_since = {
+                s: t for s, t in self.withdrawn_since.items() if s in self.controller.streamers
+            }
 
     def holders_changed(self, now, titles):
         """Report new holders. `titles`: title -> cells that hold it from now on; empty: it was removed.
@@ -296,28 +298,33 @@
                     lambda p=playback, new_cells=cells: self.controller.holders_changed(now, p.id, new_cells),
                 )
 
-    def among(self, now, controller_count, warm_up_turn, warm_link_use):
-        """Report what the fleet's controllers agreed on (`among` in terndrift/interface.py).
+    def fleet_changed(self, now, controller_count, warm_up_turn, warm_link_use):
+        """Report what the fleet's controllers agreed on (`fleet_changed` in terndrift/interface.py).
 
         `warm_link_use`: id of a warm streamer -> demand on its link in hundredths of its capacity, passed on
         as a load report of a while ago.
         """
         self._call(
-            now, None, lambda: self.controller.among(now, controller_count, warm_up_turn, warm_link_use)
+            now,
+            None,
+            lambda: self.controller.fleet_changed(now, controller_count, warm_up_turn, warm_link_use),
         )
         for streamer_id, percent in warm_link_use.items():
             self._call(
                 now,
                 None,
-                lambda streamer_id=streamer_id, percent=percent: self.controller.told_use(
+                lambda streamer_id=streamer_id, percent=percent: self.controller.utilisation_reported(
                     now, None, streamer_id, percent / 100, None
                 ),
             )
 
-    def limits(self, now, extra_attempts, findings, retry_after_choices):
-        """Report the fleet's shared limits and findings under load (`limits` in terndrift/interface.py)."""
+    def fleet_limits_changed(self, now, extra_attempts, findings, retry_after_choices):
+        """Report the fleet's shared limits and findings under load (`fleet_limits_changed` in
+        terndrift/interface.py)."""
         self._call(
-            now, None, lambda: self.controller.limits(now, extra_attempts, findings, retry_after_choices)
+            now,
+            None,
+            lambda: self.controller.fleet_limits_changed(now, extra_attempts, findings, retry_after_choices),
         )
 
     def next_at(self):
@@ -384,7 +391,7 @@
             playback.attempts, playback.rung, playback.streamer = (
                 decided.attempts,
                 decided.rung,
-                decided.streamer.listed,
+                decided.streamer.entry,
             )
             playback.sent_at, playback.attempt_deadline = now, now + decided.timeout
             playback.set_stage(now, PlaybackStage.ATTEMPTING)
--- a/terndrift/decide.py
+++ b/terndrift/decide.py
@@ -38,14 +38,17 @@
         # (time, demand of other controllers) by the last uplink report, if that is better than the sum over
         # the streamers
         self.reported_demand = None
-        self.seen = deque(maxlen=4)  # (time, measured capacity): corrections of the nominal capacity
+        # (time, measured capacity): corrections of the nominal capacity
+        self.capacity_samples = deque(maxlen=4)
         # when own playbacks here last went up, or could have gone up by chance; when they were last lowered
         self.raised_at, self.lowered_at = 0, 0
         self.demand_cache = ()  # (now, at_time, demand); cleared by reports and changes of own playbacks
 
     def capacity(self, now):
         """Estimate the uplink's capacity: the mean of recent measurements, or else the nominal capacity."""
-        measured = fmean(kb for _, kb in self.seen) if self.seen else self.nominal_capacity
+        measured = (
+            fmean(kb for _, kb in self.capacity_samples) if self.capacity_samples else self.nominal_capacity
+        )
         # A fault ends unannounced, so the estimate returns to nominal by 4% a second; a jump would overload a
         # small uplink.
         if measured < self.nominal_capacity:
@@ -54,7 +57,7 @@
 
     def since_correction(self, now):
         """Return the time since the capacity was last measured; `now` itself if it never was."""
-        return now - self.seen[-1][0] if self.seen else now
+        return now - self.capacity_samples[-1][0] if self.capacity_samples else now
 
     def own_demand(self, at_time=None):
         """Return the demand of this controller's playbacks, now or at an earlier time."""
@@ -86,33 +89,35 @@
     rack's uplink can be handled alike.
     """
 
-    def __init__(self, listed, rack, deployment, typical_demand):
-        self.listed, self.rack, self.deployment = listed, rack, deployment
+    def __init__(self, entry, rack, deployment, typical_demand):
+        self.entry, self.rack, self.deployment = entry, rack, deployment
         self.playbacks = {}  # own playbacks -> None, in order of placement; set-ups in progress included
         self.demand_history = deque([(0, 0.0)], maxlen=64)  # (time, own demand on the link from then on)
         # mean demand of other controllers on a streamer: a list of one number that all streamers share
         self.typical_demand = typical_demand
-        self.heard = deque(maxlen=2)  # (time, demand of other controllers on the link): the last load reports
-        self.shares = deque(maxlen=2)  # (time, delivered share of the rates): the last delivery reports
+        # (time, demand of other controllers on the link): the last load reports
+        self.load_reports = deque(maxlen=2)
+        # (time, delivered share of the rates): the last delivery reports
+        self.delivery_reports = deque(maxlen=2)
         # least interval between set-ups after failures (0: healthy); earliest time of the next one
-        self.gap, self.next_attempt_at = 0, 0
-        self.down = None  # when it failed: it may come back cold before the list says that it restarted
+        self.backoff, self.next_attempt_at = 0, 0
+        self.failed_at = None  # when it failed: it may come back cold before the list says that it restarted
         # the cold-start slot of the last set-up, None if it was warm; the last load report
         self.last_slot, self.last_report = None, None
         # as in Rack; the sum of the rate scales of own playbacks
         self.raised_at, self.lowered_at, self.own_scale = 0, 0, 0.0
         self.streamers = (self,)  # those behind this link, as a rack has those behind its uplink
-        self.update_entry(listed)
+        self.update_entry(entry)
         rack.streamers.append(self)
 
-    def update_entry(self, listed):
+    def update_entry(self, entry):
         """Take over a changed line of the server list, and derive the capacities from it."""
-        self.listed, weight = listed, listed.weight
+        self.entry, weight = entry, entry.weight
         self.link_capacity = max(
             1.0, self.deployment.links.unit_kb * (weight if 0.01 < weight < 100 else 1.0)
         )
         self.rack.demand_cache, max_playbacks = (), self.deployment.links.places
-        self.max_playbacks = max_playbacks.get(listed.kind) or min(max_playbacks.values(), default=8)
+        self.max_playbacks = max_playbacks.get(entry.kind) or min(max_playbacks.values(), default=8)
 
     def capacity(self, now=0):
         """Return the capacity of the link; `now` is accepted to match `Rack.capacity`."""
@@ -132,9 +137,9 @@
         The mean of the last two reports fades, within 15 s, into the typical demand on a streamer. Without
         the fade one high report would exclude a streamer for good, as no set-up would bring a newer one.
         """
-        if self.listed.standing is Standing.GONE or self.down is not None:
+        if self.entry.standing is Standing.GONE or self.failed_at is not None:
             return 0.0  # a streamer that is gone or down puts no load on its rack's uplink
-        if not (reports := self.heard):
+        if not (reports := self.load_reports):
             return self.typical_demand[0]
         faded = min(1.0, (now - reports[-1][0]) / (15 * SECOND))
         return (1 - faded) * ((reports[0][1] + reports[-1][1]) / 2) + faded * self.typical_demand[0]
@@ -145,7 +150,7 @@
             self.demand_history[-1][1] if at_time is None else self.own_demand(at_time)
         )
 
-    def use(self, now):
+    def utilisation(self, now):
         """Return the utilisation of the link: demand over capacity, which may exceed 1."""
         return self.demand(now) / self.link_capacity
 
@@ -157,8 +162,12 @@
     def stalled(self, now):
         """Return whether it delivers under half while its link has room and its rack's others deliver."""
         # A weak uplink was never seen to give less than half while its other streamers went on well.
-        short = bool(self.shares) and self.shares[-1][1] < 0.5 and now - self.shares[-1][0] < 3 * SECOND
-        return short and self.use(now) < 0.97 and not self.rack_is_short(now)
+        short = (
+            bool(self.delivery_reports)
+            and self.delivery_reports[-1][1] < 0.5
+            and now - self.delivery_reports[-1][0] < 3 * SECOND
+        )
+        return short and self.utilisation(now) < 0.97 and not self.rack_is_short(now)
 
     def rack_is_short(self, now):
         """Return whether at least half of the rack's other streamers with own playbacks fall short too.
@@ -168,8 +177,8 @@
         nothing else would lower the rungs.
         """
         if not (peers := [peer for peer in self.rack.streamers if peer is not self and peer.playbacks]):
-            return self.shares[-1][1] >= 0.5
-        last_shares = [peer.shares[-1] for peer in peers if peer.shares]
+            return self.delivery_reports[-1][1] >= 0.5
+        last_shares = [peer.delivery_reports[-1] for peer in peers if peer.delivery_reports]
         return 2 * sum(share < 0.98 and now - t < 3 * SECOND for t, share in last_shares) >= len(peers)
 
 
@@ -204,8 +213,8 @@
     """
 
     def __init__(self, deployment, now):
-        # began_empty: nothing was handed over, so this may be a restart with an outdated list
-        self.deployment, self.created_at, self.began_empty = deployment, now, True
+        # started_without_state: nothing was handed over, so this may be a restart with an outdated list
+        self.deployment, self.created_at, self.started_without_state = deployment, now, True
         self.streamers, self.racks, self.playbacks = {}, {}, {}
         # playbacks held or in set-up, in order; racks with new reports; playbacks to return from this call
         self.pending, self.stale_racks, self.changed = {}, {}, {}
@@ -220,19 +229,19 @@
         # titles that have played here; kind of request -> when it last found no placement
         self.played_titles, self.unplaced_at = set(), {}
         # streamers that have run since their listed start; (rank, ranks) in the turns of cold starts
-        self.proven, self.cold_start_turn = set(), (deployment.rank, deployment.controllers)
+        self.proven_warm, self.cold_start_turn = set(), (deployment.rank, deployment.controllers)
         # times of accepted playbacks and of set-ups beyond the first, for the budget of extra attempts
         self.accepted_times, self.extra_attempt_times = deque(maxlen=10**5), deque(maxlen=10**5)
         self.arrival_times = deque([now], maxlen=16)  # times of the start and of the last accepted playbacks
         # of successful set-ups; 200 ms until some are known
         self.setup_durations = deque([200 * MS], maxlen=32)
         self.playback_durations = deque(maxlen=64)
-        # attempts lent, retry times and excluded streamers as the fleet last said, see `limits`
+        # attempts lent, retry times and excluded streamers as the fleet last said, see `fleet_limits_changed`
         self.lent_attempts, self.fleet_advice, self.left_to_others = None, (), ()
         self.draw_count, self.typical_rate, self.wake_at, self.next_scan_at = 0, 1.0, None, 0
         # no longer than viewers pause anyway; less brings them back into the same congestion
-        self.advice = min(SECOND, deployment.rules.longest_advice)
-        self.list_calls, self.list_retry_pause, list_within = 0, 0, deployment.rules.list_within
+        self.retry_advice = min(SECOND, deployment.rules.longest_advice)
+        self.list_requests, self.list_retry_pause, list_within = 0, 0, deployment.rules.list_within
         # staggered by rank: many controllers start at once, and one service answers all of them
         self.list_due_at = (
             now + list_within // 4 * deployment.rank // deployment.controllers if list_within else None
@@ -245,7 +254,7 @@
         self.list_retry_pause, listed_ids = 0, {entry.id for entry in entries}
         if complete:
             removed = [
-                streamer.listed
+                streamer.entry
                 for streamer_id, streamer in self.streamers.items()
                 if streamer_id not in listed_ids
             ]
@@ -257,11 +266,11 @@
                     entry, rack, self.deployment, self.typical_demand
                 )
                 streamer.position = self.last_position = self.last_position + 1
-            self.by_cell.get(streamer.listed.cell, {}).pop(streamer.position, None)
+            self.by_cell.get(streamer.entry.cell, {}).pop(streamer.position, None)
             self.by_cell.setdefault(entry.cell, {})[streamer.position] = streamer
-            if entry.started != streamer.listed.started:
-                streamer.down, streamer.last_slot = None, None
-                streamer.heard.clear()
+            if entry.started != streamer.entry.started:
+                streamer.failed_at, streamer.last_slot = None, None
+                streamer.load_reports.clear()
             streamer.update_entry(entry)
             self.gone_since.setdefault(
                 streamer, now
@@ -277,12 +286,12 @@
             if streamer.playbacks:
                 self.gone_since[streamer] = now
             else:
-                del self.streamers[streamer.listed.id], self.by_cell[streamer.listed.cell][streamer.position]
+                del self.streamers[streamer.entry.id], self.by_cell[streamer.entry.cell][streamer.position]
                 streamer.rack.streamers.remove(streamer)
                 self.reporting_streamers.pop(streamer, None)
         return self.wake(now)
 
-    def among(self, now, controllers, cold_start_turn, warm_ids=()):
+    def fleet_changed(self, now, controllers, cold_start_turn, warm_ids=()):
         """Take over what the fleet agreed on: its size, this controller's turn and streamers proven warm.
 
         Without the proof a restarted controller would wait for a whole warm-up of streamers that have run
@@ -293,12 +302,12 @@
             replace(self.deployment, controllers=controllers),
             cold_start_turn,
         )
-        self.proven |= {
+        self.proven_warm |= {
             self.streamers[streamer_id] for streamer_id in warm_ids if streamer_id in self.streamers
         }
         return self.wake(now)
 
-    def limits(self, now, extra_attempts, findings, advice):
+    def fleet_limits_changed(self, now, extra_attempts, findings, advice):
         """Take over the fleet's budget of extra attempts, its findings on streamers and its retry advice.
 
         `extra_attempts` may be made until the next call (None: no limit). This keeps the extra attempts of
@@ -318,7 +327,7 @@
                 min(streamer.next_attempt_at, now) if usable else streamer.next_attempt_at
             )
             # None: it seems dead, and may come back cold
-            streamer.down = now if usable is None and streamer.down is None else streamer.down
+            streamer.failed_at = now if usable is None and streamer.failed_at is None else streamer.failed_at
         return self.wake(now) if self.pending else []
 
     def list_failed(self, now):
@@ -330,7 +339,7 @@
         if list_within := self.deployment.rules.list_within:
             # after a failed request four times the interval is allowed, so several retries fit in
             self.list_retry_pause = min(max(SECOND, 2 * self.list_retry_pause), max(SECOND, list_within // 2))
-            self.list_due_at = now + int(self.list_retry_pause * (0.5 + self._chance()))
+            self.list_due_at = now + int(self.list_retry_pause * (0.5 + self._random()))
         return self.wake(now)
 
     def request_playback(
@@ -361,7 +370,7 @@
         The other arguments are those of `request_playback`. At a streamer that is not listed the playback
         ends at once.
         """
-        self.began_empty, playback = (
+        self.started_without_state, playback = (
             False,
             self._accept(now, playback_id, plan, title, cells, top, time_left, expected_duration),
         )
@@ -415,7 +424,7 @@
             playback.cells = cells
         return self.wake(now, playback)
 
-    def told_rung(self, now, playback_id, rung):
+    def rung_reported(self, now, playback_id, rung):
         """Record the rung that is in force of a playback, as for one handed over."""
         if (
             (playback := self.playbacks.get(playback_id))
@@ -426,7 +435,7 @@
             self._update_own_demand(now, playback.streamer)
         return []
 
-    def told_use(self, now, playback_id, streamer_id, link, uplink):
+    def utilisation_reported(self, now, playback_id, streamer_id, link, uplink):
         """Record the utilisation of a streamer's link and of its rack's uplink (None: not reported)."""
         playback, streamer = self.playbacks.get(playback_id), self.streamers.get(streamer_id)
         # Figures that come with a set-up, in the same batch or the next, are current; later ones lag.
@@ -436,7 +445,7 @@
             )
         return self.wake(now)
 
-    def told_share(self, now, streamer_id, share):
+    def delivery_reported(self, now, streamer_id, share):
         """Record the share of their rates that playbacks at a streamer got, `Links.lag` ago."""
         if (streamer := self.streamers.get(streamer_id)) and share is not None and 0 <= share <= 1:
             self._apply_delivery_report(now, streamer, share)
@@ -455,7 +464,7 @@
         self, now, playback_id, plan_name, title, cells, top, time_left, expected_duration, rates=None
     ):
         draw, deadline, top = (
-            self._chance(),
+            self._random(),
             now + time_left,
             min(top, len(self.deployment.ladder.rates) - 1),
         )
@@ -495,7 +504,7 @@
         playback.retry_after = (
             self.fleet_advice[int(playback.draw * len(self.fleet_advice))]
             if self.fleet_advice
-            else self.advice
+            else self.retry_advice
         )
         self._set_state(now, playback, State.ABORTED if playback.unsafe_to_resend() else State.REJECTED)
         return True
@@ -523,7 +532,7 @@
                 if not self._place(now, pending) and now >= pending.hold_until:
                     self._reject(now, pending)
         if self.list_due_at is not None and now >= self.list_due_at:
-            self.list_calls, self.list_due_at = self.list_calls + 1, None
+            self.list_requests, self.list_due_at = self.list_requests + 1, None
         self.wake_at = self.next_scan_at if self.pending or self.stale_racks else self.list_due_at
         changed, self.changed = self.changed, {}
         return list(changed)
@@ -547,7 +556,7 @@
         # where only a few holders have room.
         stride = len(playback.cells) // 256
         sample = (
-            list(playback.cells)[int(self._chance() * stride) :: stride] if stride > 1 else playback.cells
+            list(playback.cells)[int(self._random() * stride) :: stride] if stride > 1 else playback.cells
         )
         if not (
             eligible := self._eligible_holders(playback, sample)
@@ -557,7 +566,7 @@
         self.unplaced_at[request_key] = now  # cleared as soon as a set-up is sent
         if (
             plan.seats
-            and self.seated(plan, playback.title) >= plan.seats
+            and self.seats_taken(plan, playback.title) >= plan.seats
             or playback.attempts
             and not self._extra_attempt_allowed(now)
         ):
@@ -565,11 +574,11 @@
         available = [
             streamer
             for streamer in eligible
-            if now >= streamer.next_attempt_at and self._cold_turn(now, streamer, len(eligible))
+            if now >= streamer.next_attempt_at and self._may_start_cold(now, streamer, len(eligible))
         ]
         if not plan.repeatable:
-            available = [streamer for streamer in available if not streamer.gap] or available
-        ordered = self._order(now, available, playback)
+            available = [streamer for streamer in available if not streamer.backoff] or available
+        ordered = self._rank_candidates(now, available, playback)
         for streamer in ordered:
             if (rung := self._choose_rung(now, playback, streamer)) is not None:
                 return self._start_set_up(now, playback, streamer, rung)
@@ -618,7 +627,7 @@
         for other in sorted(excess, key=excess.get, reverse=True):
             if freed < needed:
                 freed += excess[other]
-                self._step(now, other, fair_rungs[other])
+                self._set_rung(now, other, fair_rungs[other])
         room = freed if bottleneck is streamer else min(freed, streamer.capacity() - streamer.demand(now))
         return max(
             rung
@@ -639,42 +648,42 @@
         return [
             streamer
             for _, streamer in holders
-            if streamer.listed.standing is Standing.READY and streamer not in playback.attempted
+            if streamer.entry.standing is Standing.READY and streamer not in playback.attempted
         ]
 
-    def _order(self, now, available, playback):
+    def _rank_candidates(self, now, available, playback):
         """Sort by utilisation, and by set-up count among near ties.
 
         For a live title, the streamers at which own viewers play it go first.
         """
         # near ties: within 0.05, which is the noise of the load reports
-        use, is_live, counts = (
-            {streamer: streamer.use(now) for streamer in available},
+        utilisation, is_live, counts = (
+            {streamer: streamer.utilisation(now) for streamer in available},
             playback.plan.adds < 1,
             self.setup_counts,
         )
-        tie_limit = min(use.values(), default=0.0) + 0.05
+        tie_limit = min(utilisation.values(), default=0.0) + 0.05
         # Placement by load scatters the viewers of a live title, so that no stream is shared. Instead own
         # viewers gather, and near ties are broken by a hash of title and streamer that is the same at every
         # controller. It could harm where a few titles have nearly all viewers.
         if is_live:
             title_hash = zlib.crc32(playback.title.encode())
             counts = {
-                streamer: zlib.crc32(b"%d" % streamer.listed.id, title_hash) * 2654435761 % 2**32
+                streamer: zlib.crc32(b"%d" % streamer.entry.id, title_hash) * 2654435761 % 2**32
                 for streamer in available
             }
         ordered = sorted(
             available,
             key=lambda streamer: (
-                max(use[streamer], tie_limit),
+                max(utilisation[streamer], tie_limit),
                 counts.get(streamer, 0),
-                use[streamer],
-                self._chance(),
+                utilisation[streamer],
+                self._random(),
             ),
         )
         return sorted(ordered, key=lambda streamer: not streamer.live_group(playback)) if is_live else ordered
 
-    def seated(self, plan, title):
+    def seats_taken(self, plan, title):
         """Count the playbacks of a title and plan that take a seat: those playing or in set-up."""
         return sum(
             playback.in_progress and playback.plan is plan and playback.title == title
@@ -700,7 +709,7 @@
             usual = int(max(fmean(self.setup_durations) + 6 * pstdev(self.setup_durations), 250 * MS))
             playback.timeout = min(playback.timeout, usual, playback.plan.startup_target // 2)
         self.setup_counts[streamer] = self.setup_counts.get(streamer, 0) + 1
-        streamer.next_attempt_at, streamer.last_slot = now + streamer.gap, self._slot(now, streamer)
+        streamer.next_attempt_at, streamer.last_slot = now + streamer.backoff, self._cold_slot(now, streamer)
         self._set_state(now, playback, State.ATTEMPTING)
         streamer.playbacks[playback] = None
         self._update_own_demand(now, streamer)
@@ -721,36 +730,40 @@
     def _record_failure(self, now, streamer, ending):
         """Back off from a streamer that failed: one that errs at once looks idle, or it hangs or is gone."""
         # backoff from 1 s, doubling to 8 s: even a long fault costs only a few attempts
-        streamer.gap = min(8 * SECOND, max(SECOND, 2 * streamer.gap))
-        streamer.next_attempt_at = now + streamer.gap
-        if ending is not Ending.ERRED and streamer.down is None:
-            streamer.down, streamer.last_slot, streamer.rack.demand_cache = now, None, ()
+        streamer.backoff = min(8 * SECOND, max(SECOND, 2 * streamer.backoff))
+        streamer.next_attempt_at = now + streamer.backoff
+        if ending is not Ending.ERRED and streamer.failed_at is None:
+            streamer.failed_at, streamer.last_slot, streamer.rack.demand_cache = now, None, ()
 
     def _record_success(self, now, streamer):
         """Halve the interval between set-ups of a streamer, down to none, and end its failure."""
-        streamer.gap = streamer.gap // 2 if streamer.gap > SECOND // 4 else 0
-        streamer.next_attempt_at = now + streamer.gap
-        if streamer.down is not None:  # it is back before the list says so: its warm-up counts from now
-            streamer.down, streamer.last_slot = None, None
-            streamer.update_entry(replace(streamer.listed, started=now))
+        streamer.backoff = streamer.backoff // 2 if streamer.backoff > SECOND // 4 else 0
+        streamer.next_attempt_at = now + streamer.backoff
+        if streamer.failed_at is not None:  # it is back before the list says so: its warm-up counts from now
+            streamer.failed_at, streamer.last_slot = None, None
+            streamer.update_entry(replace(streamer.entry, started=now))
 
-    def _slot(self, now, streamer):
+    def _cold_slot(self, now, streamer):
         """Return the cold-start slot that is due, its elapsed part as the fraction; None if warm."""
         rules = self.deployment.rules
         # after a restart with an outdated list any streamer may have just started
         start = max(
-            streamer.listed.started, self.created_at * (self.began_empty and streamer not in self.proven)
+            streamer.entry.started,
+            self.created_at * (self.started_without_state and streamer not in self.proven_warm),
         )
-        if streamer.down is None and (not start or now - start >= rules.cold_for):
+        if streamer.failed_at is None and (not start or now - start >= rules.cold_for):
             return None
-        progress = max(0, now - (start if streamer.down is None else streamer.down)) / rules.cold_for
+        progress = (
+            max(0, now - (start if streamer.failed_at is None else streamer.failed_at)) / rules.cold_for
+        )
         # The integral of the cold pace, with the least pace for a streamer that failed. The shape of the ramp
         # is not known, so capacity is assumed to rise late.
         return streamer.max_playbacks * (
-            rules.cold_share * progress + (streamer.down is None) * (1 - rules.cold_share) * progress**3 / 3
+            rules.cold_share * progress
+            + (streamer.failed_at is None) * (1 - rules.cold_share) * progress**3 / 3
         )
 
-    def _cold_turn(self, now, streamer, choices):
+    def _may_start_cold(self, now, streamer, choices):
         """Return whether a set-up may go to the streamer: it is warm, or the cold-start turn is this one's.
 
         Controllers take turns by rank at the cold pace, so that all of them together stay under the stated
@@ -758,7 +771,7 @@
         of it.
         """
         slot, rules, (rank, ranks) = (
-            self._slot(now, streamer),
+            self._cold_slot(now, streamer),
             self.deployment.rules,
             self.cold_start_turn or (0, 0),
         )
@@ -779,13 +792,13 @@
             / rules.fall_window
             / len(self.arrival_times)
         )
-        start_known = streamer.down is not None or now - streamer.listed.started < rules.cold_for
+        start_known = streamer.failed_at is not None or now - streamer.entry.started < rules.cold_for
         most_ranks = (limit + 2 * limit**0.5) / (int(window_setups) + 2) if start_known else ranks
         ranks_per_turn = max(
             1, int(min(0.25 * slots_per_arrival * (1 if start_known else choices), most_ranks, ranks))
         )
         # the prime spreads the turns of streamers whose ids are consecutive
-        is_own_turn = (int(slot) * ranks_per_turn + 7919 * streamer.listed.id - rank) % ranks < ranks_per_turn
+        is_own_turn = (int(slot) * ranks_per_turn + 7919 * streamer.entry.id - rank) % ranks < ranks_per_turn
         return (
             is_own_turn
             and slot % 1 < slot_share
@@ -799,27 +812,29 @@
         """
         streamer.rack.demand_cache, at_time = (), now if is_current else now - self.deployment.links.lag
         if link is not None and 0 <= link < 100:
-            streamer.heard.append((now, max(0.0, link * streamer.capacity() - streamer.own_demand(at_time))))
+            streamer.load_reports.append(
+                (now, max(0.0, link * streamer.capacity() - streamer.own_demand(at_time)))
+            )
             self.reporting_streamers[streamer] = None
         # The capacity of an uplink is its demand over its utilisation. Where fewer than half of the rack's
         # streamers reported lately, the sum of their demands is mostly guesses, and the report of the uplink
         # is taken as the demand instead.
         if uplink is not None and 0.05 < uplink < 100:
             rack, oldest = streamer.rack, now - 5 * SECOND
-            few_reports = 2 * sum(peer.heard[-1][0] > oldest for peer in rack.streamers if peer.heard) < len(
-                rack.streamers
-            )
+            few_reports = 2 * sum(
+                peer.load_reports[-1][0] > oldest for peer in rack.streamers if peer.load_reports
+            ) < len(rack.streamers)
             rack.reported_demand = (
                 (now, max(0.0, uplink * rack.nominal_capacity - rack.own_demand(at_time)))
                 if few_reports
                 else None
             )
-            rack.seen.append(
+            rack.capacity_samples.append(
                 (now, rack.nominal_capacity if few_reports else rack.demand(now, at_time) / uplink)
             )
         self.stale_racks[streamer.rack] = None
 
-    def _chance(self):
+    def _random(self):
         """Return the next number of the seeded random sequence, from 0 up to 1."""
         self.draw_count += 1
         # multiplied, as crc32 alone is linear: two seeds would put all their draws in the same order
@@ -867,13 +882,13 @@
         reported = [
             min(kb, streamer.link_capacity)
             for streamer in self.reporting_streamers
-            if streamer.listed.standing is ready
-            for _, kb in streamer.heard
+            if streamer.entry.standing is ready
+            for _, kb in streamer.load_reports
         ]
         used = [
             streamer
             for streamer in sorted(self.used_streamers, key=lambda streamer: streamer.position)
-            if streamer.listed.standing is ready
+            if streamer.entry.standing is ready
         ]
         own_demand, own_scale = (
             sum(streamer.own_demand() for streamer in used),
@@ -897,8 +912,8 @@
         It corrects the uplink's capacity where the link has room and the rest of the rack falls short too;
         where the rest doesn't, the streamer itself is stalled.
         """
-        previous_share = streamer.shares[-1][1] if streamer.shares else 1.0
-        streamer.shares.append((now, share))
+        previous_share = streamer.delivery_reports[-1][1] if streamer.delivery_reports else 1.0
+        streamer.delivery_reports.append((now, share))
         self.stale_racks[streamer.rack] = None
         if share >= 0.98 or share >= previous_share:
             return  # a rising share shows that the last reduction works
@@ -907,16 +922,16 @@
             self._record_failure(now, streamer, Ending.ERRED)
         # delivery reports are smoothed over seconds: for 2 s after a correction they show the old shortage
         elif (
-            streamer.use(now) < 0.97
+            streamer.utilisation(now) < 0.97
             and streamer.rack_is_short(now)
             and rack.since_correction(now) > lag + 2 * SECOND
         ):
-            rack.seen = deque([(now, rack.demand(now, now - lag) * max(0.3, share))], maxlen=4)
-        elif not self.deployment.links.told and not streamer.rack_is_short(now):
+            rack.capacity_samples = deque([(now, rack.demand(now, now - lag) * max(0.3, share))], maxlen=4)
+        elif not self.deployment.links.answers_report_load and not streamer.rack_is_short(now):
             # No set-up answer tells the utilisation here, so a full link would look idle. The figure doesn't
             # count in the typical demand, as only short streamers give one. It could harm where a streamer is
             # slow for another reason.
-            streamer.heard.append(
+            streamer.load_reports.append(
                 (now, max(0.0, streamer.link_capacity / max(0.3, share) - streamer.own_demand(now - lag)))
             )
 
@@ -1025,10 +1040,14 @@
             demand, own_demand, capacity = link.demand(now), link.own_demand(), link.capacity(now)
             # The nominal capacity of an uplink is a mean, so only one measured lately causes cuts. A tenth
             # over may be noise of the load reports, but not where short deliveries measured it (one sample).
-            tolerance = 1.03 if link is rack and len(rack.seen) == 1 else 1.1
+            tolerance = 1.03 if link is rack and len(rack.capacity_samples) == 1 else 1.1
             overloaded = demand > tolerance * capacity and (uplink_measured or link is not rack)
             reported_at = (
-                max([t for t, _ in (link.seen if link is rack else link.heard)], default=lag + 1) - lag
+                max(
+                    [t for t, _ in (link.capacity_samples if link is rack else link.load_reports)],
+                    default=lag + 1,
+                )
+                - lag
             )
             cut[link] = (
                 (demand - capacity) * own_demand / demand
@@ -1050,7 +1069,7 @@
                 kb = playback.rates[playback.rung] - playback.rates[fair_rung]
                 for link in (streamer, rack):
                     link.lowered_at, cut[link] = now if cut[link] > 0 else link.lowered_at, cut[link] - kb
-                self._step(now, playback, fair_rung)
+                self._set_rung(now, playback, fair_rung)
             # 8 s between steps keep a playback under the three changes a minute that docs/design.md allows
             elif (
                 playback.rung < fair_rung
@@ -1073,11 +1092,11 @@
                             now,
                         )
                         part[streamer], part[rack] = part[streamer] - kb, part[rack] - kb
-                        if probability >= 1 or uplink_measured and self._chance() < probability:
-                            self._step(now, playback, rung)
+                        if probability >= 1 or uplink_measured and self._random() < probability:
+                            self._set_rung(now, playback, rung)
                         break
 
-    def _step(self, now, playback, rung):
+    def _set_rung(self, now, playback, rung):
         """Change the rung of a playback that plays; the host is told by the result of the call."""
         playback.rung, playback.rung_changed_at, self.changed[playback] = rung, now, None
         self._update_own_demand(now, playback.streamer)
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/sight.py
@@ -58,7 +58,7 @@
         self.told |= warm.keys()
         if warm or handed != self.handed:
             self.handed = handed
-            self.runner.run(self.core.among, *handed, warm)
+            self.runner.run(self.core.fleet_changed, *handed, warm)
 
     def _turn(self, now):
         """As settled; until this run has heard of that, as its last run knew, for as long as that counts:
@@ -81,10 +81,10 @@
         out = []
         for id, streamer in self.core.controller.streamers.items():
             line, last = self.listing.line_of(id), self.last.get(id)
-            ill = streamer.next_attempt_at - streamer.gap if streamer.gap else streamer.down or 0
+            ill = streamer.next_attempt_at - streamer.backoff if streamer.backoff else streamer.failed_at or 0
             if line is None or last is None and now - ill > FADES:
                 continue
-            use = min(999, int(100 * streamer.use(now)))
+            use = min(999, int(100 * streamer.utilisation(now)))
             out.append((line.address, self.clock.to_wall_ns(line.started), last or ill, ill, use))
         return out
 
--- a/terndrift/fleet/site.py
+++ b/terndrift/fleet/site.py
@@ -139,7 +139,7 @@
         return [
             n
             for n, s in some
-            if s and s.down is not None and now - (s.next_attempt_at - s.gap) < OF_LATE * SECOND
+            if s and s.failed_at is not None and now - (s.next_attempt_at - s.backoff) < OF_LATE * SECOND
         ]
 
     def permits(self, id):
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/surge.py
@@ -109,7 +109,7 @@
         self.went_by = level
         streamers = self.core.controller.streamers
         for id in self.pending:
-            if (s := streamers.get(id)) is not None and s.gap:
+            if (s := streamers.get(id)) is not None and s.backoff:
                 self.found.failed(now, self.address(id))
         self.pending.clear()
         # of those not answered yet alone: what plays is many times as much, and looked at ten times a second
@@ -127,11 +127,11 @@
         told = self.leases.left(now, "extra"), found, self.book.advice(rides.back, asked)
         if told != self.told or None not in told:
             self.told = told
-            self.runner.run(self.core.limits, *told)
+            self.runner.run(self.core.fleet_limits_changed, *told)
 
     def _aside(self):
         streamers = self.core.controller.streamers
-        return {self.address(id): s.down is not None for id, s in streamers.items() if s.gap}
+        return {self.address(id): s.failed_at is not None for id, s in streamers.items() if s.backoff}
 
     def _beside(self, now):
         found = self.found.table(now, self._aside(), self.controller.loads.rides(now).found)
--- a/terndrift/http/front.py
+++ b/terndrift/http/front.py
@@ -303,7 +303,7 @@
             if relay.waited(now) > self.stall:
                 relay.give_up()
         for streamer, share in self.meter.due_reports(now):
-            self.runner.run(self.runner.core.told_share, streamer, share)
+            self.runner.run(self.runner.core.delivery_reported, streamer, share)
         for seat in self.seats.silent(now):
             self._over(seat)
 
@@ -377,7 +377,10 @@
         said, figures = report(headers)
         if figures and front.report_limiter.may_pass(now, self.streamer):
             front.runner.run(
-                front.runner.core.told_use, self.seat.playback, figures.get("link"), figures.get("uplink")
+                front.runner.core.utilisation_reported,
+                self.seat.playback,
+                figures.get("link"),
+                figures.get("uplink"),
             )
         if code != 200:
             return None
--- a/terndrift/interface.py
+++ b/terndrift/interface.py
@@ -11,7 +11,7 @@
     ABORTED     answer "failed"
 
 HELD and ENDED need nothing. The host must call `wake` at `Controller.wake_at` (None: not needed); an early or
-a late call does no harm. `Controller.list_calls` counts the requests for the server list and its later
+a late call does no harm. `Controller.list_requests` counts the requests for the server list and its later
 changes: when it has risen, the host must request the list. The calls:
 
     list_changed(now, entries, complete, cached)
@@ -30,11 +30,11 @@
         the set-up in progress succeeded
     attempt_ended(now, playback_id, ending, took, finished, streamer_id, report)
         a set-up, or what played, is over
-    told_rung(now, playback_id, rung)
+    rung_reported(now, playback_id, rung)
         the rung in force of a playback, as of one handed over
-    told_share(now, streamer_id, share)
+    delivery_reported(now, streamer_id, share)
         the share of their rates that playbacks at the streamer got, `Links.lag` ago
-    told_use(now, playback_id, streamer_id, link, uplink)
+    utilisation_reported(now, playback_id, streamer_id, link, uplink)
         the utilisation of a streamer's link and of its rack's uplink (None: not reported); current at the
         set-up of the playback, `Links.lag` old if it comes later
     viewer_left(now, playback_id)
@@ -43,11 +43,11 @@
         a message of another controller of the same deployment
     probe_answer(now, streamer, ending, took, report)
         the outcome of a probe
-    among(now, controllers, cold_start_turn, warm_ids)
+    fleet_changed(now, controllers, cold_start_turn, warm_ids)
         what a fleet has agreed on and knows: the number of controllers; this one's turn at the cold pace,
         (rank, ranks), so that no two have the same, or None: no turn now; ids of streamers proven to have run
         since the start that the list gives
-    limits(now, extra_attempts, findings, advice)
+    fleet_limits_changed(now, extra_attempts, findings, advice)
         what the members of a fleet together allow and have found, until the next call: attempts beyond the
         first that may be made (None: no limit); id of a streamer -> True: it may be attempted now, False: it
         errs, and other members attempt it in turn, None: as False, and it seems dead, so it may come back
@@ -143,7 +143,7 @@
     places: dict  # kind of streamer -> most playbacks that it runs
     lag: int  # ns by which delivered shares and the utilisation reported while playing are out of date
     refuses_from: float  # link utilisation from which a streamer refuses set-ups; 0: never
-    told: bool = True  # answers to set-ups report the utilisation of the link
+    answers_report_load: bool = True  # answers to set-ups report the utilisation of the link
 
 
 @dataclass(frozen=True)
@@ -184,7 +184,7 @@
 
 
 @dataclass(frozen=True)
-class Listed:
+class ListEntry:
     """An entry of the server list."""
 
     id: int
--- a/terndrift/listing/lines.py
+++ b/terndrift/listing/lines.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from terndrift.interface import Listed, Standing
+from terndrift.interface import ListEntry, Standing
 
 # From what is best to what is worst: of two words on one streamer the worse is believed.
 ORDER = ("ready", "draining", "gone")
@@ -53,7 +53,7 @@
 def entry(line, id, standing=None):
     """The line as the decisions take it: a streamer is a cell of its own, so that a title's holders can be
     any set of them."""
-    return Listed(
+    return ListEntry(
         id,
         line.kind,
         line.zone,
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -181,7 +181,7 @@
             connection.send(release(message.id, m.UNUSABLE))
             return
         if self.closing:
-            self._send_rejection(connection, message.id, self.runner.core.controller.advice)
+            self._send_rejection(connection, message.id, self.runner.core.controller.retry_advice)
             return
         if retry_after := self.admission.admit(now, connection):
             self._send_rejection(connection, message.id, retry_after)
--- a/terndrift/platform/settings.py
+++ b/terndrift/platform/settings.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 from terndrift import terms
-from terndrift.interface import Listed, Standing
+from terndrift.interface import ListEntry, Standing
 from terndrift.platform.descriptors import Descriptors, shared_out
 from terndrift.terms import Malformed
 
@@ -112,7 +112,7 @@
 
 
 def listed(row, layout, clock):
-    """Parses a row of the server list into (Listed, streamer name, "host:port"); raises Malformed.
+    """Parses a row of the server list into (ListEntry, streamer name, "host:port"); raises Malformed.
 
     `layout` maps cells to racks; `clock` converts the wall-clock start time to the controller's own time.
     """
@@ -121,7 +121,7 @@
         standing = STANDING_BY_HEALTH[row["health"]]
         started_ms = int(row.get("born_ms") or 0)
         return (
-            Listed(
+            ListEntry(
                 id=streamer_id(name),
                 kind=str(row.get("class", "")),
                 zone=str(row.get("site", "")),
--- a/terndrift/platform/transport.py
+++ b/terndrift/platform/transport.py
@@ -484,13 +484,13 @@
             return
         self.log.debug("note", streamer=peer.id, pb=playback.id, name=name, value=value)
         if name == "served":
-            run(core.told_share, peer.id, value)
+            run(core.delivery_reported, peer.id, value)
         elif name == "at_rung":
-            run(core.rung_stands, playback, int(value))
+            run(core.rung_change_refused, playback, int(value))
         elif name == "link_use":
-            run(core.told_use, playback, value, None)
+            run(core.utilisation_reported, playback, value, None)
         elif name == "rack_use":
-            run(core.told_use, playback, None, value)
+            run(core.utilisation_reported, playback, None, value)
 
     def _attempt_over(self, attempt, ending, report=None):
         """Ends an attempt that did not lead to a playback; every such attempt ends here. Repeats are
--- a/terndrift/rehearse/baselines.py
+++ b/terndrift/rehearse/baselines.py
@@ -6,14 +6,14 @@
 class Random(Controller):
     """Any holder, by chance."""
 
-    def _order(self, now, able, pb):
-        return sorted(able, key=lambda s: self._chance())
+    def _rank_candidates(self, now, able, pb):
+        return sorted(able, key=lambda s: self._random())
 
 
 class RoundRobin(Controller):
     """The holder that was used longest ago."""
 
-    def _order(self, now, able, pb):
+    def _rank_candidates(self, now, able, pb):
         last = self.__dict__.setdefault("last_used", {})
         return sorted(able, key=lambda s: last.get(s, 0))
 
@@ -25,8 +25,8 @@
 class LeastConnections(Controller):
     """The holder with the fewest of this controller's own playbacks."""
 
-    def _order(self, now, able, pb):
-        return sorted(able, key=lambda s: (len(s.playbacks), self._chance()))
+    def _rank_candidates(self, now, able, pb):
+        return sorted(able, key=lambda s: (len(s.playbacks), self._random()))
 
 
 POLICIES = {
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -17,7 +17,7 @@
 from terndrift.core.delivery import DeliveryMeter, ReportRateLimiter
 from terndrift.decide import Controller
 from terndrift.hints.meaning import kbit
-from terndrift.interface import Ending, Listed, Standing
+from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.rehearse.draw import drawn
 
 SECOND = 1_000_000_000
@@ -106,7 +106,7 @@
 
     def second(self):
         for streamer, share in self.meter.due_reports(self.world.now):
-            self.run(self.core.told_share, streamer, share)
+            self.run(self.core.delivery_reported, streamer, share)
         self.world.after(SECOND, self.second)
 
     # What the core calls.
@@ -248,7 +248,7 @@
         w.note("streamers", "media", streamer=s.id, pb=playback.id, rung=playback.rung)
         figures = s.figures(False)
         if front.report_limiter.may_pass(w.now, s.id):
-            front.run(front.core.told_use, playback, figures["link"], figures["uplink"])
+            front.run(front.core.utilisation_reported, playback, figures["link"], figures["uplink"])
         took = int(piece / s.speed())
         w.after(took, self._came, s, rate, took)
 
@@ -323,7 +323,7 @@
     def run(self):
         """Plays the day to its end; the notes are `notes`."""
         listed = [
-            Listed(r["id"], r["kind"], "", r["id"], r["rack"], Standing.READY, 1.0, 0)
+            ListEntry(r["id"], r["kind"], "", r["id"], r["rack"], Standing.READY, 1.0, 0)
             for r in self.drawn.streamers
         ]
         for s in self.streamers.values():
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -11,7 +11,7 @@
 from terndrift.fleet.sight import Sight
 from terndrift.fleet.site import OfLate
 from terndrift.fleet.stages import HOLDS, Return
-from terndrift.interface import Ending, Listed, Standing
+from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.rehearse import virtual
 from terndrift.rehearse.virtual import SECOND, WAY
 
@@ -233,7 +233,7 @@
 
     def run(self):
         for front in self.fronts:
-            front.core.controller.began_empty = False  # as if the fleet had run for long
+            front.core.controller.started_without_state = False  # as if the fleet had run for long
             self._told(front)
         self.after(STEP, self._members)
         self.at(self.now + virtual.EARLY + self.kill_at, self._kill)
@@ -273,7 +273,7 @@
     def listed(self, ids=None):
         some = [r for r in self.drawn.streamers if ids is None or r["id"] in ids]
         return [
-            Listed(r["id"], r["kind"], "", r["id"], r["rack"], standing, 1.0, started)
+            ListEntry(r["id"], r["kind"], "", r["id"], r["rack"], standing, 1.0, started)
             for r in some
             for standing, started in [self.list_of[r["id"]]]
         ]
--- a/terndrift/sip/front.py
+++ b/terndrift/sip/front.py
@@ -155,7 +155,7 @@
                     call.side.propose(now, body, lambda *_: None)
             elif code and playback.stage is PlaybackStage.PLAYING:
                 self.log.info("rung refused", pb=playback.id, code=code, rung=rung, stays=before)
-                self.runner.run(self.runner.core.rung_stands, playback, before)
+                self.runner.run(self.runner.core.rung_change_refused, playback, before)
 
         leg.side.propose(self.runner.clock.now(), self._offer(call, playback, rung), done)
 
--- a/terndrift/terms.py
+++ b/terndrift/terms.py
@@ -333,7 +333,7 @@
             places={kind: limit for kind, limit in zip(kinds, places, strict=True) if limit},
             lag=whole(settings, "family_info.see_ns", 0, 0),
             refuses_from=read_float(settings, "family_info.refuses_from", 0, 0),
-            told=settings.get("load_report.how", "answers") == "answers"
+            answers_report_load=settings.get("load_report.how", "answers") == "answers"
             and any(REPORT_VALUE_NAMES.get(field) == "link" for field in report_fields),
         ),
         rules=Rules(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,14 +3,14 @@
 import itertools
 
 from terndrift.decide import Controller, State
-from terndrift.interface import Deployment, Ending, Ladder, Links, Listed, Plan, Rules, Standing
+from terndrift.interface import Deployment, Ending, Ladder, Links, ListEntry, Plan, Rules, Standing
 
 MS = 1_000_000
 S = 1000 * MS
 T0 = 1000 * S
 
 
-def deployment(rank=0, controllers=2, told=True, **rules):
+def deployment(rank=0, controllers=2, answers_report_load=True, **rules):
     plans = {
         "free": Plan("free", 1.0, 1.0, 0, 3, 0, S, True),
         "paid": Plan("paid", 2.0, 1.0, 1, 3, 2, S, False),
@@ -31,12 +31,12 @@
         peers=False,
     )
     ladder = Ladder((100.0, 200.0, 400.0, 800.0), (0.25, 0.5, 0.75, 1.0), 6.0, S // 2)
-    links = Links(2000.0, 9000.0, {"box": 20}, S, 0.0, told)
+    links = Links(2000.0, 9000.0, {"box": 20}, S, 0.0, answers_report_load)
     return Deployment(7, rank, controllers, "here", plans, ladder, links, Rules(**{**base, **rules}))
 
 
 def line(id, cell=0, standing=Standing.READY, started=0, weight=1.0, racks=2):
-    return Listed(id, "box", "here", cell, cell % racks, standing, weight, started)
+    return ListEntry(id, "box", "here", cell, cell % racks, standing, weight, started)
 
 
 class Front:
@@ -48,7 +48,7 @@
         self.c = Controller(self.d, self.now)
         self.model = Model(self.d)
         if warm:  # a front that was handed something knows that it has not just restarted
-            self.c.began_empty = False
+            self.c.started_without_state = False
         self.list([line(n, cell=n % 4, racks=racks) for n in range(streamers)], whole=True)
 
     def _seen(self, changed):
@@ -74,15 +74,15 @@
         self.model.ended(pb, ending)
         return self._seen(
             self.c.attempt_ended(
-                self.now, pb.id, ending, 50 * MS, finished, pb.streamer.listed.id, report or {}
+                self.now, pb.id, ending, 50 * MS, finished, pb.streamer.entry.id, report or {}
             )
         )
 
     def use(self, streamer, link=None, uplink=None):
-        return self._seen(self.c.told_use(self.now, "", streamer, link, uplink))
+        return self._seen(self.c.utilisation_reported(self.now, "", streamer, link, uplink))
 
     def share(self, streamer, share):
-        return self._seen(self.c.told_share(self.now, streamer, share))
+        return self._seen(self.c.delivery_reported(self.now, streamer, share))
 
     def pass_time(self, ns, step=50 * MS):
         """Lets time pass, the host waking the front; what is out past its time-out falls silent."""
@@ -136,7 +136,7 @@
                 self.held[id] = True
 
     def check_send(self, now, pb, plan, title, due):
-        rules, e = self.d.rules, self.streamers.get(pb.streamer.listed.id)
+        rules, e = self.d.rules, self.streamers.get(pb.streamer.entry.id)
         assert pb.id not in self.out, "two attempts out at once"
         assert pb.id not in self.answers and now < due
         assert plan.repeatable or pb.id not in self.ran, "a paid set-up was resent"
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -295,7 +295,7 @@
         self.core, self.transport = self.service.core, self.service.transport
         # By default a controller that has just started assumes that the streamers may have just started too;
         # tests of that set it themselves.
-        self.core.controller.began_empty = False
+        self.core.controller.started_without_state = False
         self.service.start()
         return self
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -114,6 +114,6 @@
     ):
         assert codec.parse_load_report({"telemetry": telemetry}, fields.split(",")).get("link") == link
         links = terms.deployment({"family_info.rung_kb": "100", "load_report.fields": fields})[0].links
-        assert links.told == (fields != "waiting,rps")
+        assert links.answers_report_load == (fields != "waiting,rps")
     probe_only = {"family_info.rung_kb": "100", "load_report.fields": "x0", "load_report.how": "probe"}
-    assert not terms.deployment(probe_only)[0].links.told
+    assert not terms.deployment(probe_only)[0].links.answers_report_load
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -131,7 +131,7 @@
 
 @in_world
 async def test_a_cold_streamer_pushed_over_breaks_the_fourth_rule(world):
-    world.service.core.controller._cold_turn = lambda *_: True
+    world.service.core.controller._may_start_cold = lambda *_: True
     one = world.fleet.streamers[1]
     one.die()
     one.start(cold=True)
@@ -160,7 +160,7 @@
 
 @in_world
 async def test_more_playbacks_than_seats_break_the_fifth_rule(world):
-    world.service.core.controller.seated = lambda *_: 0
+    world.service.core.controller.seats_taken = lambda *_: 0
     await asyncio.gather(*(world.player("seat", f"v{n}", seconds=1.0).watch() for n in range(4)))
     assert broken(world) == {"terms"}
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -32,7 +32,7 @@
     def _new_controller(self, rank, entries=()):
         own_deployment = replace(self.deployment, rank=rank, seed=self.random.getrandbits(32))
         controller = Controller(own_deployment, self.now)
-        controller.began_empty = bool(entries)  # after a restart any streamer may be new
+        controller.started_without_state = bool(entries)  # after a restart any streamer may be new
         controller.list_changed(self.now, list(entries), True, bool(entries))
         return controller
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -52,7 +52,7 @@
     def __init__(self, streamers=4, **rules):
         self.now, self.transport, self.answers, self.events = T0, ScriptedTransport(), {}, []
         self.core = Core(deployment(**rules), T0, "c0", S, lambda e, p, **f: self.events.append((e, p)))
-        self.core.controller.began_empty = False
+        self.core.controller.started_without_state = False
         self.core.list_changed(T0, [line(n, n % 4) for n in range(streamers)], True, False)
 
     def want(self, plan="free", time_left=4 * S, title="t"):
@@ -186,7 +186,7 @@
 def test_baseline_policies_place_playbacks():
     for policy in (Random, RoundRobin, LeastConnections):
         core = Core(deployment(), T0, "c0", S, decisions=policy)
-        core.controller.began_empty = False
+        core.controller.started_without_state = False
         core.list_changed(T0, [line(n, n % 4) for n in range(4)], True, False)
         transport = ScriptedTransport()
         for n in range(4):
@@ -256,7 +256,7 @@
             standing = [Standing.READY, Standing.DRAINING, Standing.GONE][variant % 3]
             harness.core.list_changed(harness.now, [line(choice % 4, choice % 4, standing)], False, False)
         elif action == "share":
-            harness.core.told_share(harness.now, choice % 4, choice / 999)
+            harness.core.delivery_reported(harness.now, choice % 4, choice / 999)
         elif action == "wait":
             harness.wait((choice % 40) * 25 * MS)
         for playback in [p for p, _ in harness.transport.sends]:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -326,7 +326,7 @@
     await until(lambda: world.service.feed.retried_event == 2)
     world.feed.events[-1]["members"]["hosts"][0] = world.streamers[0].row("draining")
     streamer = world.by_name("s-00000000")
-    await until(lambda: streamer.listed.standing is Standing.DRAINING)
+    await until(lambda: streamer.entry.standing is Standing.DRAINING)
     assert not [entry for entry in world.said if entry[0] == "warning"]
 
 
@@ -335,10 +335,10 @@
     rows = [s.row() for s in world.streamers[:2]]
     world.feed.tell(rows[0], {**rows[1], "share": []}, whole=True)
     await until(lambda: world.service.feed.retried_event == 2)
-    standings = {s.name: world.by_name(s.name).listed.standing for s in world.streamers}
+    standings = {s.name: world.by_name(s.name).entry.standing for s in world.streamers}
     assert set(standings.values()) == {Standing.READY}
     world.feed.events[-1]["members"]["hosts"][1] = rows[1]
     await until(lambda: world.service.feed.held == 2)
-    assert world.by_name("s-00000002").listed.standing is Standing.GONE
-    assert world.by_name("s-00000001").listed.standing is Standing.READY
+    assert world.by_name("s-00000002").entry.standing is Standing.GONE
+    assert world.by_name("s-00000001").entry.standing is Standing.READY
     assert settings.streamer_id("s-00000001") in world.transport.peers
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
     front.use(0, link=0.8)
     for n in (1, 2, 3):
         front.use(n, link=0.3 if n == 2 else 0.6)
-    assert front.want().streamer.listed.id == 2
+    assert front.want().streamer.entry.id == 2
     front = Front()
     assert len({front.want(title=str(n)).streamer for n in range(4)}) == 4
 
@@ -61,13 +61,13 @@
     front.end(failed, Ending.ERRED)
     for _ in range(3):
         assert front.want(title="u").streamer is not erring
-    gap = erring.gap
-    front.pass_time(gap)
+    backoff = erring.backoff
+    front.pass_time(backoff)
     front.c._record_success(front.now, erring)
-    assert erring.gap == gap // 2
+    assert erring.backoff == backoff // 2
     for _ in range(4):
         front.c._record_success(front.now, erring)
-    assert erring.gap == 0, "no backoff is left"
+    assert erring.backoff == 0, "no backoff is left"
 
 
 def test_errors_over_a_title_that_never_played_do_not_count_against_streamers():
@@ -77,11 +77,11 @@
         while unknown.state is State.ATTEMPTING:
             front.end(unknown, Ending.ERRED)
         assert unknown.state is State.REJECTED and len(unknown.attempted) == 4
-    assert not any(streamer.gap for streamer in front.c.streamers.values())
+    assert not any(streamer.backoff for streamer in front.c.streamers.values())
     assert front.want().state is State.ATTEMPTING, "other viewers must be placed"
     silent = front.want(title="ghost")
     front.pass_time(silent.timeout + 50 * MS)
-    assert silent.attempted[0].gap, "silence counts against the streamer whatever was requested"
+    assert silent.attempted[0].backoff, "silence counts against the streamer whatever was requested"
 
 
 def test_accepted_times_are_bounded_without_a_budget_of_extra_attempts():
@@ -136,13 +136,13 @@
     assert front.want("paid").state is State.HELD
     assert front.want("paid", title="other").state is State.ATTEMPTING
     front.end(two, Ending.FULL)
-    assert two.state is State.ATTEMPTING and front.c.seated(two.plan, two.title) == 2
+    assert two.state is State.ATTEMPTING and front.c.seats_taken(two.plan, two.title) == 2
 
 
 def test_no_set_up_goes_to_streamers_that_drain_or_are_gone():
     front = Front(streamers=2)
     front.list([line(0, 0, Standing.DRAINING)])
-    assert {front.want().streamer.listed.id for _ in range(3)} == {1}
+    assert {front.want().streamer.entry.id for _ in range(3)} == {1}
     front.list([], whole=True)
     assert front.want() is None, "without a holder it must be rejected at once"
 
@@ -174,10 +174,10 @@
     playback = front.want()
     front.end(playback, Ending.UNREACHED)
     failed_streamer = front.c.streamers[0]
-    assert failed_streamer.down is not None
+    assert failed_streamer.failed_at is not None
     front.pass_time(8 * S)
     front.c._record_success(front.now, failed_streamer)
-    assert failed_streamer.listed.started == front.now, "its warm-up must count from its first success"
+    assert failed_streamer.entry.started == front.now, "its warm-up must count from its first success"
 
 
 def test_a_high_load_report_fades_so_that_the_streamer_is_used_again():
@@ -186,7 +186,7 @@
     front.use(1, link=0.5)
     front.pass_time(20 * S)
     front.use(1, link=0.5)
-    assert front.c.streamers[0].use(front.now) < 1.8, "the reported load must fade"
+    assert front.c.streamers[0].utilisation(front.now) < 1.8, "the reported load must fade"
 
 
 def report_shares(front, shares):
@@ -201,15 +201,15 @@
 
 def test_one_short_delivery_report_is_not_blamed_on_the_uplink():
     streamer = report_shares(Front(racks=1), [0.9, 0.8])
-    assert not streamer.rack.seen
+    assert not streamer.rack.capacity_samples
     streamer = report_shares(Front(streamers=1), [0.9])
-    assert streamer.rack.capacity(streamer.rack.seen[-1][0]) < 9000, (
+    assert streamer.rack.capacity(streamer.rack.capacity_samples[-1][0]) < 9000, (
         "without others of the rack in use the uplink is blamed"
     )
     front = Front(racks=1)
     streamer = report_shares(front, [0.9])
     front.share(1, 0.9)
-    assert not streamer.rack.seen, "one other short streamer of three is not enough"
+    assert not streamer.rack.capacity_samples, "one other short streamer of three is not enough"
     front.share(2, 0.9)
     assert streamer.rack.capacity(front.now) < 9000, "with half of the others short too the uplink is blamed"
     front.pass_time(60 * S)
@@ -218,16 +218,16 @@
 
 def test_a_streamer_that_delivers_next_to_nothing_is_backed_off():
     streamer = report_shares(Front(racks=1), [0.6, 0.4])
-    assert streamer.gap and not streamer.rack.seen
+    assert streamer.backoff and not streamer.rack.capacity_samples
 
 
 def test_a_handed_over_playback_keeps_its_rung_until_there_is_room_to_rise():
     front = Front(streamers=1)
     front.model.taken(front.now, "old", "free", "t", front.now + 900 * S)
     front.c.adopt_playback(front.now, "old", "free", "t", frozenset(range(4)), 3, 900 * S, 0, False, 0)
-    front.c.told_rung(front.now, "old", 1)
+    front.c.rung_reported(front.now, "old", 1)
     playback = front.c.playbacks["old"]
-    assert playback.rung == 1 and front.c.seated(playback.plan, "t") == 1
+    assert playback.rung == 1 and front.c.seats_taken(playback.plan, "t") == 1
     front.pass_time(3 * S)
     front.use(0, link=0.1)
     front.pass_time(S)
@@ -295,14 +295,14 @@
     front = Front(streamers=0)
     front.list([line(n, cell=n, standing=Standing.DRAINING if n else Standing.READY) for n in range(2000)])
     playback = front.want(cells=2000)
-    assert playback.state is State.ATTEMPTING and playback.streamer.listed.id == 0, (
+    assert playback.state is State.ATTEMPTING and playback.streamer.entry.id == 0, (
         "the only streamer that is ready"
     )
     front = Front(streamers=0)
     front.list([line(n, cell=n) for n in range(2000)])
     assert len({front.want(cells=2000).streamer for n in range(60)}) == 60
     considered = []
-    front.c._order = lambda now, able, playback: considered.append(len(able)) or able
+    front.c._rank_candidates = lambda now, able, playback: considered.append(len(able)) or able
     front.want(cells=2000)
     assert considered[0] <= 300
 
@@ -310,14 +310,14 @@
 def test_list_requests_are_staggered_by_rank_and_retried_with_backoff():
     fronts = [Front(rank=rank, controllers=4, list_within=10 * S) for rank in range(4)]
     for front in fronts:
-        assert front.c.list_calls == 0 or front.d.rank == 0
+        assert front.c.list_requests == 0 or front.d.rank == 0
         front.pass_time(3 * S)
-        assert front.c.list_calls == 1
+        assert front.c.list_requests == 1
     front, pauses = fronts[0], []
     for _ in range(5):
         front.c.list_failed(front.now)
-        calls, since = front.c.list_calls, front.now
-        while front.c.list_calls == calls:
+        calls, since = front.c.list_requests, front.now
+        while front.c.list_requests == calls:
             front.pass_time(50 * MS)
         pauses.append(front.now - since)
     assert pauses[0] <= 2 * S and max(pauses) <= 8 * S and pauses[-1] > pauses[0], (
@@ -325,23 +325,23 @@
     )
     front.list([line(0)])
     front.pass_time(60 * S)
-    assert front.c.list_calls == calls + 1, "no request while the list comes"
+    assert front.c.list_requests == calls + 1, "no request while the list comes"
 
 
 def test_a_list_that_comes_unrequested_is_never_requested():
     front = Front()
     front.c.list_failed(front.now)
     front.pass_time(60 * S)
-    assert front.c.list_calls == 0 and front.c.wake_at is None
+    assert front.c.list_requests == 0 and front.c.wake_at is None
 
 
 def test_viewers_of_a_live_title_are_placed_together_and_share_a_stream():
     front = Front(streamers=4)
     one = front.want("live", "match")
     front.play(one)
-    for other in {0, 1, 2, 3} - {one.streamer.listed.id}:
+    for other in {0, 1, 2, 3} - {one.streamer.entry.id}:
         front.use(other, link=0.0)
-    front.use(one.streamer.listed.id, link=0.2)
+    front.use(one.streamer.entry.id, link=0.2)
     two, three = front.want("live", "match"), front.want("live", "other")
     assert two.streamer is one.streamer, "the streamer of the stream must be chosen though others are idle"
     assert three.streamer is not one.streamer, "another title must be placed by load"
@@ -362,23 +362,23 @@
     for front in fronts:
         front.c.draw_count = front.d.rank  # in production their seeds differ
     chosen = {
-        plan: {front.want(plan, "match", cells=8).streamer.listed.id for front in fronts}
+        plan: {front.want(plan, "match", cells=8).streamer.entry.id for front in fronts}
         for plan in ("live", "free")
     }
     assert len(chosen["live"]) == 1 and len(chosen["free"]) > 1
 
 
 def test_a_short_delivery_stands_for_link_load_if_answers_do_not_report_it():
-    for told in (False, True):
-        front = Front(streamers=4, told=told)
+    for answers_report_load in (False, True):
+        front = Front(streamers=4, answers_report_load=answers_report_load)
         playbacks = [front.want(cells=4) for _ in range(4)]
         for playback in playbacks:
             front.play(playback)
         front.pass_time(4 * S)
         streamer = playbacks[0].streamer
         own = streamer.own_demand()
-        front.share(streamer.listed.id, 0.5)
-        assert [kb for _, kb in streamer.heard] == ([] if told else [4000.0 - own])
+        front.share(streamer.entry.id, 0.5)
+        assert [kb for _, kb in streamer.load_reports] == ([] if answers_report_load else [4000.0 - own])
         assert front.c.typical_demand[0] < 2000.0, "the typical demand must not include it"
 
 
@@ -386,7 +386,7 @@
     front = Front(streamers=1)
     front.d.plans["live"] = replace(front.d.plans["live"], floor=1)
     front.c.adopt_playback(front.now, "old", "live", "match", frozenset({0}), 3, 4 * S, 0, False, 0)
-    front.c.told_rung(front.now, "old", 0)
+    front.c.rung_reported(front.now, "old", 0)
     front.use(0, link=0.78)
     playback = front.want("live", "match", cells=1)
     assert playback.state is State.ATTEMPTING and playback.rung == 1
@@ -406,17 +406,17 @@
 
 def test_extra_attempts_stop_at_the_budget_lent_by_the_fleet_until_the_next_call():
     front = Front(streamers=4, extra_attempts=9)
-    front.c.limits(front.now, 1, {}, ())
+    front.c.fleet_limits_changed(front.now, 1, {}, ())
     a, b = front.want(), front.want(title="u")
     front.end(a, Ending.FULL)
     front.end(b, Ending.FULL)
     assert a.attempts == 2 and b.attempts == 1 and b.state is State.HELD, "the one attempt lent is used"
-    front.c.limits(front.now, 1, {}, ())
+    front.c.fleet_limits_changed(front.now, 1, {}, ())
     front.pass_time(100 * MS)
     assert b.attempts == 2
-    front.c.limits(front.now, 0, {}, ())
+    front.c.fleet_limits_changed(front.now, 0, {}, ())
     assert front.want(title="v").attempts == 1, "the budget must not limit first attempts"
-    front.c.limits(front.now, None, {}, ())
+    front.c.fleet_limits_changed(front.now, None, {}, ())
     front.end(a, Ending.FULL)
     front.end(b, Ending.FULL)
     front.pass_time(100 * MS)
@@ -425,17 +425,17 @@
 
 def test_streamers_left_to_other_members_are_excluded_and_those_that_seem_dead_count_as_cold():
     front = Front(streamers=2)
-    front.c.limits(front.now, None, {0: False}, ())
-    assert {front.want(title=str(n)).streamer.listed.id for n in range(4)} == {1}
-    front.c.limits(front.now, None, {0: False, 1: None, 7: None}, ())
+    front.c.fleet_limits_changed(front.now, None, {0: False}, ())
+    assert {front.want(title=str(n)).streamer.entry.id for n in range(4)} == {1}
+    front.c.fleet_limits_changed(front.now, None, {0: False, 1: None, 7: None}, ())
     playback = front.want(title="x")
-    assert playback is None and front.c.streamers[1].down == front.now, (
+    assert playback is None and front.c.streamers[1].failed_at == front.now, (
         "it must be rejected at once without another holder"
     )
-    front.c.limits(front.now, None, {1: True}, ())
-    assert front.c.streamers[1].down is not None and not front.c.left_to_others
+    front.c.fleet_limits_changed(front.now, None, {1: True}, ())
+    assert front.c.streamers[1].failed_at is not None and not front.c.left_to_others
     front.c.cold_start_turn = None
-    assert {front.want(title=f"y{n}").streamer.listed.id for n in range(2)} == {0}, (
+    assert {front.want(title=f"y{n}").streamer.entry.id for n in range(2)} == {0}, (
         "streamer 1 must be treated as cold"
     )
 
@@ -446,9 +446,9 @@
     failed = front.want()
     front.end(failed, Ending.ERRED)
     streamer = front.c.streamers[0]
-    assert streamer.gap and streamer.next_attempt_at > front.now
-    front.c.limits(front.now, None, {0: True}, ())
-    assert streamer.next_attempt_at == front.now and streamer.gap, (
+    assert streamer.backoff and streamer.next_attempt_at > front.now
+    front.c.fleet_limits_changed(front.now, None, {0: True}, ())
+    assert streamer.next_attempt_at == front.now and streamer.backoff, (
         "its backoff must stay, so that a further failure doubles it"
     )
     assert front.want(title="t").streamer is streamer
@@ -456,9 +456,9 @@
 
 def test_rejected_playbacks_get_one_of_the_retry_times_of_the_fleet_by_their_draw():
     front = Front(streamers=0)
-    assert front.c.advice == S
+    assert front.c.retry_advice == S
     advice, retry_times = (2 * S, 3 * S, 5 * S, 9 * S), []
-    front.c.limits(front.now, None, {}, advice)
+    front.c.fleet_limits_changed(front.now, None, {}, advice)
     for n in range(80):
         changed = front.c.request_playback(
             front.now, f"x{n}", "free", "t", frozenset([0]), 3, 4 * S, 0, False
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -237,7 +237,7 @@
 def test_without_overload_the_same_day_with_the_fleets_word_and_without_has_the_same_placements():
     alone = day_of(None)
     assert len(alone) > 80
-    with_it = day_of(lambda front: front.run(front.core.limits, 3, {}, (S, 2 * S)))
+    with_it = day_of(lambda front: front.run(front.core.fleet_limits_changed, 3, {}, (S, 2 * S)))
     assert with_it == alone
-    less = day_of(lambda front: front.run(front.core.limits, 3, {101: False}, ()))
+    less = day_of(lambda front: front.run(front.core.fleet_limits_changed, 3, {101: False}, ()))
     assert {id for _, id, *_ in alone[40:]} - {id for _, id, *_ in less[40:]} == {101}, "it does reach them"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -309,7 +309,7 @@
     assert (answer.type, answer.id, answer.cause) == (m.RELEASE, id, m.REJECTED)
     assert 0 < int(answer.parameters[m.ADVICE]) <= 500
     assert all(s.ids(m.SET_UP) == [id] for s in world.streamers)
-    assert world.by_name("s-00000000").heard, "the refusal carried a load report"
+    assert world.by_name("s-00000000").load_reports, "the refusal carried a load report"
 
 
 @in_world(how="silent")
@@ -334,7 +334,7 @@
     streamer.server.close()  # open connections stay open, new ones are refused
     second = viewer.ask(plan="paid", title="ffffffffffffffff")
     await until(lambda: streamer.ids(m.SET_UP) == [first, second])
-    assert len(streamer.writers) == 1 and world.by_name("s-00000000").down is None
+    assert len(streamer.writers) == 1 and world.by_name("s-00000000").failed_at is None
 
 
 @in_world(streamers=2)
@@ -527,7 +527,7 @@
     answer = await viewer.hear()
     assert (answer.type, answer.id) == (m.RELEASE, id)
     await until(lambda: not world.core.playbacks)
-    assert world.by_name(streamer.name).down is not None or world.by_name(streamer.name).gap
+    assert world.by_name(streamer.name).failed_at is not None or world.by_name(streamer.name).backoff
 
 
 @in_world(streamers=1)
@@ -539,7 +539,7 @@
     await until(lambda: len(streamer.writers) > connection_count)
     assert id in world.service.front.held
     streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, "link_use"), (m.NOTE_VALUE, "0.5")))
-    await until(lambda: world.by_name(streamer.name).heard)
+    await until(lambda: world.by_name(streamer.name).load_reports)
     streamer.say(release(id, 16))
     assert (await viewer.hear()).id == id
 
@@ -567,8 +567,15 @@
     ):
         streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
     state = world.by_name(streamer.name)
-    await until(lambda: state.shares and state.heard and state.rack.seen and playback.rung == 0)
-    assert state.shares[-1][1] == 0.7 and world.core.controller.playbacks[playback.id].rung == 0
+    await until(
+        lambda: (
+            state.delivery_reports
+            and state.load_reports
+            and state.rack.capacity_samples
+            and playback.rung == 0
+        )
+    )
+    assert state.delivery_reports[-1][1] == 0.7 and world.core.controller.playbacks[playback.id].rung == 0
     world.transport.set_rung(playback, 2)
     await until(lambda: streamer.ids(m.RUNG) == [id])
     assert next(message for message in streamer.heard if message.type == m.RUNG).parameters[m.RUNG_NO] == b"2"
@@ -619,7 +626,7 @@
     await until(lambda: [line for line in world.said if line[1] == "feed"])
     world.feed.how = "answers"
     state = world.by_name("s-00000000")
-    await until(lambda: state.listed.standing is Standing.DRAINING)
+    await until(lambda: state.entry.standing is Standing.DRAINING)
     viewer = await world.viewer()
     assert (await world.plays(viewer))[1] is world.streamers[1]
     old_feed, world.feed = world.feed, type(world.feed)()
@@ -629,7 +636,7 @@
     world.write_configuration()
     world.service.reread()
     world.feed.tell(world.streamers[0].row("removed"))
-    await until(lambda: state.listed.standing is Standing.GONE)
+    await until(lambda: state.entry.standing is Standing.GONE)
     assert world.feed.requested_positions[0] == 2
     old_feed.server.close()
     with open(world.path, "w", encoding="utf-8") as file:
@@ -656,7 +663,7 @@
     second = Service(settings.read(path), Log(world.said), path)
     listened = []
     second.front.listen_on = lambda address: listened.append(
-        second.core.controller.streamers[settings.streamer_id("s-00000000")].listed.standing
+        second.core.controller.streamers[settings.streamer_id("s-00000000")].entry.standing
     )
     await second.begin()
     assert listened == [Standing.DRAINING]
@@ -675,7 +682,7 @@
 async def test_invalid_row_is_reported_and_the_valid_rows_are_applied(world):
     world.feed.tell({"health": "up"}, world.streamers[0].row("draining"))
     await until(lambda: world.service.feed.held == 2)
-    assert world.by_name("s-00000000").listed.standing is Standing.DRAINING
+    assert world.by_name("s-00000000").entry.standing is Standing.DRAINING
     assert [values["why"] for level, _, values in world.said if level == "warning"] == [
         "event 2: a row of the list: KeyError 'host', passed over"
     ]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -167,8 +167,8 @@
         assert not any(report["rules"].values()), report["breaks"]
         found[parts] = report["recovery"]["outages"][0]
         assert found[parts]["down"] == 7
-        again = [f.core.controller for f in world.fronts if f.core.controller.began_empty]
-        assert len(again) == 7 and all(bool(c.proven) == bool(parts) for c in again)
+        again = [f.core.controller for f in world.fronts if f.core.controller.started_without_state]
+        assert len(again) == 7 and all(bool(c.proven_warm) == bool(parts) for c in again)
     assert found["members", "kept"]["full_service_s"] is not None
 
 
@@ -182,7 +182,7 @@
     def sight(at, kept):
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
         handed = []
-        core = Made(controller=Made(streamers={}, racks={}), among=lambda *args: handed.append(args))
+        core = Made(controller=Made(streamers={}, racks={}), fleet_changed=lambda *args: handed.append(args))
         clock = Made(now=lambda: at, to_wall_ns=lambda now: now, from_wall_ns=lambda wall: wall)
         listing = Made(fresh=list, flow=Made(numbers=Made(of={})))
         one = Sight(
@@ -284,6 +284,6 @@
         assert not any(report["rules"].values()), report["breaks"]
         assert report["recovery"]["outages"][0]["down"] == 7
         cold = [s.id for s in world.racks[1].streamers]
-        for c in [f.core.controller for f in world.fronts if f.core.controller.began_empty]:
+        for c in [f.core.controller for f in world.fronts if f.core.controller.started_without_state]:
             back = [c.streamers[id] for id in cold]
-            assert all(s.listed.started == world.restarted[s.listed.id] for s in back)
+            assert all(s.entry.started == world.restarted[s.entry.id] for s in back)
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -16,7 +16,7 @@
 
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.core.core import Core, margin
-from terndrift.interface import Ending, Listed, Standing
+from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.platform import settings
 
 MS, S = 1_000_000, 1_000_000_000
@@ -139,7 +139,7 @@
         )
         self.standing, self.unready_since = {}, {}
         # False: no streamer counts as newly started, as all entries have `started` 0
-        self.core.controller.began_empty = self.random.random() < 0.3
+        self.core.controller.started_without_state = self.random.random() < 0.3
         self.streamer_count = min(10, self.cells + 1)
         self._update_list([self._list_entry(n) for n in range(self.streamer_count)])
 
@@ -151,7 +151,7 @@
     def _list_entry(self, n, standing=Standing.READY):
         kinds = list(self.deployment.links.places) or ["other"]
         cell = n % self.cells
-        return Listed(
+        return ListEntry(
             n,
             kinds[n % len(kinds)],
             f"z{n % 3}",
@@ -328,8 +328,8 @@
     configuration = configured({**SETTINGS, "profiles": profiles, "family_info": family_info})
     assert 0 < margin(deadline_ms * MS) < deadline_ms * MS / 2
     core = Core(configuration.deployment, T0, "n0", 0)
-    core.controller.began_empty = False
-    core.list_changed(T0, [Listed(1, "box", "here", 0, 0, Standing.READY, 1, 0)], True, False)
+    core.controller.started_without_state = False
+    core.list_changed(T0, [ListEntry(1, "box", "here", 0, 0, Standing.READY, 1, 0)], True, False)
     timeouts = []
 
     class StreamerTransport:
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -159,7 +159,7 @@
 
     def step(now, rung):
         pb = core.controller.playbacks[playback.id]
-        core._call(now, None, lambda: core.controller._step(now, pb, rung) or [pb])
+        core._call(now, None, lambda: core.controller._set_rung(now, pb, rung) or [pb])
 
     world.service.core_runner.run(step, 1)
     await until(lambda: one.rungs[-1][2] == 400_000)
@@ -284,8 +284,8 @@
     assert (one.id, "BROKEN") in ends
     core = world.service.core
     streamer = core.controller.streamers[one.id]
-    assert streamer.gap, "the decisions know"
-    streamer.gap, streamer.next_attempt_at = 0, 0  # as if it were trusted, and the other not
+    assert streamer.backoff, "the decisions know"
+    streamer.backoff, streamer.next_attempt_at = 0, 0  # as if it were trusted, and the other not
     core.controller.streamers[other.id].next_attempt_at = 2**62
     before = len(other.known)
     caller = await world.caller("lesson", visit="b", abandon=1.0)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,7 +18,7 @@
 from terndrift.adapter import codec
 from terndrift.adapter.__main__ import serve
 from terndrift.decide import Controller, State
-from terndrift.interface import Listed, Standing
+from terndrift.interface import ListEntry, Standing
 from terndrift.platform import settings
 
 S = 1_000_000_000
@@ -68,8 +68,8 @@
         )
     ]
     for n, entry in enumerate(entries[:3]):
-        controller.told_use(3 * S, "r0", entry.id, 0.5 * n, 0.7)
-        controller.told_share(3 * S, entry.id, 0.6)
+        controller.utilisation_reported(3 * S, "r0", entry.id, 0.5 * n, 0.7)
+        controller.delivery_reported(3 * S, entry.id, 0.6)
     for tick in range(60, 140):
         controller.wake(tick * S // 20)
     return controller, changed
@@ -77,7 +77,7 @@
 
 def list_entries(count, racks=1, started=0):
     """Returns entries of `count` ready streamers in 4 cells and `racks` racks; `started` is in ns."""
-    return [Listed(n, "box", "here", n % 4, n % racks, Standing.READY, 1.0, started) for n in range(count)]
+    return [ListEntry(n, "box", "here", n % 4, n % racks, Standing.READY, 1.0, started) for n in range(count)]
 
 
 # Text that the error must contain -> setting to change, values that must be rejected.
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -238,11 +238,11 @@
 
 def test_a_restarted_front_places_at_once_on_what_is_proven_warm_and_by_its_turn_on_the_rest():
     paced, proven = cold_front(), cold_front()
-    proven.c.among(proven.now, 2, (0, 2), [0])
+    proven.c.fleet_changed(proven.now, 2, (0, 2), [0])
     assert sent(proven, 2) > 2 * sent(paced, 2), "without the proof a whole warm-up is waited for"
     none = cold_front()
-    none.c.among(none.now, 2, None)
+    none.c.fleet_changed(none.now, 2, None)
     assert sent(none, 6) == 0, "no turn, and not proven"
     # proven for the start that the list said: a new one is cold again
     proven.list([line(0, started=proven.now)])
-    assert proven.c._slot(proven.now, proven.c.streamers[0]) is not None
+    assert proven.c._cold_slot(proven.now, proven.c.streamers[0]) is not None
--- a/tests/test_xds_client.py
+++ b/tests/test_xds_client.py
@@ -145,7 +145,7 @@
     def meanwhile(now, playback):
         if not sent:
             sent.append(playback.streamer.id)
-            core.told_off[playback.streamer.id] = now - core.drain_grace - 1
+            core.withdrawn_since[playback.streamer.id] = now - core.drain_grace - 1
         return permitted(now, playback)
 
     core.may_send = meanwhile
--- a/tests/world.py
+++ b/tests/world.py
@@ -80,7 +80,7 @@
             self.customize_service(self.service)
         # A controller that starts with nothing known assumes that the streamers may have just started too.
         # Tests of that case set the flag again themselves.
-        self.service.core.controller.began_empty = False
+        self.service.core.controller.started_without_state = False
         await self.service.start()
         self.address = self.service.address
         self.note("controller up", name="c0", address=self.address)
