--- a/terndrift/adapter/__main__.py
+++ b/terndrift/adapter/__main__.py
@@ -28,7 +28,7 @@
                 return
             if line:
                 yield line
-        raise codec.Malformed("the input ends in the middle of a batch")
+        raise codec.MalformedInputError("the input ends in the middle of a batch")
 
     for line in source:
         line_number += 1
@@ -38,9 +38,9 @@
                 continue
             name, fields = codec.parse_line(line)
             if name != "sync":
-                raise codec.Malformed(f"expected 'sync', got '{name}'")
-            reply = host.process_batch(codec.whole(fields, "now_ns"), lines())
-        except codec.Malformed as error:
+                raise codec.MalformedInputError(f"expected 'sync', got '{name}'")
+            reply = host.process_batch(codec.read_int(fields, "now_ns"), lines())
+        except codec.MalformedInputError as error:
             return f"terndrift: line {line_number}: {error}"
         sink.write("\n".join([*reply, "end", ""]))
         sink.flush()
--- a/terndrift/adapter/codec.py
+++ b/terndrift/adapter/codec.py
@@ -7,7 +7,7 @@
 import contextlib
 
 from terndrift.interface import Ending, ListEntry, Standing
-from terndrift.terms import Malformed, read_float, read_text, reported, whole
+from terndrift.operator_settings import MalformedInputError, read_float, read_int, read_text, translate_report
 
 # Result code of a set-up or a probe on the wire -> Ending.
 ENDINGS = {
@@ -23,22 +23,23 @@
 
 
 def parse_line(line):
-    """Returns a line's name and its fields, a dict key -> text; raises Malformed."""
+    """Returns a line's name and its fields, a dict key -> text; raises MalformedInputError."""
     name, _, rest = line.partition(" ")
     fields = {}
     for part in rest.split(" ") if rest else ():
         key, separator, value = part.partition("=")
         if not separator or not key:
-            raise Malformed(f"'{part}' is not of the form name=value")
+            raise MalformedInputError(f"'{part}' is not of the form name=value")
         fields[key] = value
     return name, fields
 
 
 def read_choice(fields, key, choices):
-    """Returns the value that `choices` has for the text `fields[key]`; raises Malformed if it has none."""
+    """Returns the value that `choices` has for the text `fields[key]`; raises MalformedInputError if it has
+    none."""
     value = read_text(fields, key)
     if value not in choices:
-        raise Malformed(f"'{key}={value}' is not a known value")
+        raise MalformedInputError(f"'{key}={value}' is not a known value")
     return choices[value]
 
 
@@ -47,22 +48,22 @@
 
 
 def parse_list_entry(line):
-    """Parses an `entry` line of the server list to a ListEntry; raises Malformed.
+    """Parses an `entry` line of the server list to a ListEntry; raises MalformedInputError.
 
     The rack is left at 0: it follows from the cell by the settings of each instance, which the caller has.
     """
     name, fields = parse_line(line)
     if name != "entry":
-        raise Malformed(f"expected 'entry', got '{name}'")
+        raise MalformedInputError(f"expected 'entry', got '{name}'")
     return ListEntry(
-        id=whole(fields, "streamer"),
+        id=read_int(fields, "streamer"),
         kind=fields.get("generation_hw", ""),
         zone=fields.get("az", ""),
         cell=int(read_float(fields, "place", 0)),
         rack=0,
         standing=read_choice(fields, "state", STANDINGS),
         weight=read_float(fields, "weight", 1),
-        started=whole(fields, "online_since_ns", 0),
+        started=read_int(fields, "online_since_ns", 0),
     )
 
 
@@ -75,4 +76,4 @@
     for name, value in zip(report_fields, fields.get("telemetry", "").split(","), strict=False):
         with contextlib.suppress(ValueError):
             values[name] = float(value)
-    return reported(values)
+    return translate_report(values)
--- a/terndrift/adapter/host.py
+++ b/terndrift/adapter/host.py
@@ -10,19 +10,19 @@
 import sys
 from dataclasses import replace
 
-from terndrift import terms
+from terndrift import operator_settings
 from terndrift.adapter import codec
 from terndrift.decide import Controller, State
-from terndrift.terms import Malformed, read_float, read_text, whole
+from terndrift.operator_settings import MalformedInputError, read_float, read_int, read_text
 
 
 class Instance:
     """One controller with its settings, and the state of its playbacks as last sent to the simulator."""
 
     def __init__(self, settings, now):
-        settings = terms.Read(settings)
-        self.deployment, self.report_fields, self.layout = terms.deployment(settings)
-        self.unknown_settings = settings.unknown()
+        settings = operator_settings.TrackedSettings(settings)
+        self.deployment, self.report_fields, self.layout = operator_settings.read_deployment(settings)
+        self.unknown_settings = settings.unknown_keys()
         self.controller = Controller(self.deployment, now)
         self.last_sent = {}  # playback id -> [number of attempts, rung]
         self.list_requests_sent = 0  # value of the controller's list_requests at the last `subscribe`
@@ -66,7 +66,7 @@
         self.unknown_settings_reported = False
 
     def process_batch(self, now, lines):
-        """Returns the lines that answer one batch; raises Malformed.
+        """Returns the lines that answer one batch; raises MalformedInputError.
 
         `now` is the batch's time in ns, `lines` yields its lines after `sync` and before `go`. An exception
         in a controller is answered with a `die` action of its instance, so that the simulator reports it.
@@ -76,13 +76,13 @@
         for line in lines:
             name, fields = codec.parse_line(line)
             if name == "switch_to":
-                instance_id = whole(fields, "who")
+                instance_id = read_int(fields, "who")
                 instance = self.instances.get(instance_id)
             elif name == "directory":
-                table, count = whole(fields, "table"), whole(fields, "lines")
+                table, count = read_int(fields, "table"), read_int(fields, "lines")
                 self.lists[table] = [codec.parse_list_entry(next(lines, "")) for _ in range(count)]
             elif instance_id is None:
-                raise Malformed(f"'{name}' comes before any 'switch_to'")
+                raise MalformedInputError(f"'{name}' comes before any 'switch_to'")
             elif name == "enlist":
                 instance = self.instances[instance_id] = Instance(fields, now)
                 # reported once, as all instances of a deployment get the same settings
@@ -94,14 +94,14 @@
                 self.instances.pop(instance_id, None)
                 actions.pop(instance_id, None)
             elif name not in EVENT_HANDLERS:
-                raise Malformed(f"unknown event '{name}'")
+                raise MalformedInputError(f"unknown event '{name}'")
             elif instance is None:
                 continue  # a stopped instance has nothing to answer
             else:
                 out = actions.setdefault(instance_id, [])
                 try:
                     instance.encode(EVENT_HANDLERS[name](self, instance, now, fields), out)
-                except Malformed:
+                except MalformedInputError:
                     raise
                 except Exception as error:  # sent to the simulator, so that no fault goes unnoticed
                     out.append(f"die reason_text={type(error).__name__}: {error}".replace("\n", " "))
@@ -121,27 +121,28 @@
 
     def endpoints(self, instance, now, fields):
         """Handles a server list: `how` 0 is a change, 1 a whole list, 2 a cached whole list, 3 a failure."""
-        how = whole(fields, "how")
+        how = read_int(fields, "how")
         if how == 3:
             return instance.controller.list_failed(now)
         if how not in (0, 1, 2):
-            raise Malformed(f"'how={how}' is not a known value")
-        table = whole(fields, "table")
+            raise MalformedInputError(f"'how={how}' is not a known value")
+        table = read_int(fields, "table")
         if table not in self.lists:
-            raise Malformed(f"unknown directory {table}")
-        entries = [replace(entry, rack=instance.layout.rack(entry.cell)) for entry in self.lists[table]]
+            raise MalformedInputError(f"unknown directory {table}")
+        entries = [replace(entry, rack=instance.layout.rack_of(entry.cell)) for entry in self.lists[table]]
         return instance.controller.list_changed(now, entries, how != 0, how == 2)
 
     def playback_request(self, instance, now, fields):
-        """Returns the arguments of `Controller.request_playback` for a request's fields; raises Malformed.
+        """Returns the arguments of `Controller.request_playback` for a request's fields; raises
+        MalformedInputError.
 
         `opts` is a bit set: with 1, `work_ns` is an estimate of the playing time in ns; with 8, the viewer
         was moved here.
         """
         plan_name = read_text(fields, "qos")
         if plan_name not in instance.deployment.plans:
-            raise Malformed(f"'qos={plan_name}' is not a known value")
-        options = whole(fields, "opts", 0)
+            raise MalformedInputError(f"'qos={plan_name}' is not a known value")
+        options = read_int(fields, "opts", 0)
         plan = instance.deployment.plans[plan_name]
         top = min(int(read_float(fields, "top", 1e9)), plan.top, len(instance.deployment.ladder.rates) - 1)
         first_cell = int(read_float(fields, "start_cell", 0))
@@ -149,10 +150,10 @@
             playback_id=read_text(fields, "corr"),
             plan=plan_name,
             title=fields.get("title", ""),
-            cells=instance.layout.holders(first_cell, int(read_float(fields, "spread", 0))),
+            cells=instance.layout.holder_cells(first_cell, int(read_float(fields, "spread", 0))),
             top=top,
-            time_left=whole(fields, "expires_in_ns"),
-            expected_duration=whole(fields, "work_ns", 0) if options & 1 else 0,
+            time_left=read_int(fields, "expires_in_ns"),
+            expected_duration=read_int(fields, "work_ns", 0) if options & 1 else 0,
             moved=bool(options & 8),
         )
 
@@ -166,12 +167,12 @@
         # A status note tells its rung; until then it counts as sent with the plan's floor, so that no
         # action goes out for it.
         instance.last_sent[request["playback_id"]] = [1, instance.deployment.plans[request["plan"]].floor]
-        return instance.controller.adopt_playback(now, **request, streamer_id=whole(fields, "streamer"))
+        return instance.controller.adopt_playback(now, **request, streamer_id=read_int(fields, "streamer"))
 
     def accepted(self, instance, now, fields):
         """Handles a set-up that succeeded: the playback plays; `took_ns` is how long the set-up took."""
         return instance.controller.set_up_succeeded(
-            now, read_text(fields, "corr"), whole(fields, "took_ns", 0)
+            now, read_text(fields, "corr"), read_int(fields, "took_ns", 0)
         )
 
     def done(self, instance, now, fields):
@@ -184,9 +185,9 @@
             now,
             id,
             ending,
-            whole(fields, "took_ns", 0),
+            read_int(fields, "took_ns", 0),
             finished,
-            whole(fields, "streamer"),
+            read_int(fields, "streamer"),
             codec.parse_load_report(fields, instance.report_fields),
         )
 
@@ -196,7 +197,7 @@
 
     def ring(self, instance, now, fields):
         """Handles an expired timer; one that has been replaced meanwhile wakes the controller too."""
-        if whole(fields, "handle") == instance.timer_at:
+        if read_int(fields, "handle") == instance.timer_at:
             instance.timer_at = None
         return instance.controller.wake(now)
 
@@ -208,8 +209,8 @@
         """
         id, streamer, sort, value = (
             read_text(fields, "corr"),
-            whole(fields, "streamer"),
-            whole(fields, "sort"),
+            read_int(fields, "streamer"),
+            read_int(fields, "sort"),
             read_float(fields, "x"),
         )
         controller = instance.controller
@@ -231,15 +232,15 @@
             data = base64.b64decode(fields.get("octets", "-").replace("-", ""), validate=True)
         except binascii.Error:
             return []  # truncated in transit
-        return instance.controller.peer_message(now, whole(fields, "author"), data)
+        return instance.controller.peer_message(now, read_int(fields, "author"), data)
 
     def echo(self, instance, now, fields):
         """Handles the result of a probe."""
         return instance.controller.probe_answer(
             now,
-            whole(fields, "streamer"),
+            read_int(fields, "streamer"),
             codec.read_choice(fields, "rc", codec.ENDINGS),
-            whole(fields, "took_ns", 0),
+            read_int(fields, "took_ns", 0),
             codec.parse_load_report(fields, instance.report_fields),
         )
 
--- a/terndrift/audit/overload.py
+++ b/terndrift/audit/overload.py
@@ -5,7 +5,7 @@
 
 from terndrift.audit.recovery import full_at, peak
 from terndrift.audit.seconds import played, rows, seatless
-from terndrift.deployment import plans
+from terndrift.deployment import build_plans
 from terndrift.fleet.shed import importance
 
 SECOND = 1_000_000_000
@@ -24,7 +24,7 @@
     if not surges or not day:
         return {}
     begin = next(n for n in facts.runner if n["what"] == "fleet")["begin"]
-    order = importance(plans(facts.deployment))
+    order = importance(build_plans(facts.deployment))
     taken, away = defaultdict(Counter), defaultdict(Counter)
     plays = late = 0
     no_seat = seatless(facts, played(facts))
--- a/terndrift/cli/main.py
+++ b/terndrift/cli/main.py
@@ -39,7 +39,7 @@
     def invoke(self, ctx):
         try:
             return super().invoke(ctx)
-        except (records.Wrong, deployment.Amiss, Unusable, Damaged, Held) as wrong:
+        except (records.Wrong, deployment.InconsistentRecordError, Unusable, Damaged, Held) as wrong:
             click.echo(f"terndrift: {wrong}", err=True)
         except OSError as wrong:
             where = f"{wrong.filename}: " if wrong.filename else ""
@@ -80,7 +80,7 @@
     if kind == "front" and value["list"]:
         records.load(value["list"], "list")
     elif "deployment" in value:
-        deployment.check(value["deployment"])
+        deployment.check_record(value["deployment"])
     click.echo(f"{file}: a {kind} file, nothing amiss")
 
 
--- a/terndrift/cli/stored.py
+++ b/terndrift/cli/stored.py
@@ -15,7 +15,7 @@
 from terndrift.catalogue.source import titles
 from terndrift.catalogue.titles import Fault
 from terndrift.catalogue.versions import Conflict, Versions, change_of
-from terndrift.deployment import plans
+from terndrift.deployment import build_plans
 from terndrift.http.client import Broken, Call, Pool, Unreached
 from terndrift.listing.kept import STREAM as LISTING
 from terndrift.listing.kept import Kept
@@ -117,7 +117,7 @@
         raise click.UsageError("that front file keeps no catalogue (catalogue: store)")
 
     async def run():
-        versions = over(plans(value["deployment"]), value["deployment"]["ladder"]["rates"])
+        versions = over(build_plans(value["deployment"]), value["deployment"]["ladder"]["rates"])
         store = Store(Files(value["catalogue"]["store"]), {STREAM: Keeper(versions), LISTING: Kept()})
         made, committer = None, Committer(store)
         try:
@@ -186,7 +186,7 @@
 def verify(file, front):
     """Check a catalogue FILE beside a front file; every fault is printed, nothing is changed."""
     value = service.read(front)
-    versions = over(plans(value["deployment"]), value["deployment"]["ladder"]["rates"])
+    versions = over(build_plans(value["deployment"]), value["deployment"]["ladder"]["rates"])
     put = read_titles(file)
     try:
         versions.stage(change_of({"id": "verify", "put": put}, "", 0.0))
--- a/terndrift/deployment.py
+++ b/terndrift/deployment.py
@@ -10,7 +10,7 @@
 from terndrift.interface import Deployment, Ladder, Links, Plan, Rules
 
 
-class Amiss(ValueError):
+class InconsistentRecordError(ValueError):
     """Records that match their schema but contradict each other; the message has one line per fault."""
 
 
@@ -20,13 +20,14 @@
 
     name: str
     plan: str
-    segments: int  # number of segments
-    length: int  # ns
+    segment_count: int
+    duration: int  # ns
     holders: frozenset | None  # cells that hold it; None: every listed streamer does
 
 
-def check(record):
-    """Raises Amiss, naming all faults, if a deployment record names missing plans or contradicts itself."""
+def check_record(record):
+    """Raises InconsistentRecordError, naming all faults, if a deployment record names missing plans or
+    contradicts itself."""
     faults, rates = [], record["ladder"]["rates"]
     if not rates or len(rates) != len(record["ladder"]["revenue"]):
         faults.append(f"ladder: {len(rates)} rates, but {len(record['ladder']['revenue'])} revenues")
@@ -43,10 +44,10 @@
         if title["plan"] not in record["plans"]:
             faults.append(f"titles.{name}.plan: no plan '{title['plan']}'")
     if faults:
-        raise Amiss("\n".join(faults))
+        raise InconsistentRecordError("\n".join(faults))
 
 
-def plans(record):
+def build_plans(record):
     """Returns plan name -> `interface.Plan`, with `top` limited to the rungs of the ladder."""
     highest_rung = len(record["ladder"]["rates"]) - 1
     return {
@@ -65,7 +66,7 @@
     }
 
 
-def made(record, controller):
+def build_deployment(record, controller):
     """Builds the `interface.Deployment` of one controller.
 
     `record` is a deployment record with rates in B/s, which become kB/s here; `controller` is the record of
@@ -80,7 +81,7 @@
         rank=controller["rank"],
         controllers=controller["of"],
         zone=controller["zone"],
-        plans=plans(record),
+        plans=build_plans(record),
         ladder=Ladder(
             tuple(rate / 1000 for rate in ladder["rates"]),
             tuple(ladder["revenue"]),
@@ -107,7 +108,7 @@
     )
 
 
-def titles(record):
+def build_titles(record):
     """Returns title name -> `Title` for all titles of a deployment record."""
     segment = record["segment"]  # ns
     out = {}
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -12,7 +12,7 @@
 from terndrift.catalogue.titles import Fault
 from terndrift.catalogue.versions import Conflict, change_of
 from terndrift.core.active_playback import AnswerKind
-from terndrift.deployment import Amiss
+from terndrift.deployment import InconsistentRecordError
 from terndrift.fleet.agreed import beginning
 from terndrift.fleet.copies import COPY as COPY_OF
 from terndrift.fleet.copies import Copies
@@ -50,7 +50,7 @@
 
 
 def settled(value):
-    """Raises Amiss if the `fleet` of a front file does not fit together."""
+    """Raises InconsistentRecordError if the `fleet` of a front file does not fit together."""
     fleet, me = value["fleet"], value["controller"]["name"]
     if not fleet["name"]:
         return
@@ -68,7 +68,7 @@
     ):
         out.append(f"fleet.front: '{fleet['front']}' is no URL without a path, as http://HOST:PORT")
     if out:
-        raise Amiss("\n".join(out))
+        raise InconsistentRecordError("\n".join(out))
 
 
 class Fleet:
--- a/terndrift/terms.py
+++ b/terndrift/operator_settings.py
@@ -13,7 +13,7 @@
 from terndrift.interface import Deployment, Ladder, Links, Plan, Rules
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """Input that can't be parsed; the message names the setting or field and what is wrong with it."""
 
 
@@ -22,7 +22,7 @@
 REPORT_VALUE_NAMES = {"active": "streams", "cpu": "link", "x0": "link", "x1": "uplink"}
 
 
-def reported(values):
+def translate_report(values):
     """Translates a load report, field name -> number, to the value names that the controller reads.
 
     Fields that the controller doesn't use are left out.
@@ -30,54 +30,54 @@
     return {ours: values[name] for name, ours in REPORT_VALUE_NAMES.items() if name in values}
 
 
-def whole(fields, key, default=None, minimum=None, maximum=None):
+def read_int(fields, key, default=None, minimum=None, maximum=None):
     """Returns `fields[key]` as an int from `minimum` to `maximum`.
 
-    `default` stands in for a missing key. Raises Malformed, naming the key, if the value is missing without a
-    default, no integer or out of range.
+    `default` stands in for a missing key. Raises MalformedInputError, naming the key, if the value is missing
+    without a default, no integer or out of range.
     """
     value = fields.get(key, default)
     if value is None:
-        raise Malformed(f"'{key}' is missing")
+        raise MalformedInputError(f"'{key}' is missing")
     try:
         # JSON writers may write an integer as 7.0
         value = int(value) if not str(value).endswith(".0") else int(str(value)[:-2])
     except ValueError:
-        raise Malformed(f"'{key}={str(value)[:40]}' is not an integer") from None
+        raise MalformedInputError(f"'{key}={str(value)[:40]}' is not an integer") from None
     return _check_bounds(key, value, minimum, maximum)
 
 
 def read_float(fields, key, default=None, minimum=None, maximum=None):
     """Returns `fields[key]` as a finite float from `minimum` to `maximum`.
 
-    `default` stands in for a missing key. Raises Malformed, naming the key, if the value is missing without a
-    default, no finite number or out of range.
+    `default` stands in for a missing key. Raises MalformedInputError, naming the key, if the value is missing
+    without a default, no finite number or out of range.
     """
     value = fields.get(key, default)
     if value is None:
-        raise Malformed(f"'{key}' is missing")
+        raise MalformedInputError(f"'{key}' is missing")
     try:
         value = float(value)
     except ValueError:
-        raise Malformed(f"'{key}={str(value)[:40]}' is not a number") from None
+        raise MalformedInputError(f"'{key}={str(value)[:40]}' is not a number") from None
     if value != value or value in (float("inf"), float("-inf")):
-        raise Malformed(f"'{key}' is not a finite number")
+        raise MalformedInputError(f"'{key}' is not a finite number")
     return _check_bounds(key, value, minimum, maximum)
 
 
 def _check_bounds(key, value, minimum, maximum):
     if minimum is not None and value < minimum:
-        raise Malformed(f"'{key}={value}' is under {minimum}")
+        raise MalformedInputError(f"'{key}={value}' is under {minimum}")
     if maximum is not None and value > maximum:
-        raise Malformed(f"'{key}={value}' is over {maximum}")
+        raise MalformedInputError(f"'{key}={value}' is over {maximum}")
     return value
 
 
 def read_text(fields, key):
-    """Returns `fields[key]`; raises Malformed if it is missing."""
+    """Returns `fields[key]`; raises MalformedInputError if it is missing."""
     value = fields.get(key)
     if value is None:
-        raise Malformed(f"'{key}' is missing")
+        raise MalformedInputError(f"'{key}' is missing")
     return value
 
 
@@ -85,14 +85,14 @@
     """Returns the comma-separated list `fields[key]` as floats, each from `minimum` to `maximum`.
 
     With `count` the list must have that many values; if it is missing or empty, all of them are `default`.
-    Raises Malformed, naming the key.
+    Raises MalformedInputError, naming the key.
     """
     parts = [part for part in fields.get(key, "").split(",") if part != ""]
     out = [read_float({key: part}, key, None, minimum, maximum) for part in parts]
     if count is None or len(out) == count:
         return out
     if out:
-        raise Malformed(f"'{key}' has {len(out)} values, expected {count}")
+        raise MalformedInputError(f"'{key}' has {len(out)} values, expected {count}")
     return [default] * count
 
 
@@ -153,7 +153,7 @@
 )
 
 
-class Read(dict):
+class TrackedSettings(dict):
     """Flat settings that record which keys were read, so that misspelt ones can be reported."""
 
     def __init__(self, settings):
@@ -165,7 +165,7 @@
         self.read_keys.add(key)
         return super().get(key, default)
 
-    def unknown(self):
+    def unknown_keys(self):
         """Returns the sorted names of settings that are neither read so far nor documented.
 
         To be called once everything is read. List indexes are replaced by `*`.
@@ -179,7 +179,7 @@
         )
 
 
-def flat(value, path="", out=None):
+def flatten(value, path="", out=None):
     """Flattens nested settings, as parsed from JSON, to the dict path -> text that this module reads.
 
     `path` is the prefix of all paths; entries are added to `out` if it is given. None values are left out.
@@ -187,11 +187,11 @@
     out = {} if out is None else out
     if isinstance(value, dict):
         for key, part in value.items():
-            flat(part, f"{path}.{key}" if path else key, out)
+            flatten(part, f"{path}.{key}" if path else key, out)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
         out[f"{path}.count"] = str(len(value))
         for index, part in enumerate(value):
-            flat(part, f"{path}.{index}", out)
+            flatten(part, f"{path}.{index}", out)
     elif isinstance(value, list):
         out[path] = ",".join(_flat_text(part) for part in value)
     elif value is not None:
@@ -213,16 +213,16 @@
     Cells are numbered from 0; a cell is the group of streamers that hold the same titles.
     """
 
-    cells: int  # number of cells
-    racks: int  # number of racks
+    cell_count: int
+    rack_count: int
 
-    def holders(self, first, count):
+    def holder_cells(self, first, count):
         """Returns the cells that hold a title: `count` consecutive ones from `first`, wrapping around."""
-        return frozenset((first + offset) % self.cells for offset in range(count))
+        return frozenset((first + offset) % self.cell_count for offset in range(count))
 
-    def rack(self, cell):
+    def rack_of(self, cell):
         """Returns the number of the rack that `cell` is in."""
-        return cell % self.racks
+        return cell % self.rack_count
 
 
 def _object_count(settings, key):
@@ -230,16 +230,18 @@
 
     Limited to 1000, as the keys of each object are looked up afterwards.
     """
-    return whole(settings, key + ".count", 0, 0, 1000)
+    return read_int(settings, key + ".count", 0, 0, 1000)
 
 
-def deadlines(settings):
+def read_deadlines(settings):
     """Returns plan name -> ns after which the plan's viewers stop waiting for an answer (0 if not set).
 
-    Raises Malformed.
+    Raises MalformedInputError.
     """
     return {
-        read_text(settings, f"profiles.{index}.name"): whole(settings, f"profiles.{index}.deadline_ns", 0, 0)
+        read_text(settings, f"profiles.{index}.name"): read_int(
+            settings, f"profiles.{index}.deadline_ns", 0, 0
+        )
         for index in range(_object_count(settings, "profiles"))
     }
 
@@ -253,24 +255,24 @@
     tops = read_floats(settings, "family_info.top_by_class", count, 1e9, 0)
     live = settings.get("family_info.class_live", "").split(",")
     if live != [""] and len(live) != count:
-        raise Malformed(f"'family_info.class_live' has {len(live)} values, expected {count}")
+        raise MalformedInputError(f"'family_info.class_live' has {len(live)} values, expected {count}")
     shared_adds = read_float(settings, "family_info.shared_adds", 1, 1e-6, 1)
     plans = {}
     for index in range(count):
         prefix, name = f"profiles.{index}.", names[index]
         if name in plans:
-            raise Malformed(f"'{prefix}name={name}' appears twice")
+            raise MalformedInputError(f"'{prefix}name={name}' appears twice")
         if floors[index] > tops[index]:
-            raise Malformed(
+            raise MalformedInputError(
                 f"'family_info.lowest_rung' of {name} is {floors[index]:g}, "
                 f"over its highest rung {tops[index]:g}"
             )
         target, deadline = (
-            whole(settings, prefix + "slo_ns", 0, 0),
-            whole(settings, prefix + "deadline_ns", 0, 0),
+            read_int(settings, prefix + "slo_ns", 0, 0),
+            read_int(settings, prefix + "deadline_ns", 0, 0),
         )
         if deadline and target > deadline:
-            raise Malformed(f"'{prefix}slo_ns={target}' is over '{prefix}deadline_ns={deadline}'")
+            raise MalformedInputError(f"'{prefix}slo_ns={target}' is over '{prefix}deadline_ns={deadline}'")
         plans[name] = Plan(
             name=name,
             revenue=read_float(settings, prefix + "worth", 1, 0),
@@ -289,9 +291,9 @@
 def _read_ladder(settings):
     rates = tuple(read_floats(settings, "family_info.rung_kb", None, 0, 1e-6))
     if not rates:
-        raise Malformed("'family_info.rung_kb' is missing")
+        raise MalformedInputError("'family_info.rung_kb' is missing")
     if any(rate <= previous for previous, rate in zip(rates, rates[1:], strict=False)):
-        raise Malformed("'family_info.rung_kb' is not strictly increasing")
+        raise MalformedInputError("'family_info.rung_kb' is not strictly increasing")
     return Ladder(
         rates=rates,
         revenue=tuple(read_floats(settings, "family_info.worth_by_rung", len(rates), 1.0, 0)),
@@ -300,8 +302,8 @@
     )
 
 
-def deployment(settings):
-    """Builds what a controller needs from flat settings; raises Malformed, naming the setting.
+def read_deployment(settings):
+    """Builds what a controller needs from flat settings; raises MalformedInputError, naming the setting.
 
     Returns (`interface.Deployment`, names of the fields of a load report in order, `Layout`).
     """
@@ -317,11 +319,11 @@
         name: settings.get("ceilings." + name) in ("true", "1")
         for name in ("retry_after", "probes", "peer_messages")
     }
-    controllers = whole(settings, "replicas_of_me", 1, 1)
+    controllers = read_int(settings, "replicas_of_me", 1, 1)
     places = read_floats(settings, "family_info.places_by_kind", len(kinds), 0, 0)
     result = Deployment(
-        seed=whole(settings, "seed", 0),
-        rank=whole(settings, "rank", 0, 0, controllers - 1),
+        seed=read_int(settings, "seed", 0),
+        rank=read_int(settings, "rank", 0, 0, controllers - 1),
         controllers=controllers,
         zone=settings.get("zone", ""),
         plans=_read_plans(settings, len(ladder.rates)),
@@ -331,31 +333,31 @@
             uplink_kb=read_float(settings, "family_info.rack_kb", 0, 0)
             or read_float(settings, "family_info.fleet_kb", 1e12, 1e-6),
             places={kind: limit for kind, limit in zip(kinds, places, strict=True) if limit},
-            lag=whole(settings, "family_info.see_ns", 0, 0),
+            lag=read_int(settings, "family_info.see_ns", 0, 0),
             refuses_from=read_float(settings, "family_info.refuses_from", 0, 0),
             answers_report_load=settings.get("load_report.how", "answers") == "answers"
             and any(REPORT_VALUE_NAMES.get(field) == "link" for field in report_fields),
         ),
         rules=Rules(
-            answer_slack=whole(settings, "rules.grace_to_answer_ns", 0, 0),
-            cold_for=max(1, whole(settings, "rules.cold_ns", 1, 0)),
+            answer_slack=read_int(settings, "rules.grace_to_answer_ns", 0, 0),
+            cold_for=max(1, read_int(settings, "rules.cold_ns", 1, 0)),
             cold_share=read_float(settings, "rules.start_capacity", 1, 0, 1),
             fall_multiple=read_float(settings, "rules.tip_multiple", 1, 0),
-            fall_window=max(1, whole(settings, "rules.overload_for_ns", 1, 0)),
-            attempt_limit=whole(settings, "ceilings.try_limit", 1, 0),
+            fall_window=max(1, read_int(settings, "rules.overload_for_ns", 1, 0)),
+            attempt_limit=read_int(settings, "ceilings.try_limit", 1, 0),
             extra_attempts=None if extra < 0 and not share else max(0, int(extra)),
             extra_share=share,
-            extra_window=whole(settings, "rules.budget_span_ns", 0, 0),
-            longest_advice=whole(settings, "ceilings.max_retry_after_ns", 0, 0)
+            extra_window=read_int(settings, "rules.budget_span_ns", 0, 0),
+            longest_advice=read_int(settings, "ceilings.max_retry_after_ns", 0, 0)
             if allowed["retry_after"]
             else 0,
             probes=allowed["probes"],
             peers=allowed["peer_messages"],
-            list_within=max(1, whole(settings, "rules.ask_within_ns", 1, 0)) if list_on_request else 0,
+            list_within=max(1, read_int(settings, "rules.ask_within_ns", 1, 0)) if list_on_request else 0,
         ),
     )
     layout = Layout(
-        max(1, whole(settings, "family_info.places", 1, 0)),
-        max(1, whole(settings, "family_info.racks", 1, 0)),
+        max(1, read_int(settings, "family_info.places", 1, 0)),
+        max(1, read_int(settings, "family_info.racks", 1, 0)),
     )
     return result, report_fields, layout
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -167,7 +167,7 @@
     def _handle_set_up(self, connection, message):
         existing, now = self.held.get(message.id), self.runner.clock.now()
         try:
-            request = parse_set_up(message, self.deadlines, self.layout.cells)
+            request = parse_set_up(message, self.deadlines, self.layout.cell_count)
             if request.current_streamer is not None:
                 if existing is None and message.id not in self.expected and not self.closing:
                     self._await_hand_over(connection, message.id, request)
@@ -202,7 +202,7 @@
         return PlaybackRequest(
             request.plan,
             request.title,
-            self.layout.holders(request.first_cell, request.copies),
+            self.layout.holder_cells(request.first_cell, request.copies),
             top_rung,
             request.time_left,
             request.expected_duration,
--- a/terndrift/platform/message.py
+++ b/terndrift/platform/message.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from terndrift.interface import Ending
-from terndrift.terms import reported
+from terndrift.operator_settings import translate_report
 
 # Message types.
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE = 1, 6, 9, 12, 16, 44
@@ -230,4 +230,4 @@
         name, _, value = pair.partition(":")
         with contextlib.suppress(InvalidMessageError):
             values[name] = parse_number(value, name)
-    return reported(values)
+    return translate_report(values)
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -15,11 +15,11 @@
 from terndrift.core.runner import Clock, CoreRunner
 from terndrift.interface import Standing
 from terndrift.log_stream import LogStream
+from terndrift.operator_settings import MalformedInputError
 from terndrift.platform import settings
 from terndrift.platform.feed import Feed
 from terndrift.platform.front import Front
 from terndrift.platform.transport import StreamerTransport
-from terndrift.terms import Malformed
 
 NS_PER_SECOND = 1_000_000_000
 # SIGKILL follows SIGTERM no sooner than the longest deadline of a viewer, capped at 3 s, plus 0.7 s (as the
@@ -96,7 +96,7 @@
         for row in rows:
             try:
                 entry, name, address = settings.listed(row, self.configuration.layout, self.clock)
-            except Malformed as error:
+            except MalformedInputError as error:
                 unreadable = unreadable or str(error)
                 continue
             self.transport.listed(entry, name, address)
@@ -160,7 +160,7 @@
         """
         try:
             new = settings.read(self.path)
-        except Malformed as error:
+        except MalformedInputError as error:
             self.log.error("configuration not taken", why=str(error))
             return
         self.log.info("configuration", feed=new.feed_address)
@@ -262,5 +262,5 @@
 
     try:
         asyncio.run(serve())
-    except (Malformed, OSError) as error:
+    except (MalformedInputError, OSError) as error:
         sys.exit(f"terndrift: {error}")
--- a/terndrift/platform/settings.py
+++ b/terndrift/platform/settings.py
@@ -2,18 +2,18 @@
 
 `service` calls `read` on the file named by LB_CONFIG, at startup and on SIGHUP, and `listed` on each row of a
 control feed event; both formats are specified in the operators' DEPLOY document. The settings shared with the
-simulator are parsed by `terndrift.terms`. Nothing here is kept between calls, and invalid input raises
-Malformed instead of being replaced by a default.
+simulator are parsed by `terndrift.operator_settings`. Nothing here is kept between calls, and invalid input
+raises MalformedInputError instead of being replaced by a default.
 """
 
 import json
 import zlib
 from dataclasses import dataclass, replace
 
-from terndrift import terms
+from terndrift import operator_settings
 from terndrift.interface import ListEntry, Standing
+from terndrift.operator_settings import MalformedInputError
 from terndrift.platform.descriptors import Descriptors, shared_out
-from terndrift.terms import Malformed
 
 # Keys not compared when a configuration is reloaded: the new feed address takes effect at once, events come
 # from the feed, and the seed matters at startup only.
@@ -43,60 +43,63 @@
 
 
 def parse_address(text, what):
-    """Splits "host:port" into (host, port); raises Malformed, naming the field `what`."""
+    """Splits "host:port" into (host, port); raises MalformedInputError, naming the field `what`."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise Malformed(f"{what}: '{text}' is not host:port")
+        raise MalformedInputError(f"{what}: '{text}' is not host:port")
     return host, int(port)
 
 
 def read(path):
-    """Loads a Configuration from a JSON file; raises Malformed, naming the file and the invalid field."""
+    """Loads a Configuration from a JSON file; raises MalformedInputError, naming the file and the invalid
+    field."""
     try:
         with open(path, "rb") as file:
             value = json.load(file)
     except (OSError, ValueError) as error:
-        raise Malformed(f"{path}: {error}") from None
+        raise MalformedInputError(f"{path}: {error}") from None
     try:
         return configuration(value)
-    except Malformed as error:
-        raise Malformed(f"{path}: {error}") from None
+    except MalformedInputError as error:
+        raise MalformedInputError(f"{path}: {error}") from None
 
 
 def configuration(value):
-    """Parses a Configuration from decoded JSON; raises Malformed, naming the invalid field."""
+    """Parses a Configuration from decoded JSON; raises MalformedInputError, naming the invalid field."""
     if not isinstance(value, dict):
-        raise Malformed("not an object")
+        raise MalformedInputError("not an object")
     for key, kind in (("name", str), ("listen", str), ("feed", str), ("settings", dict), ("known", dict)):
         if not isinstance(value.get(key), kind):
-            raise Malformed(f"{key}: missing or not of type {kind.__name__}")
-    flat = terms.Read(terms.flat(value["settings"]))
-    deployment, _, layout = terms.deployment(flat)
+            raise MalformedInputError(f"{key}: missing or not of type {kind.__name__}")
+    flat = operator_settings.TrackedSettings(operator_settings.flatten(value["settings"]))
+    deployment, _, layout = operator_settings.read_deployment(flat)
     seed = zlib.crc32(str(value.get("seed", value["name"])).encode())
     parse_address(value["feed"], "feed")
     limits = value.get("limits", {})
     if not isinstance(limits, dict):
-        raise Malformed("limits: not an object")
-    limits = terms.flat(limits, "limits")
+        raise MalformedInputError("limits: not an object")
+    limits = operator_settings.flatten(limits, "limits")
     events = value["known"].get("events")
     if not isinstance(events, list):
-        raise Malformed("known.events: missing or not a list")
+        raise MalformedInputError("known.events: missing or not a list")
     return Configuration(
         name=value["name"],
         listen_address=parse_address(value["listen"], "listen"),
         feed_address=value["feed"],
-        descriptors=shared_out(terms.whole(limits, "limits.sockets", 1024, 16)),
+        descriptors=shared_out(operator_settings.read_int(limits, "limits.sockets", 1024, 16)),
         deployment=replace(deployment, seed=seed),
         layout=layout,
-        deadlines=terms.deadlines(flat),
-        connect=terms.whole(flat, "ceilings.connect_timeout_ns", 250 * 10**6, 1),
-        keepalive=terms.whole(flat, "ceilings.keepalive_ns", 30 * 10**9, 1),
-        most_on_connection=terms.whole(flat, "ceilings.max_streams", 2**20, 1),
-        tell_every=terms.whole(flat, "family_info.reports_every_ns", 0, 0),
-        drain_grace=terms.whole(flat, "rules.drain_grace_ns", 0, 0),
+        deadlines=operator_settings.read_deadlines(flat),
+        connect=operator_settings.read_int(flat, "ceilings.connect_timeout_ns", 250 * 10**6, 1),
+        keepalive=operator_settings.read_int(flat, "ceilings.keepalive_ns", 30 * 10**9, 1),
+        most_on_connection=operator_settings.read_int(flat, "ceilings.max_streams", 2**20, 1),
+        tell_every=operator_settings.read_int(flat, "family_info.reports_every_ns", 0, 0),
+        drain_grace=operator_settings.read_int(flat, "rules.drain_grace_ns", 0, 0),
         initial_events=events,
-        unknown=flat.unknown(),  # must come after every read above: names read so far are not unknown
-        flat_values=terms.flat({key: part for key, part in value.items() if key not in KEYS_NOT_COMPARED}),
+        unknown=flat.unknown_keys(),  # must come after every read above: names read so far are not unknown
+        flat_values=operator_settings.flatten(
+            {key: part for key, part in value.items() if key not in KEYS_NOT_COMPARED}
+        ),
     )
 
 
@@ -112,7 +115,8 @@
 
 
 def listed(row, layout, clock):
-    """Parses a row of the server list into (ListEntry, streamer name, "host:port"); raises Malformed.
+    """Parses a row of the server list into (ListEntry, streamer name, "host:port"); raises
+    MalformedInputError.
 
     `layout` maps cells to racks; `clock` converts the wall-clock start time to the controller's own time.
     """
@@ -126,7 +130,7 @@
                 kind=str(row.get("class", "")),
                 zone=str(row.get("site", "")),
                 cell=cell,
-                rack=layout.rack(cell),
+                rack=layout.rack_of(cell),
                 standing=standing,
                 weight=float(row.get("share", 1)),
                 started=clock.from_wall_ns(started_ms * 1_000_000),
@@ -135,4 +139,4 @@
             str(row.get("dial", "")),
         )
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise Malformed(f"a row of the list: {type(error).__name__} {error}") from None
+        raise MalformedInputError(f"a row of the list: {type(error).__name__} {error}") from None
--- a/terndrift/rehearse/run.py
+++ b/terndrift/rehearse/run.py
@@ -98,7 +98,9 @@
         self.between = Between(self) if day["members"]["voters"] else None
         self.working = Working(self, self.between) if day["work"]["share"] > 0 else None
         if self.drawn.between and not self.between:
-            raise deployment.Amiss("members.voters: 0, where troubles are between controllers")
+            raise deployment.InconsistentRecordError(
+                "members.voters: 0, where troubles are between controllers"
+            )
 
     def path(self, name):
         return os.path.join(self.folder, name)
@@ -441,5 +443,5 @@
     """A day by its name among those that come along, or by its file."""
     own = os.path.join(os.path.dirname(__file__), "days", f"{name}.rec")
     day = records.load(own if os.path.exists(own) else name, "day")
-    deployment.check(day["deployment"])
+    deployment.check_record(day["deployment"])
     return day
--- a/terndrift/rehearse/virtual.py
+++ b/terndrift/rehearse/virtual.py
@@ -215,7 +215,7 @@
             title.holders or w.everywhere,
             self.top,
             abandon,
-            title.length,
+            title.duration,
             context=row["visit"],
         )
 
@@ -270,7 +270,7 @@
         self.ahead += piece
         self.seen += piece / SECOND
         self.number += 1
-        whole = self.number >= w.titles[self.row["title"]].segments
+        whole = self.number >= w.titles[self.row["title"]].segment_count
         if dry > PATIENCE or whole or w.now >= self.until:
             front.run(
                 front.core.playback_ended, self.playback, Ending.PLAYED_OUT if whole else Ending.CALLED_OFF
@@ -293,9 +293,11 @@
         self.events, self.order = [], itertools.count()
         self.notes = {"viewers": [], "streamers": [], "runner": []}
         self.piece, self.lag = d["segment"], d["links"]["lag"]
-        self.made = deployment.made(d, {"name": "c", "rank": 0, "of": controllers, "zone": "", "seed": 0})
+        self.made = deployment.build_deployment(
+            d, {"name": "c", "rank": 0, "of": controllers, "zone": "", "seed": 0}
+        )
         self.rates = {n: [r * p.scale for r in d["ladder"]["rates"]] for n, p in self.made.plans.items()}
-        self.titles = deployment.titles(d)
+        self.titles = deployment.build_titles(d)
         racks = {n: Rack(given) for n, given in self.drawn.uplinks.items()}
         self.racks = racks
         self.streamers = {
@@ -304,7 +306,7 @@
         }
         self.everywhere = frozenset(self.streamers)
         made = [
-            deployment.made(
+            deployment.build_deployment(
                 d, {"name": f"c{n}", "rank": n, "of": controllers, "zone": "", "seed": seed * 100 + n}
             )
             for n in range(controllers)
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -6,7 +6,7 @@
 
 from terndrift.audit import recovery
 from terndrift.core.active_playback import AnswerKind
-from terndrift.deployment import made
+from terndrift.deployment import build_deployment
 from terndrift.fleet.arena import Arena
 from terndrift.fleet.sight import Sight
 from terndrift.fleet.site import OfLate
@@ -219,7 +219,7 @@
 
     def _front(self, n):
         d = self.day["deployment"]
-        deployment = made(
+        deployment = build_deployment(
             d,
             {
                 "name": f"c{n}",
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -38,11 +38,13 @@
 
 
 def read(path):
-    """A front file's value, checked in itself; raises records.Wrong or deployment.Amiss."""
+    """A front file's value, checked in itself; raises records.Wrong or deployment.InconsistentRecordError."""
     value = records.load(path, "front")
-    deployment.check(value["deployment"])
+    deployment.check_record(value["deployment"])
     if not value["list"] and not value["xds"]:
-        raise deployment.Amiss("list, xds: neither names where the list of streamers comes from")
+        raise deployment.InconsistentRecordError(
+            "list, xds: neither names where the list of streamers comes from"
+        )
     files = ()
     if value["xds"]:
         from terndrift.xds.sources import FILES as files  # as in xds/follow.py: imported where it is used
@@ -160,7 +162,7 @@
         self.value = value
         self.log = log or logs.configure_logging(value["log"]["level"], value["log"]["form"])
         self.clock = Clock()
-        made = deployment.made(value["deployment"], value["controller"])
+        made = deployment.build_deployment(value["deployment"], value["controller"])
         http, limits = value["http"], value["limits"]
         self.core = Core(
             made,
--- a/terndrift/standin/fleet.py
+++ b/terndrift/standin/fleet.py
@@ -33,16 +33,16 @@
     def __init__(self, value):
         """`value`: a fleet record (records/schema/fleet.rec)."""
         d = value["deployment"]
-        deployment.check(d)
+        deployment.check_record(d)
         self.value, self.ledger, self.shaper = value, Ledger(value["ledger"]), Shaper()
-        made = deployment.plans(d)
+        made = deployment.build_plans(d)
         titles = {
             t.name: (
                 [r * made[t.plan].scale for r in d["ladder"]["rates"]],
-                t.segments,
+                t.segment_count,
                 d["segment"] / SECOND,
             )
-            for t in deployment.titles(d).values()
+            for t in deployment.build_titles(d).values()
         }
         self.racks = {int(n): Rack(rate) for n, rate in value["uplinks"].items()}
         self.streamers = {}
--- a/terndrift/xds/sources.py
+++ b/terndrift/xds/sources.py
@@ -3,7 +3,7 @@
 import re
 import zlib
 
-from terndrift.deployment import Amiss
+from terndrift.deployment import InconsistentRecordError
 from terndrift.xds import codec
 from terndrift.xds.client import Ads
 from terndrift.xds.poll import Path, Rest
@@ -15,16 +15,16 @@
 
 
 def check(where, xds):
-    """What does not fit together in an #Xds record; `where` names it. Raises Amiss."""
+    """What does not fit together in an #Xds record; `where` names it. Raises InconsistentRecordError."""
     form, given = xds["form"], xds["source"]
     if form == "path" and not (xds["clusters"] and xds["endpoints"]):
-        raise Amiss(f"{where}: form path wants the files clusters and endpoints")
+        raise InconsistentRecordError(f"{where}: form path wants the files clusters and endpoints")
     if form == "rest" and not re.fullmatch(r"http://[^/:]+:[0-9]+/?", given):
-        raise Amiss(f"{where}.source: found '{given}', form rest wants http://HOST:PORT")
+        raise InconsistentRecordError(f"{where}.source: found '{given}', form rest wants http://HOST:PORT")
     if form in codec.METHODS and not re.fullmatch(r"[^/]+:[0-9]+", given):
-        raise Amiss(f"{where}.source: found '{given}', form {form} wants HOST:PORT")
+        raise InconsistentRecordError(f"{where}.source: found '{given}', form {form} wants HOST:PORT")
     if (xds["certificate"] or xds["key"]) and not (xds["ca"] and xds["certificate"] and xds["key"]):
-        raise Amiss(f"{where}: a certificate wants its key, and both want ca")
+        raise InconsistentRecordError(f"{where}: a certificate wants its key, and both want ca")
 
 
 def source(name, xds, controller, listing, clock, seed, log):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from terndrift import terms
+from terndrift import operator_settings
 from terndrift.adapter import codec
 from terndrift.adapter.__main__ import serve
 
@@ -100,7 +100,7 @@
         "family_info.shared_adds": "0.2",
     }
     for live, adds in (("true,false", [0.2, 1.0]), ("", [1.0, 1.0])):
-        deployment, _, _ = terms.deployment({**base, "family_info.class_live": live})
+        deployment, _, _ = operator_settings.read_deployment({**base, "family_info.class_live": live})
         assert [plan.adds for plan in deployment.plans.values()] == adds
 
 
@@ -113,7 +113,9 @@
         ("x0", "?", None),
     ):
         assert codec.parse_load_report({"telemetry": telemetry}, fields.split(",")).get("link") == link
-        links = terms.deployment({"family_info.rung_kb": "100", "load_report.fields": fields})[0].links
+        links = operator_settings.read_deployment(
+            {"family_info.rung_kb": "100", "load_report.fields": fields}
+        )[0].links
         assert links.answers_report_load == (fields != "waiting,rps")
     probe_only = {"family_info.rung_kb": "100", "load_report.fields": "x0", "load_report.how": "probe"}
-    assert not terms.deployment(probe_only)[0].links.answers_report_load
+    assert not operator_settings.read_deployment(probe_only)[0].links.answers_report_load
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -12,7 +12,7 @@
 from terndrift import records
 from terndrift.cli.main import cli
 from terndrift.core.runner import Clock
-from terndrift.deployment import Amiss
+from terndrift.deployment import InconsistentRecordError
 from terndrift.fleet.record import Role
 from terndrift.fleet.service import Fleet, settled
 from terndrift.rehearse import run
@@ -184,12 +184,12 @@
         'fleet: {name: "f", voters: ["c0", "c1", "c9"],\n'
         'members: c0: {datagrams: "127.0.0.1:1", http: "127.0.0.1:2"}}\n',
     )
-    with pytest.raises(Amiss) as wrong:
+    with pytest.raises(InconsistentRecordError) as wrong:
         settled(value)
     for words in ("fleet.members.c0", "fleet.voters: no member 'c9'", "fleet.store"):
         assert words in str(wrong.value)
     value["fleet"] |= {"voters": ["c0", "c0"], "members": {}, "store": "x"}
-    with pytest.raises(Amiss, match="2 names, wanted 3 or 5"):
+    with pytest.raises(InconsistentRecordError, match="2 names, wanted 3 or 5"):
         settled(value)
     assert settled(front(tmp_path, "")) is None, "without a name there is no fleet"
 
--- a/tests/test_terms.py
+++ b/tests/test_operator_settings.py
@@ -14,7 +14,7 @@
 import pytest
 from platform_world import SETTINGS
 
-from terndrift import terms
+from terndrift import operator_settings
 from terndrift.adapter import codec
 from terndrift.adapter.__main__ import serve
 from terndrift.decide import Controller, State
@@ -22,7 +22,7 @@
 from terndrift.platform import settings
 
 S = 1_000_000_000
-FLAT_SETTINGS = terms.flat(SETTINGS)
+FLAT_SETTINGS = operator_settings.flatten(SETTINGS)
 CONFIGURATION = {
     "name": "n",
     "listen": "127.0.0.1:0",
@@ -60,7 +60,7 @@
             f"r{n}",
             plan,
             "t",
-            layout.holders(0, 3),
+            layout.holder_cells(0, 3),
             len(deployment.ladder.rates) - 1,
             3 * S,
             0,
@@ -111,16 +111,18 @@
 )
 def test_invalid_settings_are_named_in_the_error_by_platform_and_adapter(expected, name, value):
     invalid = changed_settings(**{name: value})
-    with pytest.raises(terms.Malformed, match=re.escape(expected)):
+    with pytest.raises(operator_settings.MalformedInputError, match=re.escape(expected)):
         settings.configuration({**CONFIGURATION, "settings": invalid})
-    fields = " ".join(f"{key}={value}" for key, value in terms.flat(invalid).items() if value != "")
+    fields = " ".join(
+        f"{key}={value}" for key, value in operator_settings.flatten(invalid).items() if value != ""
+    )
     error = serve(io.StringIO(f"sync now_ns=1\nswitch_to who=3\nenlist seed=5 {fields}\ngo\n"), io.StringIO())
     assert error.startswith("terndrift: line 3: ") and expected in error
 
 
 @pytest.mark.parametrize("limits", [7, {"sockets": "many"}, {"sockets": 0}, {"sockets": [1]}])
 def test_invalid_limits_are_named_in_the_error(limits):
-    with pytest.raises(terms.Malformed, match="limits"):
+    with pytest.raises(operator_settings.MalformedInputError, match="limits"):
         settings.configuration({**CONFIGURATION, "limits": limits})
 
 
@@ -128,8 +130,8 @@
     for key in FLAT_SETTINGS:
         for value in UNUSUAL_VALUES:
             try:
-                deployment, _, layout = terms.deployment({**FLAT_SETTINGS, key: value})
-            except terms.Malformed as error:
+                deployment, _, layout = operator_settings.read_deployment({**FLAT_SETTINGS, key: value})
+            except operator_settings.MalformedInputError as error:
                 assert "'" in str(error), f"{key}={value}: {error}"
                 continue
             run_controller(deployment, layout, list_entries(5, started=S // 2))
@@ -143,9 +145,11 @@
         dict(host_types=["big box", "box"], places_by_kind=[9, 4]),
     ):
         changed = changed_settings(**changes)
-        line = " ".join(f"{key}={value}" for key, value in terms.flat(changed).items() if value != "")
+        line = " ".join(
+            f"{key}={value}" for key, value in operator_settings.flatten(changed).items() if value != ""
+        )
         _, flat = codec.parse_line(f"enlist seed=5 {line}")
-        deployment, report_fields, layout = terms.deployment(flat)
+        deployment, report_fields, layout = operator_settings.read_deployment(flat)
         configuration = settings.configuration({**CONFIGURATION, "settings": changed})
         assert (
             replace(configuration.deployment, seed=5) == deployment
@@ -174,14 +178,18 @@
         dict(host_types=[], places_by_kind=None),
         dict(rung_kb=list(range(1, 200)), worth_by_rung=None),
     ):
-        deployment, _, layout = terms.deployment(terms.flat(changed_settings(**changes)))
+        deployment, _, layout = operator_settings.read_deployment(
+            operator_settings.flatten(changed_settings(**changes))
+        )
         for count, racks in ((0, 1), (1, 1), (600, 600)):
             run_controller(deployment, layout, list_entries(count, racks))
 
 
 def test_empty_server_list_rejects_at_once_with_retry_advice_only_if_allowed():
     for allowed, advice in ((True, S // 2), (False, 0)):
-        deployment, _, layout = terms.deployment(terms.flat(changed_settings(retry_after=allowed)))
+        deployment, _, layout = operator_settings.read_deployment(
+            operator_settings.flatten(changed_settings(retry_after=allowed))
+        )
         controller, changed = run_controller(deployment, layout, [])
         assert [(playback.state, playback.retry_after, playback.state_since) for playback in changed] == [
             (State.REJECTED, advice, 2 * S)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,7 +17,7 @@
 from platform_world import SETTINGS, in_world
 from world import Log, until
 
-from terndrift import terms
+from terndrift import operator_settings
 from terndrift.core.active_playback import PlaybackStage
 from terndrift.interface import Standing
 from terndrift.platform import message as m
@@ -197,7 +197,7 @@
 
 
 def test_nested_and_flat_settings_are_equivalent():
-    flat = terms.flat(SETTINGS)
+    flat = operator_settings.flatten(SETTINGS)
     assert flat["profiles.count"] == "2" and flat["profiles.1.name"] == "paid"
     assert flat["family_info.rung_kb"] == "100.0,200.0,400.0" and flat["ceilings.probes"] == "false"
     configuration = settings.configuration(configuration_value())
@@ -209,7 +209,7 @@
         configuration.deployment.rules.longest_advice == SECOND // 2
         and configuration.drain_grace == SECOND // 4
     )
-    assert configuration.layout.holders(3, 2) == {3, 0} and configuration.deadlines == {
+    assert configuration.layout.holder_cells(3, 2) == {3, 0} and configuration.deadlines == {
         "free": 3 * SECOND,
         "paid": 3 * SECOND,
     }
@@ -227,16 +227,16 @@
     ],
 )
 def test_configuration_error_names_the_field(changed, field):
-    with pytest.raises(terms.Malformed, match=field):
+    with pytest.raises(operator_settings.MalformedInputError, match=field):
         settings.configuration(configuration_value(**changed))
 
 
 def test_configuration_error_names_the_file(tmp_path):
     path = tmp_path / "config.json"
     path.write_text("{")
-    with pytest.raises(terms.Malformed, match="config.json"):
+    with pytest.raises(operator_settings.MalformedInputError, match="config.json"):
         settings.read(str(path))
-    with pytest.raises(terms.Malformed, match="none.json"):
+    with pytest.raises(operator_settings.MalformedInputError, match="none.json"):
         settings.read(str(tmp_path / "none.json"))
 
 
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -128,7 +128,7 @@
     def __init__(self, configuration, seed):
         self.random, self.now, self.deployment = random.Random(seed), T0, configuration.deployment
         self.core = Core(self.deployment, T0, "n0", configuration.drain_grace, self._watch)
-        self.cells, self.layout = configuration.layout.cells, configuration.layout
+        self.cells, self.layout = configuration.layout.cell_count, configuration.layout
         self.event_numbers, self.events = itertools.count(), []
         self.pending, self.may_have_run, self.playing, self.extra_attempts, self.requests = (
             {},  # playback -> streamer of the attempt that is out
@@ -156,7 +156,7 @@
             kinds[n % len(kinds)],
             f"z{n % 3}",
             cell,
-            self.layout.rack(cell),
+            self.layout.rack_of(cell),
             standing,
             self.random.choice([0, 0.5, 1, 200]),
             0,
@@ -254,7 +254,7 @@
         request = PlaybackRequest(
             plan.name,
             f"t{self.random.randrange(3)}",
-            self.layout.holders(first_cell, holder_count),
+            self.layout.holder_cells(first_cell, holder_count),
             self.random.choice([9, 9, self.random.randrange(10)]),
             time_left,
             self.random.choice([0, 5 * S]),
