--- a/terndrift/platform/attempt.py
+++ b/terndrift/platform/attempt.py
@@ -15,7 +15,7 @@
     OVER = "over"
 
 
-TRANSITIONS = {
+ATTEMPT_TRANSITIONS = {
     AttemptState.CONNECTING: (AttemptState.SENT, AttemptState.OVER),
     AttemptState.SENT: (AttemptState.CANCELLED, AttemptState.OVER),
     AttemptState.CANCELLED: (AttemptState.OVER,),
@@ -26,12 +26,12 @@
 class Attempt:
     """A set-up attempt for `playback` at `peer`.
 
-    `session` is the front's ViewerSession of the playback; `due` is the time, in ns of the runner's clock,
-    after which a set-up is of no use.
+    `session` is the front's ViewerSession of the playback; `deadline` is the time, in ns of the runner's
+    clock, after which a set-up is of no use.
     """
 
-    def __init__(self, playback, peer, rung, due):
-        self.playback, self.peer, self.rung, self.due = playback, peer, rung, due
+    def __init__(self, playback, peer, rung, deadline):
+        self.playback, self.peer, self.rung, self.deadline = playback, peer, rung, deadline
         self.session = playback.request.context
         self.id = self.session.id
         self.state = AttemptState.CONNECTING
@@ -40,9 +40,9 @@
         # turns of the event loop to wait for unread input of its viewer; None: not determined yet
         self.remaining_turns = None
 
-    def turn(self, state):
+    def transition_to(self, state):
         """Sets the state; every state change goes through here."""
-        assert state in TRANSITIONS[self.state], (
+        assert state in ATTEMPT_TRANSITIONS[self.state], (
             f"{self.id.hex()}: invalid transition from {self.state} to {state}"
         )
         self.state = state
--- a/terndrift/platform/connection.py
+++ b/terndrift/platform/connection.py
@@ -11,8 +11,8 @@
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
-from terndrift.platform.link import MessageReader
 from terndrift.platform.message import MessageFramingError
+from terndrift.platform.message_reader import MessageReader
 
 # Bytes per read; bounds the time that one read and its processing hold the event loop.
 READ_CHUNK_BYTES = 64 * 1024
@@ -30,7 +30,7 @@
     CLOSED = "closed"
 
 
-TRANSITIONS = {
+CONNECTION_TRANSITIONS = {
     ConnectionState.OPEN: (ConnectionState.FINISHING, ConnectionState.CLOSED),
     ConnectionState.FINISHING: (ConnectionState.CLOSED,),
     ConnectionState.CLOSED: (),
@@ -55,7 +55,7 @@
 
     Calls `on_messages(connection, messages)` with the messages of each read, and `on_closed(connection)`
     exactly once. `partial_timeout` (ns) is passed to the message reader; whoever owns the connection has to
-    check it by calling `link.is_overdue` regularly. Must be created within a running event loop.
+    check it by calling `reader.is_overdue` regularly. Must be created within a running event loop.
     """
 
     def __init__(self, stream, clock, on_messages, on_closed, partial_timeout=PARTIAL_MESSAGE_TIMEOUT_NS):
@@ -65,18 +65,18 @@
             "closed by the peer",
             False,
         )
-        self.link = MessageReader(clock.now(), partial_timeout)
+        self.reader = MessageReader(clock.now(), partial_timeout)
         self.last_sent_at = clock.now()
         self.may_have_buffered_input = False  # a full-sized read may have left bytes in the stream's buffer
         stream.set_nodelay(True)
         self.task = asyncio.ensure_future(self._read())
 
-    def _turn(self, state):
+    def _transition_to(self, state):
         """Sets the state; every state change goes through here."""
-        assert state in TRANSITIONS[self.state], f"{self.state} to {state}"
+        assert state in CONNECTION_TRANSITIONS[self.state], f"{self.state} to {state}"
         self.state = state
 
-    def up(self):
+    def is_open(self):
         """Whether messages can still be sent."""
         return self.state is ConnectionState.OPEN and not self.stream.closed()
 
@@ -90,17 +90,17 @@
         poll.register(self.stream.socket, select.POLLIN)
         return bool(poll.poll(0))
 
-    def unsent(self):
+    def has_unsent_output(self):
         """Whether written bytes are still queued in this process."""
         return not self.stream.closed() and self.stream.writing()
 
     def idle_since(self):
         """Time in ns at which data was last sent or received."""
-        return max(self.last_sent_at, self.link.heard)
+        return max(self.last_sent_at, self.reader.last_received_at)
 
     def send(self, data):
         """Queues bytes for sending and returns True; returns False if the connection can't take them."""
-        if not self.up():
+        if not self.is_open():
             return False
         try:
             self.stream.write(data)
@@ -118,15 +118,15 @@
             self.close_reason, self.closed_locally = reason, True
             self.stream.close()
 
-    def finish(self, reason):
+    def shut_down_sending(self, reason):
         """Shuts down sending and discards received data until the peer closes too.
 
         Closing a socket with unread input resets the connection, and the last messages to the peer would be
         lost with it.
         """
-        if not self.up():
+        if not self.is_open():
             return
-        self._turn(ConnectionState.FINISHING)
+        self._transition_to(ConnectionState.FINISHING)
         self.close_reason, self.closed_locally = reason, True
         try:
             self.stream.socket.shutdown(socket.SHUT_WR)
@@ -139,7 +139,7 @@
                 data = await self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
                 self.may_have_buffered_input = len(data) == READ_CHUNK_BYTES
                 if self.state is ConnectionState.OPEN and (
-                    received := self.link.receive(self.clock.now(), data)
+                    received := self.reader.receive(self.clock.now(), data)
                 ):
                     self.on_messages(self, received)
         except StreamClosedError:
@@ -148,5 +148,5 @@
             self.close(f"unreadable: {error}")
         finally:
             self.stream.close()
-            self._turn(ConnectionState.CLOSED)
+            self._transition_to(ConnectionState.CLOSED)
             self.on_closed(self)
--- a/terndrift/platform/descriptors.py
+++ b/terndrift/platform/descriptors.py
@@ -5,7 +5,7 @@
 # Descriptors in use besides the connections to viewers and streamers: standard streams (3), event loop and
 # its wake-up pair (3), listener, control feed at its old and new address (2), the configuration while it is
 # read, a connection while it is accepted and refused, one spare.
-RESERVED = 12
+RESERVED_DESCRIPTORS = 12
 MIN_CONNECTIONS = 2
 
 
@@ -13,15 +13,15 @@
 class Descriptors:
     """The maximum number of connections to viewers and to streamers."""
 
-    viewers: int
-    streamers: int
+    max_viewer_connections: int
+    max_streamer_connections: int
 
 
-def shared_out(limit):
+def divide_descriptors(limit):
     """Returns the Descriptors for a process limit of `limit` descriptors.
 
     Well-behaved viewers hold at most a third of the limit (PROTOCOL), and misbehaving ones come on top of
     that, so viewers may use half of what is not reserved.
     """
-    half = max(MIN_CONNECTIONS, (limit - RESERVED) // 2)
-    return Descriptors(viewers=half, streamers=half)
+    half = max(MIN_CONNECTIONS, (limit - RESERVED_DESCRIPTORS) // 2)
+    return Descriptors(max_viewer_connections=half, max_streamer_connections=half)
--- a/terndrift/platform/front.py
+++ b/terndrift/platform/front.py
@@ -12,7 +12,7 @@
 from terndrift.platform import message as m
 from terndrift.platform.connection import Connection, new_stream
 from terndrift.platform.listener import Listener
-from terndrift.platform.message import InvalidMessageError, encode, parse_set_up, release
+from terndrift.platform.message import InvalidMessageError, encode_message, encode_release, parse_set_up
 from terndrift.platform.settings import streamer_id
 
 SECOND = 1_000_000_000
@@ -44,7 +44,7 @@
 
     def is_disconnected(self):
         """Whether the viewer's connection has ended."""
-        return not self.connection.up()
+        return not self.connection.is_open()
 
     def has_unread_input(self):
         """Whether its connection has unread input, which may cancel the set-up."""
@@ -66,15 +66,15 @@
         self.runner, self.transport, self.configuration, self.log = runner, transport, configuration, log
         self.deadlines, self.layout = configuration.deadlines, configuration.layout
         self.rung_count = len(configuration.deployment.ladder.rates)
-        self.max_connections = configuration.descriptors.viewers
-        self.listener = Listener(self._on_accepted, self._close_quiet, log)
+        self.max_connections = configuration.descriptors.max_viewer_connections
+        self.listener = Listener(self._on_accepted, self._close_unused, log)
         self.connections = {}  # Connection -> {ID: ViewerSession} of its open set-ups, in order of arrival
-        self.standing = {}  # Connection -> number of its playbacks
+        self.playback_counts = {}  # Connection -> number of its playbacks
         # Connection -> None: connections on which an answer was sent, so that a release is understood there
         self.answered_connections = {}
-        self.held = {}  # ID -> ViewerSession of an open set-up or a playback
+        self.sessions = {}  # ID -> ViewerSession of an open set-up or a playback
         # ID -> (since, streamer ID, ViewerSession, callback) of a hand-over that waits for its rung
-        self.expected = {}
+        self.pending_hand_overs = {}
         self.undelivered_releases = deque()  # (expiry time, bytes) of releases that no connection could carry
         self.admission = AdmissionGate(max_open_set_ups(self.deadlines), configuration.deployment.seed)
         self.ready, self.closing = False, False
@@ -85,15 +85,15 @@
         return self.listener.listen_on(address)
 
     def _on_accepted(self, sock):
-        if len(self.connections) >= self.max_connections and not self._close_quiet():
+        if len(self.connections) >= self.max_connections and not self._close_unused():
             sock.close()
             return
         connection = Connection(
             new_stream(sock), self.runner.clock, self._on_messages, self._connection_closed
         )
-        self.connections[connection], self.standing[connection] = {}, 0
+        self.connections[connection], self.playback_counts[connection] = {}, 0
 
-    def _close_quiet(self):
+    def _close_unused(self):
         """Closes one connection that is not in use; returns whether there was one.
 
         Prefers connections that have sent no message; among equals it closes the one idle for longest.
@@ -101,30 +101,30 @@
         unused = [
             connection
             for connection, sessions in self.connections.items()
-            if connection.up() and not sessions and not self.standing[connection]
+            if connection.is_open() and not sessions and not self.playback_counts[connection]
         ]
-        unused.sort(key=lambda connection: (connection.link.count > 0, connection.idle_since()))
+        unused.sort(key=lambda connection: (connection.reader.message_count > 0, connection.idle_since()))
         selected = next((connection for connection in unused if not connection.has_unread_input()), None)
         if selected is None:
             return False
         selected.close("connection limit reached")
         return True
 
-    def every_quarter(self):
+    def enforce_timeouts(self):
         """Enforces the timeouts of the front; called four times a second."""
         now = self.runner.clock.now()
         for connection, sessions in list(self.connections.items()):
-            if connection.link.is_overdue(now):
+            if connection.reader.is_overdue(now):
                 connection.close("incomplete message timed out")
             elif (
                 not sessions
-                and not self.standing[connection]
-                and now - connection.link.heard > IDLE_TIMEOUT_NS
+                and not self.playback_counts[connection]
+                and now - connection.reader.last_received_at > IDLE_TIMEOUT_NS
                 and not connection.has_unread_input()
             ):  # a set-up that has arrived but is not read yet must not be lost to the close
                 connection.close("idle")
-        for id, (since, *_, on_rung) in list(self.expected.items()):
-            if now - since > HAND_OVER_TIMEOUT_NS and id in self.expected:
+        for id, (since, *_, on_rung) in list(self.pending_hand_overs.items()):
+            if now - since > HAND_OVER_TIMEOUT_NS and id in self.pending_hand_overs:
                 on_rung(0)
         while self.undelivered_releases and self.undelivered_releases[0][0] < now:
             self.undelivered_releases.popleft()
@@ -143,14 +143,14 @@
             if candidate.type == m.SET_UP and not m.is_hand_over(candidate)
         )
         for message in batch:
-            if not connection.up():
+            if not connection.is_open():
                 return
             if (
                 message.type == m.SET_UP
                 and not m.is_hand_over(message)
                 and (message.id in cancelled_ids or set_up_counts[message.id] > 1)
             ):
-                connection.send(release(message.id, m.UNUSABLE))
+                connection.send(encode_release(message.id, m.UNUSABLE))
             else:
                 self._handle_message(connection, message)
 
@@ -160,25 +160,29 @@
         elif message.type == m.RELEASE:
             self._handle_release(connection, message.id)
         elif message.type == m.TEST:
-            connection.send(encode(m.TESTED, message.id, (m.CAUSE, bytes([self.ready]))))
+            connection.send(encode_message(m.TESTED, message.id, (m.CAUSE, bytes([self.ready]))))
         elif message.type not in (m.PROGRESS, m.RELEASE_HEARD, m.TESTED):
             connection.close(f"unexpected message type {message.type}")
 
     def _handle_set_up(self, connection, message):
-        existing, now = self.held.get(message.id), self.runner.clock.now()
+        existing, now = self.sessions.get(message.id), self.runner.clock.now()
         try:
             request = parse_set_up(message, self.deadlines, self.layout.cell_count)
             if request.current_streamer is not None:
-                if existing is None and message.id not in self.expected and not self.closing:
+                if existing is None and message.id not in self.pending_hand_overs and not self.closing:
                     self._await_hand_over(connection, message.id, request)
                 return
-            if existing is not None or message.id in self.expected or self.transport.holds(message.id):
+            if (
+                existing is not None
+                or message.id in self.pending_hand_overs
+                or self.transport.has_cancelled_attempt(message.id)
+            ):
                 raise InvalidMessageError("playback ID is already in use")
         except InvalidMessageError as error:
             self.log.debug("unusable", why=str(error))
             if existing is not None and existing.id in self.connections[connection]:
                 self._cancel_set_up(existing)  # one answer can't serve two set-ups
-            connection.send(release(message.id, m.UNUSABLE))
+            connection.send(encode_release(message.id, m.UNUSABLE))
             return
         if self.closing:
             self._send_rejection(connection, message.id, self.runner.core.controller.retry_advice)
@@ -187,7 +191,7 @@
             self._send_rejection(connection, message.id, retry_after)
             return
         session = ViewerSession(message.id, connection, request.forwarded)
-        self.held[message.id] = self.connections[connection][message.id] = session
+        self.sessions[message.id] = self.connections[connection][message.id] = session
         session.playback = self.runner.run(
             self.runner.core.request_playback,
             self._wanted(session, request),
@@ -221,13 +225,13 @@
         )
 
         def on_rung(rung):
-            self.expected.pop(id, None)
+            self.pending_hand_overs.pop(id, None)
             self.transport.cancel_hand_over(streamer, id)
             self._complete_hand_over(session, request, streamer, rung)
 
-        self.standing[connection] += 1
+        self.playback_counts[connection] += 1
         if self.transport.register_hand_over(streamer, id, on_rung):
-            self.expected[id] = self.runner.clock.now(), streamer, session, on_rung
+            self.pending_hand_overs[id] = self.runner.clock.now(), streamer, session, on_rung
             self.answered_connections[connection] = None
         else:
             self.log.warning(
@@ -252,14 +256,14 @@
             self._remove(session)
             self._send_release(session)
             return
-        self.held[session.id] = session
+        self.sessions[session.id] = session
         self.transport.track_playback(session.playback)
 
     def _handle_release(self, connection, id):
-        session = self.held.get(id)
-        connection.send(encode(m.RELEASE_HEARD, id))
-        if id in self.expected:
-            _, streamer, pending, _ = self.expected.pop(id)
+        session = self.sessions.get(id)
+        connection.send(encode_message(m.RELEASE_HEARD, id))
+        if id in self.pending_hand_overs:
+            _, streamer, pending, _ = self.pending_hand_overs.pop(id)
             self._remove(pending)
             self.transport.cancel_hand_over(streamer, id, ended_by_viewer=True)
         if session is None:
@@ -281,17 +285,17 @@
 
     def _cancel_set_up(self, session):
         self._close_set_up(session)
-        self.held.pop(session.id, None)
+        self.sessions.pop(session.id, None)
         self._viewer_left(session)
 
     def _connection_closed(self, connection):
         sessions = self.connections.pop(connection)
-        self.standing.pop(connection)
+        self.playback_counts.pop(connection)
         self.answered_connections.pop(connection, None)
         for session in sessions.values():
             self._cancel_set_up(session)
 
-    def last_answers(self):
+    def send_final_answers(self):
         """Sends the last answer to every open set-up and releases every playback; called once, at shutdown.
 
         The runner is stopped first, so that an answer or a refusal of a streamer that is still on its way
@@ -299,23 +303,23 @@
         """
         self.closing = True
         self.runner.stop()
-        for session in self.held.values():
+        for session in self.sessions.values():
             if session.playback.answer is None:
                 self._send_refusal(session, self.runner.core.fallback_answer(session.playback))
             else:
                 self._send_release(session)
-        for _, _, session, _ in self.expected.values():
+        for _, _, session, _ in self.pending_hand_overs.values():
             self._send_release(session)
-        self.transport.last_releases()
-        self.held.clear()
-        self.expected.clear()
+        self.transport.send_final_releases()
+        self.sessions.clear()
+        self.pending_hand_overs.clear()
         for sessions in self.connections.values():
             sessions.clear()
 
-    def finish(self):
+    def shut_down_sending(self):
         """Shuts down sending on every connection; nothing can be sent to viewers afterwards."""
         for connection in list(self.connections):
-            connection.finish("controller shutdown")
+            connection.shut_down_sending("controller shutdown")
 
     # Messages to viewers.
 
@@ -329,9 +333,11 @@
         connection = session.connection
         self._close_set_up(session)
         if answer.kind is AnswerKind.PLAYS:
-            self.standing[connection] += 1
+            self.playback_counts[connection] += 1
             self.answered_connections[connection] = None
-            if not connection.send(encode(m.ANSWER, session.id, (m.DESCRIPTION, session.description))):
+            if not connection.send(
+                encode_message(m.ANSWER, session.id, (m.DESCRIPTION, session.description))
+            ):
                 # the connection has just ended, so the viewer does not know that its playback was set up
                 self._remove(session)
                 self._viewer_left(session)
@@ -339,12 +345,12 @@
             while self.undelivered_releases and connection.send(self.undelivered_releases[0][1]):
                 self.undelivered_releases.popleft()
             return
-        del self.held[session.id]
+        del self.sessions[session.id]
         self._send_refusal(session, answer)
 
     def _send_refusal(self, session, answer):
         if answer.kind is AnswerKind.ABORTED:
-            session.connection.send(release(session.id, m.FAILED))
+            session.connection.send(encode_release(session.id, m.FAILED))
         else:
             self._send_rejection(session.connection, session.id, answer.retry_after)
 
@@ -355,18 +361,18 @@
         """
         retry_after = min(retry_after, self.configuration.deployment.rules.longest_advice)
         advice = [(m.ADVICE, str(retry_after // MS))] if retry_after else []
-        connection.send(release(id, m.REJECTED, *advice))
+        connection.send(encode_release(id, m.REJECTED, *advice))
 
     def _remove(self, session):
         """Removes a playback from those of its connection."""
-        self.held.pop(session.id, None)
-        if session.connection in self.standing:
-            self.standing[session.connection] -= 1
+        self.sessions.pop(session.id, None)
+        if session.connection in self.playback_counts:
+            self.playback_counts[session.connection] -= 1
 
     def _playback_ended(self, playback, by_viewer):
         """Called by the transport when a playback is over at its streamer."""
         session = playback.request.context
-        if self.held.get(session.id) is not session:
+        if self.sessions.get(session.id) is not session:
             return
         self._remove(session)
         session.playback = None
@@ -375,7 +381,7 @@
 
     def _send_release(self, session):
         """Tells the viewer that its playback is over, on any connection that can carry the message."""
-        data = release(session.id, m.OVER)
+        data = encode_release(session.id, m.OVER)
         if not session.connection.send(data) and not any(
             connection.send(data) for connection in self.answered_connections
         ):
--- a/terndrift/platform/message.py
+++ b/terndrift/platform/message.py
@@ -102,7 +102,7 @@
     return value
 
 
-def encode(type, id, *parameters):
+def encode_message(type, id, *parameters):
     """Returns the bytes of a message; `parameters` are pairs of a code and bytes or ASCII text."""
     body = bytearray()
     for code, value in parameters:
@@ -111,9 +111,9 @@
     return HEADER.pack(len(body) + 9, type, id) + bytes(body)
 
 
-def release(id, cause, *parameters):
+def encode_release(id, cause, *parameters):
     """Returns the bytes of a release message with a cause code and, optionally, further parameters."""
-    return encode(RELEASE, id, (CAUSE, bytes([cause])), *parameters)
+    return encode_message(RELEASE, id, (CAUSE, bytes([cause])), *parameters)
 
 
 def decode(type, id, body):
@@ -133,7 +133,7 @@
     return Message(type, id, parameters)
 
 
-def messages(buffer):
+def decode_messages(buffer):
     """Decodes the complete messages at the start of a bytearray and removes their bytes from it.
 
     A partial message at the end stays in the buffer. Raises MessageFramingError.
--- a/terndrift/platform/link.py
+++ b/terndrift/platform/message_reader.py
@@ -4,7 +4,7 @@
 the connection when `receive` raises or `is_overdue` returns true.
 """
 
-from terndrift.platform.message import messages
+from terndrift.platform.message import decode_messages
 
 SECOND = 1_000_000_000
 
@@ -20,15 +20,15 @@
     def __init__(self, now, partial_timeout):
         self.buffer, self.partial_timeout = bytearray(), partial_timeout
         # when the incomplete message began, None if there is none; when bytes last arrived
-        self.partial_since, self.heard = None, now
-        self.count = 0  # complete messages read so far
+        self.partial_since, self.last_received_at = None, now
+        self.message_count = 0  # complete messages read so far
 
     def receive(self, now, data):
         """Returns the messages that `data` completes, possibly none; raises MessageFramingError."""
-        self.heard = now
+        self.last_received_at = now
         self.buffer += data
-        completed = messages(self.buffer)
-        self.count += len(completed)
+        completed = decode_messages(self.buffer)
+        self.message_count += len(completed)
         if not self.buffer:
             self.partial_since = None
         elif completed or self.partial_since is None:
--- a/terndrift/platform/peer.py
+++ b/terndrift/platform/peer.py
@@ -5,7 +5,7 @@
 
 # Connections per streamer; beyond these, set-ups share connections. Up to here each set-up gets one of its
 # own, as an unreadable answer fails every set-up on its connection (DAYS, "Bad peers").
-MOST = 4
+MAX_CONNECTIONS_PER_STREAMER = 4
 
 
 class Peer:
@@ -15,7 +15,7 @@
         self.id, self.started, self.name, self.address = entry.id, entry.started, name, address
         self.delisted = False  # no longer on the server list
         self.connections = {}  # Connection -> {playback ID: Attempt} of the attempts sent on it
-        self.connecting = 0  # connections being made
+        self.pending_connects = 0  # connections being made
         self.playbacks = {}  # playback ID -> ActivePlayback of what plays there
         # playback ID -> callback that takes the current rung of a playback to be handed over
         self.hand_overs = {}
@@ -28,14 +28,14 @@
         return not (
             self.playbacks
             or self.hand_overs
-            or self.connecting
+            or self.pending_connects
             or self.unsent_messages
             or any(self.connections.values())
         )
 
     def open_connections(self):
         """The connections on which messages can be sent."""
-        return [connection for connection in self.connections if connection.up()]
+        return [connection for connection in self.connections if connection.is_open()]
 
     def connection_for_set_up(self, is_stale, max_set_ups):
         """Returns a connection to send a set-up on, or None if a new one has to be made.
@@ -46,10 +46,10 @@
         usable = [
             connection
             for connection in self.open_connections()
-            if not connection.unsent() and not is_stale(connection)
+            if not connection.has_unsent_output() and not is_stale(connection)
         ]
         free = next((connection for connection in usable if not self.connections[connection]), None)
-        if free is not None or len(self.connections) + self.connecting < MOST:
+        if free is not None or len(self.connections) + self.pending_connects < MAX_CONNECTIONS_PER_STREAMER:
             return free
         shared = min(usable, key=lambda connection: len(self.connections[connection]), default=None)
         if shared is None or len(self.connections[shared]) >= max_set_ups:
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -99,12 +99,14 @@
             except MalformedInputError as error:
                 unreadable = unreadable or str(error)
                 continue
-            self.transport.listed(entry, name, address)
+            self.transport.apply_list_entry(entry, name, address)
             entries.append(entry)
             changes.append((name, entry.standing.name))
         whole = bool(members.get("whole")) and (unreadable is None or final)
         if whole:
-            self.transport.only({listed.id for listed in entries if listed.standing is not Standing.GONE})
+            self.transport.apply_complete_list(
+                {listed.id for listed in entries if listed.standing is not Standing.GONE}
+            )
         self.runner.run(self.core.list_changed, entries, whole, self.list_is_cached)
         self.log.info("list", n=event.get("n"), whole=whole, changed=changes[:20])
         return unreadable
@@ -147,8 +149,8 @@
             await asyncio.sleep(0.25)
             try:
                 self.runner.report_timer_delay(self.log)
-                self.front.every_quarter()
-                self.transport.every_quarter()
+                self.front.enforce_timeouts()
+                self.transport.enforce_timeouts()
             except Exception as exception:  # a bug in one round must not end the later ones
                 self.log.error("fault of a bound", exc_info=exception)
 
@@ -192,20 +194,21 @@
         )
         await asyncio.sleep(max_deadline_s + KILL_DELAY_S - SHUTDOWN_BUDGET_S)
         self._change_stage(Stage.CLOSING)
-        self.front.last_answers()
+        self.front.send_final_answers()
         await self._wait_until(FLUSH_TIMEOUT_S, self._all_sent)
         self.front.listener.close()
         for _ in range(ACCEPT_LOOP_TURNS):
             await asyncio.sleep(0)
-        self.front.finish()
-        for connection in self.transport.connections():
-            connection.finish("controller is shutting down")
+        self.front.shut_down_sending()
+        for connection in self.transport.all_connections():
+            connection.shut_down_sending("controller is shutting down")
         await self._wait_until(CLOSE_TIMEOUT_S, lambda: not self.front.connections)
         self.close()
 
     def _all_sent(self):
         return not any(
-            connection.unsent() for connection in [*self.front.connections, *self.transport.connections()]
+            connection.has_unsent_output()
+            for connection in [*self.front.connections, *self.transport.all_connections()]
         )
 
     async def _wait_until(self, timeout_s, condition):
--- a/terndrift/platform/settings.py
+++ b/terndrift/platform/settings.py
@@ -13,7 +13,7 @@
 from terndrift import operator_settings
 from terndrift.interface import ListEntry, Standing
 from terndrift.operator_settings import MalformedInputError
-from terndrift.platform.descriptors import Descriptors, shared_out
+from terndrift.platform.descriptors import Descriptors, divide_descriptors
 
 # Keys not compared when a configuration is reloaded: the new feed address takes effect at once, events come
 # from the feed, and the seed matters at startup only.
@@ -32,10 +32,10 @@
     deployment: object
     layout: object
     deadlines: dict  # plan -> ns
-    connect: int  # timeout of a connection attempt to a streamer, in ns
+    connect_timeout: int  # timeout of a connection attempt to a streamer, in ns
     keepalive: int  # ns after which streamers close an idle connection
-    most_on_connection: int  # maximum of concurrent set-ups on one connection
-    tell_every: int  # ns between a streamer's reports of its link use; 0: it sends none
+    max_set_ups_per_connection: int  # maximum of concurrent set-ups on one connection
+    report_interval: int  # ns between a streamer's reports of its link use; 0: it sends none
     drain_grace: int  # ns
     initial_events: list
     unknown: list  # names of settings that no document names and nothing reads
@@ -86,14 +86,14 @@
         name=value["name"],
         listen_address=parse_address(value["listen"], "listen"),
         feed_address=value["feed"],
-        descriptors=shared_out(operator_settings.read_int(limits, "limits.sockets", 1024, 16)),
+        descriptors=divide_descriptors(operator_settings.read_int(limits, "limits.sockets", 1024, 16)),
         deployment=replace(deployment, seed=seed),
         layout=layout,
         deadlines=operator_settings.read_deadlines(flat),
-        connect=operator_settings.read_int(flat, "ceilings.connect_timeout_ns", 250 * 10**6, 1),
+        connect_timeout=operator_settings.read_int(flat, "ceilings.connect_timeout_ns", 250 * 10**6, 1),
         keepalive=operator_settings.read_int(flat, "ceilings.keepalive_ns", 30 * 10**9, 1),
-        most_on_connection=operator_settings.read_int(flat, "ceilings.max_streams", 2**20, 1),
-        tell_every=operator_settings.read_int(flat, "family_info.reports_every_ns", 0, 0),
+        max_set_ups_per_connection=operator_settings.read_int(flat, "ceilings.max_streams", 2**20, 1),
+        report_interval=operator_settings.read_int(flat, "family_info.reports_every_ns", 0, 0),
         drain_grace=operator_settings.read_int(flat, "rules.drain_grace_ns", 0, 0),
         initial_events=events,
         unknown=flat.unknown_keys(),  # must come after every read above: names read so far are not unknown
--- a/terndrift/platform/transport.py
+++ b/terndrift/platform/transport.py
@@ -14,8 +14,8 @@
 from terndrift.platform import message as m
 from terndrift.platform.attempt import Attempt, AttemptState
 from terndrift.platform.connection import Connection, new_stream
-from terndrift.platform.message import InvalidMessageError, encode
-from terndrift.platform.peer import MOST, Peer
+from terndrift.platform.message import InvalidMessageError, encode_message
+from terndrift.platform.peer import MAX_CONNECTIONS_PER_STREAMER, Peer
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -29,18 +29,18 @@
 # "release heard", which is optional. Connections are independent, so without the wait the next attempt could
 # overtake the cancel, and two attempts of one playback would be outstanding at once (seen under load). The
 # value is the tolerance that the platform gives its own time limits.
-CONFIRM = 0.05
+CANCEL_CONFIRMATION_TIMEOUT_S = 0.05
 # Consecutive connections that were refused or did not come up until the playbacks at a streamer count as cut.
 MAX_FAILED_CONNECTIONS = 2
 RECONNECT_DELAY_S = 0.15  # between those connections
-# ns between checks for idle connections: the interval at which `every_quarter` is called.
+# ns between checks for idle connections: the interval at which `enforce_timeouts` is called.
 IDLE_CHECK_INTERVAL_NS = SECOND // 4
 # Turns of the event loop within which bytes that wait in a viewer's socket are read and acted on: one for the
 # read, one for the task that it wakes, and one because the read of the current turn may be over already.
 READ_TURNS = 3
 # ns from the choice of an attempt to its start. If the event loop took longer, a cancel of the attempt may be
 # unread on any connection. No attempt may start more than 0.1 s after its cancel; this is half of that.
-HELD_UP = SECOND // 20
+MAX_START_DELAY_NS = SECOND // 20
 
 
 class ListEntryChangedError(Unreached):
@@ -67,9 +67,11 @@
         keepalive = configuration.keepalive
         # A set-up sent now arrives within the connect timeout. A connection is in use only as long as that
         # and one check for idle connections end before the streamer's own idle timeout.
-        self.stale_after = max(keepalive - configuration.connect - IDLE_CHECK_INTERVAL_NS, keepalive // 2)
+        self.max_idle_ns = max(
+            keepalive - configuration.connect_timeout - IDLE_CHECK_INTERVAL_NS, keepalive // 2
+        )
 
-    def listed(self, entry, name, address):
+    def apply_list_entry(self, entry, name, address):
         """Applies one entry of the server list; must be called before the core gets the entry."""
         peer = self.peers.get(entry.id)
         delisted = entry.standing is Standing.GONE
@@ -86,7 +88,7 @@
         if address and not delisted:
             peer.address = address
 
-    def only(self, ids):
+    def apply_complete_list(self, ids):
         """Applies a complete server list: streamers that are not in `ids` are delisted."""
         for id, peer in self.peers.items():
             peer.delisted |= id not in ids
@@ -110,27 +112,29 @@
             if attempt.task is not None:
                 attempt.task.cancel()
             return self._attempt_over(attempt, Ending.NEVER_SENT)
-        attempt.turn(AttemptState.CANCELLED)
+        attempt.transition_to(AttemptState.CANCELLED)
         attempt.peer.connections.get(attempt.connection, {}).pop(attempt.id, None)
-        attempt.connection.send(m.release(attempt.id, m.OVER))
+        attempt.connection.send(m.encode_release(attempt.id, m.OVER))
         self.cancelled[attempt.id] = attempt
         return self._attempt_over_later(attempt, Ending.CALLED_OFF)
 
     def set_rung(self, playback, rung):
         """Tells the streamer to play at another rung."""
         if peer := self.peers.get(playback.streamer.id):
-            self._send_to_peer(peer, encode(m.RUNG, playback.request.context.id, (m.RUNG_NO, str(rung))))
+            self._send_to_peer(
+                peer, encode_message(m.RUNG, playback.request.context.id, (m.RUNG_NO, str(rung)))
+            )
 
     def release_playback(self, playback, streamer):
         """Drops a playback that is over and, unless its streamer reported the end itself, tells the
         streamer."""
         peer = self.peers.get(streamer.id)
         if peer and peer.playbacks.pop(playback.request.context.id, None):
-            self._send_to_peer(peer, m.release(playback.request.context.id, m.OVER))
+            self._send_to_peer(peer, m.encode_release(playback.request.context.id, m.OVER))
 
     # Called by the front.
 
-    def holds(self, id):
+    def has_cancelled_attempt(self, id):
         """Whether a cancelled attempt with this playback ID may still be outstanding at some streamer.
 
         Reports of that streamer on the earlier use of the ID could not be told from those on a new one.
@@ -160,29 +164,29 @@
         if peer := self.peers.get(streamer):
             peer.hand_overs.pop(id, None)
             if ended_by_viewer:
-                self._send_to_peer(peer, m.release(id, m.OVER))
+                self._send_to_peer(peer, m.encode_release(id, m.OVER))
 
     # Connections.
 
     def _is_stale(self, connection):
-        return self.runner.clock.now() - connection.idle_since() >= self.stale_after
+        return self.runner.clock.now() - connection.idle_since() >= self.max_idle_ns
 
     def _connection_for_set_up(self, peer):
-        return peer.connection_for_set_up(self._is_stale, self.configuration.most_on_connection)
+        return peer.connection_for_set_up(self._is_stale, self.configuration.max_set_ups_per_connection)
 
     def _ensure_capacity(self):
         """Closes the connection that was idle for longest if the limit is reached.
 
         Raises ConnectionLimitError if none can be closed.
         """
-        open_count = sum(len(peer.connections) + peer.connecting for peer in self.peers.values())
-        if open_count < self.configuration.descriptors.streamers:
+        open_count = sum(len(peer.connections) + peer.pending_connects for peer in self.peers.values())
+        if open_count < self.configuration.descriptors.max_streamer_connections:
             return
         spare = [
             connection
             for peer in self.peers.values()
             for connection, attempts in peer.connections.items()
-            if connection.up() and not attempts and (len(peer.connections) > 1 or not peer.playbacks)
+            if connection.is_open() and not attempts and (len(peer.connections) > 1 or not peer.playbacks)
         ]
         if not spare:
             raise ConnectionLimitError(f"{open_count} connections to streamers are open and in use")
@@ -192,14 +196,14 @@
         """Returns a new connection to a streamer; raises Unreached."""
         self._ensure_capacity()
         listed_as = peer.address, peer.started
-        peer.connecting += 1
+        peer.pending_connects += 1
         try:
             stream = new_stream()
-            await connect(stream, peer.address, self.configuration.connect / SECOND)
+            await connect(stream, peer.address, self.configuration.connect_timeout / SECOND)
         except OSError as error:  # no descriptor is left
             raise ConnectionLimitError(str(error)) from None
         finally:
-            peer.connecting -= 1
+            peer.pending_connects -= 1
         if self.closing or peer.delisted or listed_as != (peer.address, peer.started):
             stream.close()
             raise ListEntryChangedError("list entry changed while connecting")
@@ -234,7 +238,7 @@
             if attempt.state is not AttemptState.CONNECTING or self.closing:
                 continue
             if attempt.remaining_turns is None:
-                loop_was_late = self.runner.clock.now() - attempt.queued_at > HELD_UP
+                loop_was_late = self.runner.clock.now() - attempt.queued_at > MAX_START_DELAY_NS
                 attempt.remaining_turns = (
                     READ_TURNS if loop_was_late or attempt.session.has_unread_input() else 0
                 )
@@ -279,15 +283,15 @@
         now = self.runner.clock.now()
         if (
             attempt.peer.delisted
-            or attempt.due <= now
+            or attempt.deadline <= now
             or not self.runner.core.may_send(now, attempt.playback)
         ):
             return self._attempt_over(attempt, Ending.NEVER_SENT)
-        wait_ms = str(max(1, (attempt.due - now) // MS))
+        wait_ms = str(max(1, (attempt.deadline - now) // MS))
         parameters = [*attempt.session.forwarded, (m.WAIT, wait_ms), (m.RUNG_NO, str(attempt.rung))]
-        if not connection.send(encode(m.SET_UP, attempt.id, *parameters)):
+        if not connection.send(encode_message(m.SET_UP, attempt.id, *parameters)):
             return self._attempt_over(attempt, Ending.NEVER_SENT)
-        attempt.turn(AttemptState.SENT)
+        attempt.transition_to(AttemptState.SENT)
         attempt.connection = connection
         attempt.peer.connections[connection][attempt.id] = attempt
         return None
@@ -350,7 +354,7 @@
                     if candidate is not new_connection and not attempts
                 ]
                 # the oldest connections are the most likely to be dead
-                for connection in spare[: max(0, len(peer.connections) - MOST)]:
+                for connection in spare[: max(0, len(peer.connections) - MAX_CONNECTIONS_PER_STREAMER)]:
                     connection.close("replaced by a new connection")
                 return
             if check or not peer.connections:
@@ -370,20 +374,20 @@
         for playback in list(peer.playbacks.values()):
             self._playback_over(peer, playback, Ending.BROKEN, None)
 
-    def every_quarter(self):
+    def enforce_timeouts(self):
         """Enforces the timeouts of connections to streamers; called four times a second."""
         now = self.runner.clock.now()
         for id, peer in list(self.peers.items()):
             for connection, attempts in list(peer.connections.items()):
-                if connection.link.is_overdue(now):
+                if connection.reader.is_overdue(now):
                     connection.close("unreadable: incomplete message timed out")
                 elif not attempts and self._is_stale(connection) and not (peer.playbacks or peer.hand_overs):
                     connection.close("idle")
-            if peer.playbacks and self.configuration.tell_every and peer.reconnect_task is None:
+            if peer.playbacks and self.configuration.report_interval and peer.reconnect_task is None:
                 silence = now - peer.last_message_at
                 if (
                     silence
-                    > SILENT_INTERVALS * self.configuration.tell_every
+                    > SILENT_INTERVALS * self.configuration.report_interval
                     + self.configuration.deployment.links.lag
                 ):
                     self._maintain_connection(peer, check=True)
@@ -392,7 +396,7 @@
                     connection.close("streamer removed from the list")
                 del self.peers[id]
 
-    def last_releases(self):
+    def send_final_releases(self):
         """Releases all attempts and playbacks at streamers with an open connection; called once, at shutdown.
 
         Messages from streamers are ignored from then on, and no attempt starts.
@@ -400,13 +404,13 @@
         self.closing = True
         for attempt in self.attempts.values():
             if attempt.state is AttemptState.SENT:
-                attempt.connection.send(m.release(attempt.id, m.OVER))
+                attempt.connection.send(m.encode_release(attempt.id, m.OVER))
         for peer in self.peers.values():
-            releases = b"".join(m.release(id, m.OVER) for id in [*peer.playbacks, *peer.hand_overs])
+            releases = b"".join(m.encode_release(id, m.OVER) for id in [*peer.playbacks, *peer.hand_overs])
             if releases and (open_connections := peer.open_connections()):
                 open_connections[0].send(releases)
 
-    def connections(self):
+    def all_connections(self):
         """Returns every connection to a streamer."""
         return [connection for peer in self.peers.values() for connection in peer.connections]
 
@@ -419,13 +423,13 @@
         for peer in self.peers.values():
             if peer.reconnect_task:
                 peer.reconnect_task.cancel()
-        for connection in self.connections():
+        for connection in self.all_connections():
             connection.close("controller shutdown")
 
     # Messages from streamers.
 
     def _on_message(self, peer, connection, message):
-        if self.closing or not connection.up():
+        if self.closing or not connection.is_open():
             return
         peer.last_message_at = self.runner.clock.now()
         attempts = peer.connections.get(connection, {})
@@ -461,7 +465,7 @@
             connection.close("unreadable: answer without a description")
             return
         del peer.connections[connection][message.id], self.attempts[attempt.playback]
-        attempt.turn(AttemptState.OVER)
+        attempt.transition_to(AttemptState.OVER)
         attempt.session.description = message.parameters[m.DESCRIPTION]
         peer.playbacks[message.id] = attempt.playback
         self.runner.run(self.runner.core.set_up_succeeded, attempt.playback, m.parse_load_report(message))
@@ -497,7 +501,7 @@
         ignored."""
         if attempt.state is AttemptState.OVER:
             return
-        attempt.turn(AttemptState.OVER)
+        attempt.transition_to(AttemptState.OVER)
         if self.cancelled.get(attempt.id) is attempt:
             del self.cancelled[attempt.id]
         if self.attempts.get(attempt.playback) is attempt:
@@ -505,4 +509,4 @@
             self.runner.run(self.runner.core.attempt_ended, attempt.playback, ending, report)
 
     def _attempt_over_later(self, attempt, ending):
-        IOLoop.current().call_later(CONFIRM, self._attempt_over, attempt, ending)
+        IOLoop.current().call_later(CANCEL_CONFIRMATION_TIMEOUT_S, self._attempt_over, attempt, ending)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -16,7 +16,7 @@
 
 from terndrift.platform import message as m
 from terndrift.platform import settings
-from terndrift.platform.message import encode, messages, release
+from terndrift.platform.message import decode_messages, encode_message, encode_release
 from terndrift.platform.service import Service
 
 MS = 1_000_000
@@ -105,7 +105,7 @@
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 buffer += data
-                for message in messages(buffer):
+                for message in decode_messages(buffer):
                     self.heard.append(message)
                     if message.type == m.SET_UP:
                         self._respond_to_set_up(writer, message)
@@ -114,16 +114,18 @@
     def _respond_to_set_up(self, writer, message):
         id, answer = (
             message.id,
-            encode(m.ANSWER, message.id, (m.DESCRIPTION, b"made by " + self.name.encode())),
+            encode_message(m.ANSWER, message.id, (m.DESCRIPTION, b"made by " + self.name.encode())),
         )
         if self.how == "plays":
             writer.write(answer)
         elif self.how == "plays twice":
-            writer.write(answer + answer + encode(m.ANSWER, b"strange!", (m.DESCRIPTION, b"nobody's")))
+            writer.write(
+                answer + answer + encode_message(m.ANSWER, b"strange!", (m.DESCRIPTION, b"nobody's"))
+            )
         elif self.how == "full":
-            writer.write(release(id, 34, (m.REPORT, "active:3;x0:0.4;x1:0.5")))
+            writer.write(encode_release(id, 34, (m.REPORT, "active:3;x0:0.4;x1:0.5")))
         elif self.how == "fails":
-            writer.write(release(id, 47))
+            writer.write(encode_release(id, 47))
         elif self.how == "sends garbage":
             writer.write(b"\xff" * 64)
         elif self.how == "truncates answer":
@@ -223,7 +225,7 @@
             if not data:
                 return None
             self.buffer += data
-            self.received.extend(messages(self.buffer))
+            self.received.extend(decode_messages(self.buffer))
         return self.received.popleft()
 
     def ask(
@@ -239,7 +241,7 @@
         """Sends a set-up and returns its ID."""
         id = id or self.world.id()
         self.send(
-            encode(
+            encode_message(
                 m.SET_UP,
                 id,
                 (m.PLAN, plan),
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,9 +26,9 @@
 from terndrift.platform.attempt import Attempt, AttemptState
 from terndrift.platform.connection import TRANSITIONS as CONNECTION_TRANSITIONS
 from terndrift.platform.connection import Connection, ConnectionState
-from terndrift.platform.descriptors import RESERVED, shared_out
+from terndrift.platform.descriptors import RESERVED_DESCRIPTORS, divide_descriptors
 from terndrift.platform.listener import Listener
-from terndrift.platform.message import encode, messages, release
+from terndrift.platform.message import decode_messages, encode_message, encode_release
 from terndrift.platform.service import TRANSITIONS as STAGE_TRANSITIONS
 from terndrift.platform.service import Service
 
@@ -37,7 +37,7 @@
 
 def set_up_message(id, plan="free", figures=ALL_HOLDERS, title="00112233aabbccdd"):
     """The bytes of a set-up; with the default figures every streamer has the title."""
-    return encode(
+    return encode_message(
         m.SET_UP,
         id,
         (m.PLAN, plan),
@@ -60,13 +60,13 @@
     while data := await loop.sock_recv(sock, 65536):
         buffer += data
     sock.close()
-    return messages(buffer)
+    return decode_messages(buffer)
 
 
 async def received_so_far(viewer, world):
     """Messages that reach a viewer before the reply to a TEST message that is sent now."""
     id, received = world.id(), []
-    viewer.send(encode(m.TEST, id, (m.CAUSE, b"\0")))
+    viewer.send(encode_message(m.TEST, id, (m.CAUSE, b"\0")))
     while (message := await viewer.hear()).type != m.TESTED:
         received.append(message)
     return received
@@ -75,9 +75,9 @@
 async def sent_ids(world, type=m.SET_UP):
     """Ids of the messages sent to streamers so far, returned once streamers have read all of them."""
     markers = []
-    for connection in world.transport.connections():
+    for connection in world.transport.all_connections():
         marker = world.id()
-        if connection.send(encode(m.PROGRESS, marker)):
+        if connection.send(encode_message(m.PROGRESS, marker)):
             markers.append(marker)
     await until(lambda: set(markers) <= {id for s in world.streamers for id in s.ids(m.PROGRESS)})
     return received_ids(world, type)
@@ -140,8 +140,12 @@
 @pytest.mark.parametrize(
     "transitions, make_instance, change_state",
     [
-        (ATTEMPT_TRANSITIONS, lambda state: instance_in_state(Attempt, state), Attempt.turn),
-        (CONNECTION_TRANSITIONS, lambda state: instance_in_state(Connection, state), Connection._turn),
+        (ATTEMPT_TRANSITIONS, lambda state: instance_in_state(Attempt, state), Attempt.transition_to),
+        (
+            CONNECTION_TRANSITIONS,
+            lambda state: instance_in_state(Connection, state),
+            Connection._transition_to,
+        ),
     ],
 )
 def test_only_listed_state_transitions_are_allowed(transitions, make_instance, change_state):
@@ -184,10 +188,10 @@
     viewer, streamer = await world.viewer(), world.streamers[0]
     id = viewer.ask()
     await until(lambda: streamer.ids(m.SET_UP) == [id])
-    world.service.front.last_answers()
-    streamer.say(encode(m.ANSWER, id, (m.DESCRIPTION, b"too late")))
-    link = next(iter(next(iter(world.transport.peers.values())).connections)).link
-    await until(lambda: link.count)
+    world.service.front.send_final_answers()
+    streamer.say(encode_message(m.ANSWER, id, (m.DESCRIPTION, b"too late")))
+    reader = next(iter(next(iter(world.transport.peers.values())).connections)).reader
+    await until(lambda: reader.message_count)
     received = await received_so_far(viewer, world)
     assert [(message.type, message.id, message.cause) for message in received] == [
         (m.RELEASE, id, m.REJECTED)
@@ -201,10 +205,10 @@
     id = viewer.ask()
     await until(lambda: received_ids(world) == [id])
     streamer = next(s for s in world.streamers if s.heard)
-    world.service.front.last_answers()
-    streamer.say(release(id, 34))
-    connections = world.transport.connections()
-    await until(lambda: any(connection.link.count for connection in connections))
+    world.service.front.send_final_answers()
+    streamer.say(encode_release(id, 34))
+    connections = world.transport.all_connections()
+    await until(lambda: any(connection.reader.message_count for connection in connections))
     await received_so_far(viewer, world)
     assert await sent_ids(world) == [id]
 
@@ -230,14 +234,14 @@
 @in_world
 async def test_set_up_between_final_answers_and_close_is_rejected(world):
     viewer, id, front = await world.viewer(), world.id(), world.service.front
-    real_last_answers = front.last_answers
+    real_last_answers = front.send_final_answers
 
     def final_answers_then_set_ups():
         real_last_answers()
         # the second is incomplete and needs no answer
         viewer.send(set_up_message(id) + set_up_message(world.id())[:-3])
 
-    front.last_answers = final_answers_then_set_ups
+    front.send_final_answers = final_answers_then_set_ups
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
         await world.service.drain()
     message = await viewer.hear()
@@ -253,15 +257,15 @@
     connection = next(iter(world.service.front.connections))
     # fill the kernel's buffers: what is sent after that stays in the process
     connection.stream.max_write_buffer_size = None
-    filler = encode(m.PROGRESS, world.id()) * 4096
-    while not connection.unsent():
+    filler = encode_message(m.PROGRESS, world.id()) * 4096
+    while not connection.has_unsent_output():
         connection.send(filler)
     for _ in range(8):
         connection.send(filler)
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2, FLUSH_TIMEOUT_S=60):
         drain_task = asyncio.ensure_future(world.service.drain())
         await until(lambda: world.service.stage is service_module.Stage.CLOSING)
-        assert connection.unsent()
+        assert connection.has_unsent_output()
         while (message := await viewer.hear()).type == m.PROGRESS:
             pass
         assert (message.type, message.id) == (m.RELEASE, id)
@@ -274,7 +278,7 @@
     viewer, streamer = await world.viewer(), world.streamers[0]
     id = viewer.ask(figures=f"{ALL_HOLDERS};at:{streamer.name}")
     await until(lambda: streamer.writers)
-    world.service.front.last_answers()
+    world.service.front.send_final_answers()
     assert [message.id for message in await received_so_far(viewer, world)] == [id]
     await until(lambda: streamer.ids(m.RELEASE) == [id])
 
@@ -295,8 +299,8 @@
 @in_world
 async def test_repeated_sigterm_with_reloads_between_shuts_down_once(world):
     service, final_answer_calls = world.service, []
-    real_last_answers = service.front.last_answers
-    service.front.last_answers = lambda: (final_answer_calls.append(1), real_last_answers())
+    real_last_answers = service.front.send_final_answers
+    service.front.send_final_answers = lambda: (final_answer_calls.append(1), real_last_answers())
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
         service.reread()
         service.terminate()
@@ -382,9 +386,9 @@
             viewer.shutdown(socket.SHUT_WR)
         elif departure == "cancel":
             # not in one read with the set-up: as if the loop had read the set-up and then been held up
-            viewer.sendall(release(id, 16))
+            viewer.sendall(encode_release(id, 16))
         elif departure == "cancel elsewhere":
-            other_connection.sendall(release(id, 16))
+            other_connection.sendall(encode_release(id, 16))
         else:
             if departure == "reset":
                 viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -413,7 +417,7 @@
     real_want, core, cancelled = world.core.request_playback, world.core, []
 
     def want_while_cancelled(*args):
-        viewer.sendall(release(id, 16))  # while the loop handles the set-up
+        viewer.sendall(encode_release(id, 16))  # while the loop handles the set-up
         cancelled.append(id)
         return real_want(*args)
 
@@ -442,7 +446,7 @@
         real_want, loop, cancelled = world.core.request_playback, asyncio.get_running_loop(), []
 
         def cancel():
-            (other_connection if on_another_connection else viewer).sendall(release(id, 16))
+            (other_connection if on_another_connection else viewer).sendall(encode_release(id, 16))
             cancelled.append(id)
 
         def want_then_cancel(*args):
@@ -451,7 +455,10 @@
 
         world.core.request_playback = want_then_cancel
         # a negative limit makes the transport treat the iteration as a long one
-        with patched(carrier_module, HELD_UP=-1 if on_another_connection else carrier_module.HELD_UP):
+        with patched(
+            carrier_module,
+            MAX_START_DELAY_NS=-1 if on_another_connection else carrier_module.MAX_START_DELAY_NS,
+        ):
             viewer.sendall(set_up_message(id))
             await until(lambda: cancelled)
             await until(lambda: not world.core.unanswered_count)
@@ -468,9 +475,9 @@
     viewer, other_viewer = await world.viewer(), await world.viewer()
     id = viewer.ask()
     await until(lambda: received_ids(world) == [id])
-    other_viewer.send(release(id, 16))
+    other_viewer.send(encode_release(id, 16))
     await until(lambda: received_ids(world, m.RELEASE) == [id])
-    assert not world.service.front.held and not await received_so_far(viewer, world)
+    assert not world.service.front.sessions and not await received_so_far(viewer, world)
 
 
 @in_world(streamers=2)
@@ -481,7 +488,7 @@
     viewer.sendall(set_up_message(id))
     await until(lambda: received_ids(world) == [id])
     streamer = next(s for s in world.streamers if s.heard)
-    streamer.say(release(id, 34))
+    streamer.say(encode_release(id, 34))
     viewer.close()
     await until(lambda: not world.core.playbacks)
     await received_so_far(await world.viewer(), world)
@@ -492,12 +499,12 @@
 async def test_simultaneous_releases_by_viewer_and_streamer_end_the_playback_once(world):
     viewer = await world.viewer()
     id, streamer = await world.plays(viewer)
-    streamer.say(release(id, 16))
-    viewer.send(release(id, 16))
+    streamer.say(encode_release(id, 16))
+    viewer.send(encode_release(id, 16))
     await until(lambda: not world.core.playbacks)
     received = await received_so_far(viewer, world)
     assert sorted(message.type for message in received) in ([m.RELEASE, m.RELEASE_HEARD], [m.RELEASE_HEARD])
-    assert not world.service.front.held and not any(world.service.front.standing.values())
+    assert not world.service.front.sessions and not any(world.service.front.playback_counts.values())
 
 
 # Connections established late.
@@ -519,15 +526,15 @@
             viewer.send(set_up_message(id))
             await until(lambda: connects.started)
             if departure == "cancel":
-                viewer.send(release(id, 16))
+                viewer.send(encode_release(id, 16))
             else:
                 viewer.writer.close()
             await until(lambda: not world.core.playbacks)
-            await until(lambda: not any(p.connecting for p in world.transport.peers.values()))
+            await until(lambda: not any(p.pending_connects for p in world.transport.peers.values()))
             await received_so_far(await world.viewer(), world)
         assert not await sent_ids(world) and not world.transport.attempts
         peer = next(iter(world.transport.peers.values()))
-        assert all(connection.up() and not attempts for connection, attempts in peer.connections.items())
+        assert all(connection.is_open() and not attempts for connection, attempts in peer.connections.items())
 
     test()
 
@@ -546,10 +553,10 @@
         viewer = await world.viewer()
         id = viewer.ask()
         await until(lambda: received_ids(world))
-        await until(lambda: not any(peer.connecting for peer in world.transport.peers.values()))
+        await until(lambda: not any(peer.pending_connects for peer in world.transport.peers.values()))
         await received_so_far(viewer, world)
         assert await sent_ids(world) == [id] and len(world.transport.attempts) == 1
-    assert len(world.transport.connections()) == 2, "the first connection is established"
+    assert len(world.transport.all_connections()) == 2, "the first connection is established"
 
 
 @in_world(streamers=1)
@@ -561,7 +568,7 @@
         await until(lambda: connects.started)
         assert (await viewer.hear()).type == m.RELEASE
         connects.allow()
-        await until(lambda: not any(peer.connecting for peer in world.transport.peers.values()))
+        await until(lambda: not any(peer.pending_connects for peer in world.transport.peers.values()))
         await received_so_far(viewer, world)
     assert not await sent_ids(world) and not world.transport.attempts
 
@@ -633,15 +640,15 @@
 async def test_reused_id_is_refused_until_the_streamer_confirms_the_cancel(world):
     """Otherwise the streamer's messages about the two set-ups could not be told apart."""
     viewer, streamer = await world.viewer(), world.streamers[0]
-    with patched(carrier_module, CONFIRM=3600):
+    with patched(carrier_module, CANCEL_CONFIRMATION_TIMEOUT_S=3600):
         id = viewer.ask()
         await until(lambda: streamer.ids(m.SET_UP) == [id])
-        viewer.send(release(id, 16))
+        viewer.send(encode_release(id, 16))
         assert (await viewer.hear()).type == m.RELEASE_HEARD
         viewer.ask(id=id)
         assert (await viewer.hear()).cause == m.UNUSABLE
-        streamer.say(encode(m.RELEASE_HEARD, id))
-        await until(lambda: not world.transport.holds(id))
+        streamer.say(encode_message(m.RELEASE_HEARD, id))
+        await until(lambda: not world.transport.has_cancelled_attempt(id))
         viewer.ask(id=id)
         await until(lambda: streamer.ids(m.SET_UP) == [id, id])
 
@@ -651,9 +658,13 @@
     viewer, streamer = await world.viewer(), world.streamers[0]
     id = viewer.ask()
     await until(lambda: streamer.ids(m.SET_UP) == [id])
-    viewer.send(release(id, 16))
-    await until(lambda: not world.service.front.held)
-    streamer.say(encode(m.ANSWER, id, (m.DESCRIPTION, b"late")) * 2 + release(id, 16) + release(id, 16))
+    viewer.send(encode_release(id, 16))
+    await until(lambda: not world.service.front.sessions)
+    streamer.say(
+        encode_message(m.ANSWER, id, (m.DESCRIPTION, b"late")) * 2
+        + encode_release(id, 16)
+        + encode_release(id, 16)
+    )
     await until(lambda: streamer.ids(m.RELEASE) == [id])
     await until(lambda: not world.core.playbacks)
     assert [message.type for message in await received_so_far(viewer, world)] == [m.RELEASE_HEARD]
@@ -664,7 +675,7 @@
     viewer = await world.viewer()
     id = viewer.ask(plan="paid")
     await until(lambda: received_ids(world) == [id])
-    connection = next(c for c in world.transport.connections())
+    connection = next(c for c in world.transport.all_connections())
     connection.close("unreadable: closed by the test")
     next(iter(world.streamers)).how = "plays"
     answer = await viewer.hear()
@@ -679,10 +690,10 @@
 async def test_connection_near_the_streamers_idle_timeout_carries_no_set_up(world):
     viewer, streamer = await world.viewer(), world.streamers[0]
     id, _ = await world.plays(viewer)
-    viewer.send(release(id, 16))
+    viewer.send(encode_release(id, 16))
     await until(lambda: streamer.ids(m.RELEASE) == [id])
     assert len(streamer.writers) == 1
-    world.transport.stale_after = 0
+    world.transport.max_idle_ns = 0
     paid_id = viewer.ask(plan="paid")
     await until(lambda: streamer.ids(m.SET_UP) == [id, paid_id])
     assert len(streamer.writers) == 2, "the set-up must use a new connection"
@@ -692,12 +703,14 @@
 async def test_idle_connection_is_closed_before_the_streamer_closes_it(world):
     viewer, streamer = await world.viewer(), world.streamers[0]
     id, _ = await world.plays(viewer)
-    world.transport.stale_after = 0
-    world.transport.every_quarter()
-    assert world.transport.connections()[0].up(), "a connection to a streamer with a playback stays open"
-    viewer.send(release(id, 16))
+    world.transport.max_idle_ns = 0
+    world.transport.enforce_timeouts()
+    assert world.transport.all_connections()[0].is_open(), (
+        "a connection to a streamer with a playback stays open"
+    )
+    viewer.send(encode_release(id, 16))
     await until(lambda: streamer.ids(m.RELEASE) == [id])
-    await until(lambda: not world.transport.connections())
+    await until(lambda: not world.transport.all_connections())
 
 
 @pytest.mark.parametrize(
@@ -722,7 +735,7 @@
         },
     }
     transport = carrier_module.StreamerTransport(None, settings.configuration(value), Log([]))
-    assert transport.stale_after // 10**6 == stale_after_ms
+    assert transport.max_idle_ns // 10**6 == stale_after_ms
 
 
 @in_world
@@ -730,10 +743,10 @@
     front = world.service.front
     viewer, id = blocking_socket(world), world.id()
     await until(lambda: len(front.connections) == 1)
-    next(iter(front.connections)).link.heard = 0  # idle for long
+    next(iter(front.connections)).reader.last_received_at = 0  # idle for long
     viewer.sendall(set_up_message(id))
-    front.every_quarter()
-    assert not front._close_quiet()
+    front.enforce_timeouts()
+    assert not front._close_unused()
     await until(lambda: received_ids(world) == [id])
     viewer.close()
 
@@ -743,8 +756,8 @@
 
 def test_descriptor_budgets_stay_within_the_limit():
     for limit in (16, 32, 48, 64, 256, 1024, 65536):
-        budgets = shared_out(limit)
-        assert budgets.viewers + budgets.streamers + RESERVED <= limit
+        budgets = divide_descriptors(limit)
+        assert budgets.viewers + budgets.streamers + RESERVED_DESCRIPTORS <= limit
         assert budgets.viewers >= 2 and (limit < 48 or budgets.viewers >= limit // 3), (
             "well-behaved viewers hold up to a third"
         )
@@ -808,8 +821,8 @@
     viewer = await world.viewer()
     for n in range(8):
         id, streamer = await world.plays(viewer, figures=f"home:{n % 4};copies:1;top:2")
-        assert len(world.transport.connections()) <= 2
-        viewer.send(release(id, 16))
+        assert len(world.transport.all_connections()) <= 2
+        viewer.send(encode_release(id, 16))
         await until(lambda ended_id=id, at_streamer=streamer: ended_id in at_streamer.ids(m.RELEASE))
         assert (await viewer.hear()).type == m.RELEASE_HEARD
 
@@ -824,13 +837,13 @@
     answer = await viewer.hear()
     assert (answer.id, answer.cause) == (other_id, m.REJECTED), "the set-up was never sent"
     streamer_state = world.by_name("s-00000001")
-    assert streamer_state.down is None and not streamer_state.gap and id in world.service.front.held
+    assert streamer_state.down is None and not streamer_state.gap and id in world.service.front.sessions
 
 
 @in_world(how="silent", streamers=2)
 async def test_unreadable_answer_fails_every_attempt_on_its_connection_once(world):
     viewer = await world.viewer()
-    with patched(carrier_module, MOST=1):
+    with patched(carrier_module, MAX_CONNECTIONS_PER_STREAMER=1):
         ids = [viewer.ask(plan="paid", figures="home:0;copies:1;top:2") for _ in range(3)]
         await until(lambda: sorted(received_ids(world)) == sorted(ids))
     streamer = next(s for s in world.streamers if s.heard)
@@ -859,11 +872,11 @@
         elif interruption == "restarted":
             world.feed.tell({**streamer.row(), "born_ms": 1_900_000_000_000})
         elif interruption == "cut":
-            streamer.say(release(id, 41))
+            streamer.say(encode_release(id, 41))
         elif interruption == "over":
-            streamer.say(release(id, 16))
+            streamer.say(encode_release(id, 16))
         else:
-            viewer.send(release(id, 16))
+            viewer.send(encode_release(id, 16))
         message = await viewer.hear()
         assert (message.type, message.id) == (
             m.RELEASE_HEARD if interruption == "released" else m.RELEASE,
@@ -871,10 +884,10 @@
         )
         # a note after the end must have no effect
         if interruption not in ("gone", "restarted"):
-            streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "1")))
+            streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "1")))
         assert not await received_so_far(viewer, world)
-        assert not world.service.front.held and not world.service.front.expected
-        assert not any(world.service.front.standing.values())
+        assert not world.service.front.sessions and not world.service.front.pending_hand_overs
+        assert not any(world.service.front.playback_counts.values())
         assert not any(
             playback.stage is not PlaybackStage.ENDED for playback in world.core.playbacks.values()
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,15 +22,15 @@
 from terndrift.interface import Standing
 from terndrift.platform import message as m
 from terndrift.platform import settings, transport
-from terndrift.platform.link import MessageReader
 from terndrift.platform.message import (
     InvalidMessageError,
     Message,
     MessageFramingError,
-    encode,
-    messages,
-    release,
+    decode_messages,
+    encode_message,
+    encode_release,
 )
+from terndrift.platform.message_reader import MessageReader
 from terndrift.platform.service import Service
 
 SECOND = 1_000_000_000
@@ -53,16 +53,18 @@
     """Returns a valid set-up with some parameters replaced, or removed if the value is None."""
     parameters = {code: value for code, value in VALID_SET_UP}
     parameters.update({getattr(m, name.upper()): value for name, value in changed.items()})
-    data = bytearray(encode(m.SET_UP, ID, *((c, v) for c, v in parameters.items() if v is not None)))
-    return messages(data)[0]
+    data = bytearray(encode_message(m.SET_UP, ID, *((c, v) for c, v in parameters.items() if v is not None)))
+    return decode_messages(data)[0]
 
 
 # Encoding.
 
 
 def test_encoding_matches_the_protocol():
-    assert encode(m.TESTED, ID, (m.CAUSE, b"\x01")) == b"\x00\x0d" + b"\x35" + ID + b"\x3a\x00\x01\x01"
-    assert release(ID, 42, (m.ADVICE, "250"))[2:3] == b"\x0c"
+    assert (
+        encode_message(m.TESTED, ID, (m.CAUSE, b"\x01")) == b"\x00\x0d" + b"\x35" + ID + b"\x3a\x00\x01\x01"
+    )
+    assert encode_release(ID, 42, (m.ADVICE, "250"))[2:3] == b"\x0c"
 
 
 @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=100)
@@ -72,7 +74,7 @@
 )
 def test_encoded_messages_are_decoded_whatever_the_read_sizes(sent, read_size):
     data, reader, received = (
-        b"".join(encode(t, id, *parameters.items()) for t, id, parameters in sent),
+        b"".join(encode_message(t, id, *parameters.items()) for t, id, parameters in sent),
         MessageReader(0, SECOND),
         [],
     )
@@ -107,11 +109,11 @@
 )
 def test_invalid_lengths_raise_a_framing_error(data):
     with pytest.raises(MessageFramingError):
-        messages(bytearray(data))
+        decode_messages(bytearray(data))
 
 
 def test_incomplete_message_is_overdue_until_it_is_completed():
-    reader, data = MessageReader(0, SECOND), encode(m.TEST, ID, (m.CAUSE, b"\0"))
+    reader, data = MessageReader(0, SECOND), encode_message(m.TEST, ID, (m.CAUSE, b"\0"))
     assert reader.receive(0, data[:5]) == [] and not reader.is_overdue(SECOND)
     assert reader.is_overdue(SECOND + 1)
     assert len(reader.receive(SECOND + 2, data[5:] + data[:1])) == 1
@@ -246,7 +248,7 @@
 @in_world
 async def test_playback_is_set_up_at_a_streamer_and_released_when_it_ends(world):
     viewer = await world.viewer()
-    viewer.send(encode(m.TEST, ID, (m.CAUSE, b"\0")))
+    viewer.send(encode_message(m.TEST, ID, (m.CAUSE, b"\0")))
     assert (await viewer.hear()).cause == 1
     id, streamer = await world.plays(viewer, plan="paid")
     sent = next(message for message in streamer.heard if message.type == m.SET_UP)
@@ -257,11 +259,11 @@
     )
     assert sent.parameters[m.TITLE] == b"00112233aabbccdd" and int(sent.parameters[m.RUNG_NO]) >= 1
     assert 0 < int(sent.parameters[m.WAIT]) <= 3000 and m.HINT not in sent.parameters
-    streamer.say(release(id, 16, (m.REPORT, "active:0;x0:0.0;x1:0.0")))
+    streamer.say(encode_release(id, 16, (m.REPORT, "active:0;x0:0.0;x1:0.0")))
     over = await viewer.hear()
     assert (over.type, over.id) == (m.RELEASE, id)
     await until(lambda: not world.core.playbacks and not world.core.controller.playbacks)
-    assert not world.service.front.held and not streamer.ids(m.RELEASE), (
+    assert not world.service.front.sessions and not streamer.ids(m.RELEASE), (
         "the streamer reported the end itself"
     )
 
@@ -270,7 +272,7 @@
 async def test_viewer_can_release_a_playback_on_any_connection(world):
     viewer, other = await world.viewer(), await world.viewer()
     id, streamer = await world.plays(viewer)
-    other.send(release(id, 16))
+    other.send(encode_release(id, 16))
     await until(lambda: id in streamer.ids(m.RELEASE))
     assert (await other.hear()).type == m.RELEASE_HEARD
     assert not world.core.playbacks
@@ -283,7 +285,7 @@
     await world.plays(other)
     viewer.writer.close()
     await until(lambda: len(world.service.front.connections) == 1)
-    streamer.say(release(id, 16))
+    streamer.say(encode_release(id, 16))
     assert (await other.hear()).id == id
 
 
@@ -293,7 +295,7 @@
     id, streamer = await world.plays(viewer)
     viewer.writer.close()
     await until(lambda: not world.service.front.connections)
-    streamer.say(release(id, 16))
+    streamer.say(encode_release(id, 16))
     await until(lambda: world.service.front.undelivered_releases)
     other = await world.viewer()
     await world.plays(other)
@@ -317,7 +319,7 @@
     viewer = await world.viewer()
     paid, free = viewer.ask(plan="paid"), viewer.ask()
     await until(lambda: {paid, free} <= {id for s in world.streamers for id in s.ids(m.SET_UP)})
-    world.service.front.last_answers()
+    world.service.front.send_final_answers()
     answers = {answer.id: answer for answer in (await viewer.hear(), await viewer.hear())}
     assert answers[paid].cause == m.FAILED, "the attempt is outstanding and may have run"
     assert answers[free].cause == m.REJECTED and int(answers[free].parameters[m.ADVICE]) == 500
@@ -350,12 +352,12 @@
     for n in range(40):
         viewer = await world.viewer()
         ids = [(await world.plays(viewer, title=f"{n:016x}"))[0] for _ in range(2)]
-        viewer.send(release(ids[0], 16))
-        await until(lambda lost=ids[0]: lost not in front.held)
+        viewer.send(encode_release(ids[0], 16))
+        await until(lambda lost=ids[0]: lost not in front.sessions)
         viewer.writer.close()  # the other playback goes on; its end is told on another connection
         await until(lambda: len(front.connections) == 1)
         streamer = next(s for s in world.streamers if ids[1] in s.ids(m.SET_UP))
-        streamer.say(release(ids[1], 16))
+        streamer.say(encode_release(ids[1], 16))
         await until(lambda: len(core.playbacks) == 1)
     counts = {
         "core": len(core.playbacks),
@@ -364,7 +366,7 @@
         "playing": sum(
             len(p.playbacks) + len(p.hand_overs) + len(p.unsent_messages) for p in transport.peers.values()
         ),
-        "front": len(front.held) + len(front.expected) + len(front.undelivered_releases),
+        "front": len(front.sessions) + len(front.pending_hand_overs) + len(front.undelivered_releases),
         "connections": len(front.connections),
         "controller": len(controller.playbacks) + len(controller.pending),
         "streamers": sum(len(s.playbacks) for s in controller.streamers.values()),
@@ -416,7 +418,7 @@
 
 @in_world(how="silent")
 async def test_next_attempt_waits_for_the_confirmation_of_the_cancel(world):
-    original, transport.CONFIRM = transport.CONFIRM, 30
+    original, transport.CANCEL_CONFIRMATION_TIMEOUT_S = transport.CANCEL_CONFIRMATION_TIMEOUT_S, 30
     try:
         viewer = await world.viewer()
         id = viewer.ask()
@@ -425,17 +427,17 @@
         await asyncio.sleep(0.1)
         assert not other.heard, "two attempts would be outstanding at once"
         other.how = "plays"
-        first.say(encode(m.RELEASE_HEARD, id))
+        first.say(encode_message(m.RELEASE_HEARD, id))
         assert (await viewer.hear()).type == m.ANSWER and other.ids(m.SET_UP) == [id]
     finally:
-        transport.CONFIRM = original
+        transport.CANCEL_CONFIRMATION_TIMEOUT_S = original
 
 
 @in_world(how="plays twice")
 async def test_duplicate_and_unknown_answers_are_ignored(world):
     viewer = await world.viewer()
     await world.plays(viewer)
-    viewer.send(encode(m.TEST, ID, (m.CAUSE, b"\0")))
+    viewer.send(encode_message(m.TEST, ID, (m.CAUSE, b"\0")))
     assert (await viewer.hear()).type == m.TESTED
 
 
@@ -445,10 +447,10 @@
     ids = [viewer.ask() for _ in range(40)]
     await until(lambda: world.core.unanswered_count == 40)
     for id in ids[:20]:
-        viewer.send(release(id, 16))
+        viewer.send(encode_release(id, 16))
     await until(lambda: world.core.unanswered_count == 20)
     viewer.writer.close()
-    await until(lambda: not world.core.playbacks and not world.service.front.held)
+    await until(lambda: not world.core.playbacks and not world.service.front.sessions)
     assert not world.service.front.admission.open_count and not world.core.controller.pending
 
 
@@ -456,7 +458,7 @@
 async def test_invalid_input_is_refused_without_affecting_other_viewers(world):
     unaffected = await world.viewer()
     id, _ = await world.plays(unaffected)
-    for data in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 100_000, b"\0" * 100, encode(m.NOTE, ID)):
+    for data in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 100_000, b"\0" * 100, encode_message(m.NOTE, ID)):
         viewer = await world.viewer()
         viewer.send(data)
         assert await viewer.hear() is None
@@ -468,7 +470,7 @@
     silent, partial = await world.viewer(), await world.viewer()
     partial.send(b"\0")
     assert await silent.hear() is None and await partial.hear() is None
-    assert id in world.service.front.held
+    assert id in world.service.front.sessions
     assert not [
         message
         for streamer in world.streamers
@@ -498,9 +500,9 @@
         (m.DESCRIPTION, b"x"),
     )
     viewer.send(
-        b"".join(encode(m.SET_UP, id, *parameters) for id in ids[:100])
-        + b"".join(release(id, 16) for id in ids[:100])
-        + b"".join(encode(m.SET_UP, id, *parameters) * 2 for id in ids[100:])
+        b"".join(encode_message(m.SET_UP, id, *parameters) for id in ids[:100])
+        + b"".join(encode_release(id, 16) for id in ids[:100])
+        + b"".join(encode_message(m.SET_UP, id, *parameters) * 2 for id in ids[100:])
     )
     last = viewer.ask()
     while (answer := await viewer.hear()).id != last:
@@ -537,10 +539,10 @@
     connection_count = len(streamer.writers)
     streamer.writers[-1].transport.abort()
     await until(lambda: len(streamer.writers) > connection_count)
-    assert id in world.service.front.held
-    streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, "link_use"), (m.NOTE_VALUE, "0.5")))
+    assert id in world.service.front.sessions
+    streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, "link_use"), (m.NOTE_VALUE, "0.5")))
     await until(lambda: world.by_name(streamer.name).load_reports)
-    streamer.say(release(id, 16))
+    streamer.say(encode_release(id, 16))
     assert (await viewer.hear()).id == id
 
 
@@ -556,7 +558,7 @@
 async def test_notes_reach_the_decisions_and_a_rung_change_reaches_the_streamer(world):
     viewer = await world.viewer()
     id, streamer = await world.plays(viewer)
-    playback = world.service.front.held[id].playback
+    playback = world.service.front.sessions[id].playback
     for name, value in (
         ("served", "0.7"),
         ("link_use", "0.4"),
@@ -565,7 +567,7 @@
         ("colour", "1"),
         ("served", "x"),
     ):
-        streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
+        streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
     state = world.by_name(streamer.name)
     await until(
         lambda: (
@@ -590,13 +592,13 @@
     assert not world.core.playbacks, (
         "a hand-over waits for the rung, as a guessed one would be corrected at once"
     )
-    streamer.say(encode(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "2")))
-    await until(lambda: id in world.service.front.held)
-    playback = world.service.front.held[id].playback
+    streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "2")))
+    await until(lambda: id in world.service.front.sessions)
+    playback = world.service.front.sessions[id].playback
     assert playback.stage is PlaybackStage.PLAYING and playback.rung == 2 and not streamer.ids(m.SET_UP)
     assert world.core.controller.playbacks[playback.id].rung == 2
     viewer.ask(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")
-    streamer.say(release(id, 16))
+    streamer.say(encode_release(id, 16))
     over = await viewer.hear()
     assert (over.type, over.id) == (m.RELEASE, id)
     lost = viewer.ask(figures="home:0;copies:4;top:2;at:s-ffffffff")
@@ -608,15 +610,15 @@
 async def test_hand_over_completes_at_the_floor_if_the_streamer_does_not_tell_the_rung(world):
     viewer, streamer = await world.viewer(), world.streamers[1]
     id = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}", plan="paid")
-    await until(lambda: id in world.service.front.held)
-    assert world.service.front.held[id].playback.rung == 1, "the floor of its plan"
+    await until(lambda: id in world.service.front.sessions)
+    assert world.service.front.sessions[id].playback.rung == 1, "the floor of its plan"
     other = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
-    await until(lambda: other in world.service.front.expected)
-    viewer.send(release(other, 16))
+    await until(lambda: other in world.service.front.pending_hand_overs)
+    viewer.send(encode_release(other, 16))
     await until(lambda: other in streamer.ids(m.RELEASE))
     await streamer.die()
     assert [(await viewer.hear()).id for _ in range(2)] == [other, id]
-    assert not world.service.front.standing[next(iter(world.service.front.connections))]
+    assert not world.service.front.playback_counts[next(iter(world.service.front.connections))]
 
 
 @in_world
@@ -765,15 +767,15 @@
     try:
         for ended_by_streamer in (False, True):
             id, streamer = await world.plays(viewer)
-            session = world.service.front.held[id]
+            session = world.service.front.sessions[id]
             references += [weakref.ref(session), weakref.ref(session.playback)]
             del session
             if ended_by_streamer:
-                streamer.say(release(id, 16))
+                streamer.say(encode_release(id, 16))
             else:
-                viewer.send(release(id, 16))
+                viewer.send(encode_release(id, 16))
             await viewer.hear()
-            await until(lambda: not world.service.front.held and not world.core.playbacks)
+            await until(lambda: not world.service.front.sessions and not world.core.playbacks)
         await asyncio.sleep(0.05)
         assert [reference() for reference in references] == [None] * 4
     finally:
