--- a/tests/platform_world.py
+++ b/tests/platform_testbed.py
@@ -1,7 +1,7 @@
 """Shared test environment of the platform: a controller with simulated streamers, control feed and viewers.
 
 The controller runs in the test's process and talks to the simulated parts over loopback sockets. Tests run
-within an environment by the decorator `in_world`.
+within an environment by the decorator `in_testbed`.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from collections import deque
 from functools import partial
 
-import world
+import testbed
 
 from terndrift.platform import message as m
 from terndrift.platform import settings
@@ -73,12 +73,12 @@
 class Streamer:
     """A simulated streamer that records the messages it receives.
 
-    `how` selects its response to a set-up, see `_respond_to_set_up`. `heard` lists the received messages,
-    `writers` its connections, oldest first. A new `start` after `die` reuses the port.
+    `behaviour` selects its response to a set-up, see `_respond_to_set_up`. `received` lists the received
+    messages, `connections` its connections, oldest first. A new `start` after `crash` reuses the port.
     """
 
-    def __init__(self, name, cell, how):
-        self.name, self.cell, self.how, self.heard, self.writers = name, cell, how, [], []
+    def __init__(self, name, cell, behaviour):
+        self.name, self.cell, self.behaviour, self.received, self.connections = name, cell, behaviour, [], []
         self.server, self.port = None, 0
 
     async def start(self):
@@ -86,7 +86,7 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def row(self, health="up", started_ms=0):
+    def list_row(self, health="up", started_ms=0):
         """Returns its row of the server list as the control feed sends it."""
         return {
             "host": self.name,
@@ -101,12 +101,12 @@
 
     async def _serve(self, reader, writer):
         buffer = bytearray()
-        self.writers.append(writer)
+        self.connections.append(writer)
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 buffer += data
                 for message in decode_messages(buffer):
-                    self.heard.append(message)
+                    self.received.append(message)
                     if message.type == m.SET_UP:
                         self._respond_to_set_up(writer, message)
         writer.close()
@@ -116,64 +116,69 @@
             message.id,
             encode_message(m.ANSWER, message.id, (m.DESCRIPTION, b"made by " + self.name.encode())),
         )
-        if self.how == "plays":
+        if self.behaviour == "plays":
             writer.write(answer)
-        elif self.how == "plays twice":
+        elif self.behaviour == "plays twice":
             writer.write(
                 answer + answer + encode_message(m.ANSWER, b"strange!", (m.DESCRIPTION, b"nobody's"))
             )
-        elif self.how == "full":
+        elif self.behaviour == "full":
             writer.write(encode_release(id, 34, (m.REPORT, "active:3;x0:0.4;x1:0.5")))
-        elif self.how == "fails":
+        elif self.behaviour == "fails":
             writer.write(encode_release(id, 47))
-        elif self.how == "sends garbage":
+        elif self.behaviour == "sends garbage":
             writer.write(b"\xff" * 64)
-        elif self.how == "truncates answer":
+        elif self.behaviour == "truncates answer":
             writer.write(answer[:-3])
-        elif self.how == "resets":
+        elif self.behaviour == "resets":
             writer.transport.abort()
         else:
-            assert self.how == "silent", self.how
+            assert self.behaviour == "silent", self.behaviour
 
-    def ids(self, type):
+    def received_ids(self, type):
         """Returns the IDs of the received messages of one type, in order."""
-        return [message.id for message in self.heard if message.type == type]
+        return [message.id for message in self.received if message.type == type]
 
-    def say(self, data):
+    def send(self, data):
         """Sends bytes on the newest open connection."""
-        next(writer for writer in reversed(self.writers) if not writer.is_closing()).write(data)
+        next(writer for writer in reversed(self.connections) if not writer.is_closing()).write(data)
 
-    async def die(self):
+    async def crash(self):
         """Stops listening and resets all connections."""
         self.server.close()
-        for writer in self.writers:
+        for writer in self.connections:
             writer.transport.abort()
-        self.writers.clear()
+        self.connections.clear()
         await self.server.wait_closed()
 
 
 class ControlFeed:
     """A simulated control feed.
 
-    `how` selects its response to a request: "answers", "breaks" (closes in the middle of the reply) or
-    "stands" (does not reply for 30 s). `requested_positions` lists the event number that each request gave as
-    held.
+    `behaviour` selects its response to a request: "answers", "disconnects" (closes in the middle of the
+    reply) or "hangs" (does not reply for 30 s). `requested_positions` lists the event number that each
+    request gave as held.
     """
 
     def __init__(self):
-        self.events, self.how, self.requested_positions, self.changed = [], "answers", [], asyncio.Event()
+        self.events, self.behaviour, self.requested_positions, self.changed = (
+            [],
+            "answers",
+            [],
+            asyncio.Event(),
+        )
 
     async def start(self):
         """Listens on a free port and sets `address`."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    def tell(self, *rows, whole=False):
-        """Adds an event with rows of the server list; `whole` marks them as the complete list."""
+    def publish(self, *rows, complete=False):
+        """Adds an event with rows of the server list; `complete` marks them as the complete list."""
         self.events.append(
             {
                 "n": len(self.events) + 1,
-                "members": {"seq": len(self.events) + 1, "whole": whole, "hosts": list(rows)},
+                "members": {"seq": len(self.events) + 1, "whole": complete, "hosts": list(rows)},
             }
         )
         self.changed.set()
@@ -184,7 +189,7 @@
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 position = int(head.split("SUB=")[1].split("&")[0])
                 self.requested_positions.append(position)
-                if self.how == "stands":
+                if self.behaviour == "hangs":
                     await asyncio.sleep(30)
                 if len(self.events) <= position:
                     self.changed.clear()
@@ -192,7 +197,7 @@
                         await asyncio.wait_for(self.changed.wait(), 0.2)
                 body = json.dumps({"n": len(self.events), "events": self.events[position:]}).encode()
                 data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-                if self.how == "breaks":
+                if self.behaviour == "disconnects":
                     writer.write(data[:-5])
                     writer.close()
                     return
@@ -203,19 +208,19 @@
 class Viewer:
     """A simulated viewer with one connection to the controller."""
 
-    def __init__(self, world):
-        self.world, self.received, self.buffer = world, deque(), bytearray()
+    def __init__(self, testbed):
+        self.testbed, self.received, self.buffer = testbed, deque(), bytearray()
 
     async def connect(self):
         """Connects to the controller and returns itself."""
-        self.reader, self.writer = await asyncio.open_connection(*self.world.service.address)
+        self.reader, self.writer = await asyncio.open_connection(*self.testbed.service.address)
         return self
 
     def send(self, data):
         """Queues bytes for sending."""
         self.writer.write(data)
 
-    async def hear(self):
+    async def receive(self):
         """Returns the next message, or None if the connection has ended."""
         while not self.received:
             try:
@@ -228,7 +233,7 @@
             self.received.extend(decode_messages(self.buffer))
         return self.received.popleft()
 
-    def ask(
+    def send_set_up(
         self,
         id=None,
         plan="free",
@@ -239,7 +244,7 @@
         description=b"what I can play",
     ):
         """Sends a set-up and returns its ID."""
-        id = id or self.world.id()
+        id = id or self.testbed.id()
         self.send(
             encode_message(
                 m.SET_UP,
@@ -255,17 +260,18 @@
         return id
 
 
-class World:
+class Testbed:
     """A controller with its simulated control feed and streamers, as an asynchronous context manager.
 
-    `how` selects the response of all streamers to a set-up. `said` lists the log lines of the controller as
-    (level, event, values). Leaving the context fails if the test passed but an error was logged.
+    `behaviour` selects the response of all streamers to a set-up. `log_lines` lists the log lines of the
+    controller as (level, event, values). Leaving the context fails if the test passed but an error was
+    logged.
     """
 
-    def __init__(self, streamers=2, how="plays"):
+    def __init__(self, streamers=2, behaviour="plays"):
         self.directory, self.last_id = tempfile.TemporaryDirectory(), 0
-        self.streamers = [Streamer(f"s-{n:08x}", n, how) for n in range(streamers)]
-        self.path, self.said = os.path.join(self.directory.name, "config.json"), []
+        self.streamers = [Streamer(f"s-{n:08x}", n, behaviour) for n in range(streamers)]
+        self.configuration_path, self.log_lines = os.path.join(self.directory.name, "config.json"), []
 
     def id(self):
         """Returns a new playback ID."""
@@ -283,7 +289,7 @@
             "known": {"n": len(self.feed.events), "events": list(self.feed.events)},
             "settings": SETTINGS,
         }
-        with open(self.path, "w", encoding="utf-8") as file:
+        with open(self.configuration_path, "w", encoding="utf-8") as file:
             json.dump(value, file)
 
     async def __aenter__(self):
@@ -291,9 +297,13 @@
         await self.feed.start()
         for streamer in self.streamers:
             await streamer.start()
-        self.feed.tell(*(s.row() for s in self.streamers), whole=True)
+        self.feed.publish(*(s.list_row() for s in self.streamers), complete=True)
         self.write_configuration()
-        self.service = Service(settings.read(self.path), world.Log(self.said), self.path)
+        self.service = Service(
+            settings.read(self.configuration_path),
+            testbed.RecordingLog(self.log_lines),
+            self.configuration_path,
+        )
         self.core, self.transport = self.service.core, self.service.transport
         # By default a controller that has just started assumes that the streamers may have just started too;
         # tests of that set it themselves.
@@ -304,7 +314,7 @@
     async def __aexit__(self, exception_type, *_):
         self.service.close()
         for streamer in self.streamers:
-            await streamer.die()
+            await streamer.crash()
         self.feed.server.close()
         self.directory.cleanup()
         assert exception_type or not self.logged_errors()
@@ -313,21 +323,21 @@
         """Returns a new connected viewer."""
         return await Viewer(self).connect()
 
-    async def plays(self, viewer, **set_up_parameters):
+    async def set_up_playback(self, viewer, **set_up_parameters):
         """Sets up a playback and returns its ID and its streamer."""
-        id = viewer.ask(**set_up_parameters)
-        answer = await viewer.hear()
+        id = viewer.send_set_up(**set_up_parameters)
+        answer = await viewer.receive()
         assert (answer.type, answer.id) == (m.ANSWER, id)
         name = answer.parameters[m.DESCRIPTION].removeprefix(b"made by ").decode()
         return id, next(streamer for streamer in self.streamers if streamer.name == name)
 
-    def by_name(self, name):
+    def streamer_state(self, name):
         """Returns the state that the controller's decisions keep of a streamer."""
         return self.core.controller.streamers[settings.streamer_id(name)]
 
     def logged_errors(self):
         """Returns the logged lines of level error."""
-        return [line for line in self.said if line[0] == "error"]
+        return [line for line in self.log_lines if line[0] == "error"]
 
 
-in_world = partial(world.in_world, kind=World)
+in_testbed = partial(testbed.in_testbed, testbed_class=Testbed)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from world import in_world
+from testbed import in_testbed
 
 from terndrift.audit import judge, placements
 from terndrift.audit.facts import Facts
@@ -14,13 +14,13 @@
 from terndrift.http.seats import Seats
 
 
-def broken(world):
-    report = world.breaks()
+def broken(testbed):
+    report = testbed.audit_report()
     return {name for name, count in report["rules"].items() if count}
 
 
-async def asks(world, title, count):
-    players = [world.player(title, f"{title}{n}", seconds=0.5, pause=lambda: 9.0) for n in range(count)]
+async def asks(testbed, title, count):
+    players = [testbed.player(title, f"{title}{n}", seconds=0.5, pause=lambda: 9.0) for n in range(count)]
     return await asyncio.gather(*(p.ask() for p in players))
 
 
@@ -32,12 +32,12 @@
     service.front._turn_away = turn_away
 
 
-@in_world(customize_service=late)
-async def test_a_late_answer_breaks_the_first_rule(world):
-    for s in world.fleet.streamers.values():
+@in_testbed(customize_service=late)
+async def test_a_late_answer_breaks_the_first_rule(testbed):
+    for s in testbed.fleet.streamers.values():
         s.begin("full", 1)
-    await asks(world, "clip", 2)
-    assert broken(world) == {"answers"}
+    await asks(testbed, "clip", 2)
+    assert broken(testbed) == {"answers"}
 
 
 def silent(service):
@@ -47,10 +47,10 @@
     service.server.handle = handle
 
 
-@in_world(customize_service=silent)
-async def test_no_answer_breaks_the_first_rule(world):
-    await asks(world, "clip", 2)
-    assert broken(world) == {"answers"}
+@in_testbed(customize_service=silent)
+async def test_no_answer_breaks_the_first_rule(testbed):
+    await asks(testbed, "clip", 2)
+    assert broken(testbed) == {"answers"}
 
 
 def resending(service):
@@ -67,12 +67,12 @@
     transport._over = again
 
 
-@in_world(customize_service=resending, streamers=2)
-async def test_a_paid_plan_sent_again_breaks_the_second_rule(world):
-    for s in world.fleet.streamers.values():
+@in_testbed(customize_service=resending, streamers=2)
+async def test_a_paid_plan_sent_again_breaks_the_second_rule(testbed):
+    for s in testbed.fleet.streamers.values():
         s.begin("error", 1.0)
-    await asks(world, "lesson", 2)
-    assert broken(world) == {"set_ups"}
+    await asks(testbed, "lesson", 2)
+    assert broken(testbed) == {"set_ups"}
 
 
 def hedging(service):
@@ -88,12 +88,12 @@
     transport.set_up = twice
 
 
-@in_world(customize_service=hedging)
-async def test_two_tries_at_once_break_the_second_rule(world):
-    for s in world.fleet.streamers.values():
+@in_testbed(customize_service=hedging)
+async def test_two_tries_at_once_break_the_second_rule(testbed):
+    for s in testbed.fleet.streamers.values():
         s.begin("late", 0.3)
-    await asks(world, "clip", 2)
-    assert "set_ups" in broken(world)
+    await asks(testbed, "clip", 2)
+    assert "set_ups" in broken(testbed)
 
 
 def rejecting(service):
@@ -112,34 +112,34 @@
     front._want = softened
 
 
-@in_world(customize_service=rejecting, streamers=1)
-async def test_a_paid_plan_rejected_though_it_may_have_run_breaks_the_second_rule(world):
-    world.fleet.streamers[0].begin("still", 1)
-    await asks(world, "lesson", 1)
-    assert broken(world) == {"set_ups"}
+@in_testbed(customize_service=rejecting, streamers=1)
+async def test_a_paid_plan_rejected_though_it_may_have_run_breaks_the_second_rule(testbed):
+    testbed.fleet.streamers[0].begin("still", 1)
+    await asks(testbed, "lesson", 1)
+    assert broken(testbed) == {"set_ups"}
 
 
-@in_world
-async def test_new_work_to_what_drains_breaks_the_third_rule(world):
-    world.service.listing.hand = lambda *_: None
-    world.write_list(s0="draining", s1="gone")
-    await world.listed()
+@in_testbed
+async def test_new_work_to_what_drains_breaks_the_third_rule(testbed):
+    testbed.service.listing.hand = lambda *_: None
+    testbed.write_list(s0="draining", s1="gone")
+    await testbed.list_in_force()
     await asyncio.sleep(0.8)
-    await asks(world, "clip", 9)
-    assert broken(world) == {"drains"}
+    await asks(testbed, "clip", 9)
+    assert broken(testbed) == {"drains"}
 
 
-@in_world
-async def test_a_cold_streamer_pushed_over_breaks_the_fourth_rule(world):
-    world.service.core.controller._may_start_cold = lambda *_: True
-    one = world.fleet.streamers[1]
+@in_testbed
+async def test_a_cold_streamer_pushed_over_breaks_the_fourth_rule(testbed):
+    testbed.service.core.controller._may_start_cold = lambda *_: True
+    one = testbed.fleet.streamers[1]
     one.die()
     one.start(cold=True)
-    world.started[1] = time.time()
-    world.write_list()
-    await world.listed()
-    await asks(world, "first", 40)
-    assert "cold" in broken(world) and one.fallen
+    testbed.start_times[1] = time.time()
+    testbed.write_list()
+    await testbed.list_in_force()
+    await asks(testbed, "first", 40)
+    assert "cold" in broken(testbed) and one.fallen
 
 
 def floorless(service):
@@ -152,58 +152,58 @@
     service.titles.rung = lambda name, wanted, floor, top: wanted  # or it would mend it
 
 
-@in_world(customize_service=floorless)
-async def test_a_rung_under_the_floor_breaks_the_fifth_rule(world):
-    await world.player("lesson", "v").watch()
-    assert broken(world) == {"terms"}
+@in_testbed(customize_service=floorless)
+async def test_a_rung_under_the_floor_breaks_the_fifth_rule(testbed):
+    await testbed.player("lesson", "v").watch()
+    assert broken(testbed) == {"terms"}
 
 
-@in_world
-async def test_more_playbacks_than_seats_break_the_fifth_rule(world):
-    world.service.core.controller.seats_taken = lambda *_: 0
-    await asyncio.gather(*(world.player("seat", f"v{n}", seconds=1.0).watch() for n in range(4)))
-    assert broken(world) == {"terms"}
+@in_testbed
+async def test_more_playbacks_than_seats_break_the_fifth_rule(testbed):
+    testbed.service.core.controller.seats_taken = lambda *_: 0
+    await asyncio.gather(*(testbed.player("seat", f"v{n}", seconds=1.0).watch() for n in range(4)))
+    assert broken(testbed) == {"terms"}
 
 
-@in_world(streamers=6)
-async def test_tries_over_the_budget_break_the_sixth_rule(world):
-    world.service.core.controller._extra_attempt_allowed = lambda *_: True
-    for s in world.fleet.streamers.values():
+@in_testbed(streamers=6)
+async def test_tries_over_the_budget_break_the_sixth_rule(testbed):
+    testbed.service.core.controller._extra_attempt_allowed = lambda *_: True
+    for s in testbed.fleet.streamers.values():
         s.begin("full", 1)
-    await asks(world, "clip", 25)
-    assert broken(world) == {"budget"}
+    await asks(testbed, "clip", 25)
+    assert broken(testbed) == {"budget"}
 
 
-@in_world
-async def test_a_sound_service_breaks_none(world):
-    world.fleet.streamers[0].begin("error", 0.5)
-    await asyncio.gather(asks(world, "clip", 10), asks(world, "lesson", 5), asks(world, "seat", 3))
-    code, *_ = await world.ask("clip", {cmcd.SESSION: 'sid="x"'})
-    assert code == 200 and broken(world) == set()
+@in_testbed
+async def test_a_sound_service_breaks_none(testbed):
+    testbed.fleet.streamers[0].begin("error", 0.5)
+    await asyncio.gather(asks(testbed, "clip", 10), asks(testbed, "lesson", 5), asks(testbed, "seat", 3))
+    code, *_ = await testbed.request_playback("clip", {cmcd.SESSION: 'sid="x"'})
+    assert code == 200 and broken(testbed) == set()
 
 
-@in_world
-async def test_a_placement_that_the_catalogue_forbids_is_found(world):
-    world.service.core.may_use_streamer = lambda *_: True
-    controller = world.service.core.controller
-    world.service.core.holders_changed = lambda *_: None
-    find = world.service.titles.find
+@in_testbed
+async def test_a_placement_that_the_catalogue_forbids_is_found(testbed):
+    testbed.service.core.may_use_streamer = lambda *_: True
+    controller = testbed.service.core.controller
+    testbed.service.core.holders_changed = lambda *_: None
+    find = testbed.service.titles.find
     stale = {name: find(name) for name in ("clip", "first")}
-    world.service.titles.find = stale.get
+    testbed.service.titles.find = stale.get
     for n, holders in enumerate([[2], None]):
-        world.note("swap", controller="c0", number=n, title="first", holders=holders)
+        testbed.record_event("swap", controller="c0", number=n, title="first", holders=holders)
         change = (
             Change(f"m{n}", put={"first": Title("free", 2, holders=(2,))})
             if holders
             else Change(f"m{n}", drop=("first",))
         )
-        await world.service.catalogue.apply(change)
-        world.note("swapped", controller="c0", number=n, code=200)
+        await testbed.service.catalogue.apply(change)
+        testbed.record_event("swapped", controller="c0", number=n, code=200)
         await asyncio.sleep(0.15)  # within the auditor's own doubt either state counts
-        await asks(world, "first", 2)
-    report = placements.report(world.facts())
+        await asks(testbed, "first", 2)
+    report = placements.report(testbed.audit_facts())
     assert report["wrong_placements"] >= 3 and controller.playbacks
-    assert await asks(world, "clip", 2) and placements.report(world.facts()) == report
+    assert await asks(testbed, "clip", 2) and placements.report(testbed.audit_facts()) == report
 
 
 def test_what_a_controller_takes_once_it_is_up_again_counts_from_then():
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import in_world
+from testbed import in_testbed
 
 from terndrift.catalogue import titles
 from terndrift.catalogue.service import STREAM, Catalogue, Keeper
@@ -241,8 +241,8 @@
     asyncio.run(run())
 
 
-async def admin(world, method, path, data=None, **headers):
-    call, out = Call(world.pool, world.service.admin_address), bytearray()
+async def admin(testbed, method, path, data=None, **headers):
+    call, out = Call(testbed.pool, testbed.service.admin_address), bytearray()
     await call.open(1.0)
     body = b"" if data is None else json.dumps(data).encode()
     headers = {"Content-Length": str(len(body)), **headers}
@@ -253,24 +253,24 @@
 ADMIN = 'catalogue: {admin: "127.0.0.1:0", store: "cat", file: "cat.rec", poll: 20ms}'
 
 
-@in_world(front=ADMIN)
-async def test_the_admin_changes_titles_conditionally_and_says_what_is_wrong(world):
-    code, headers, about = await admin(world, "GET", "/catalogue")
+@in_testbed(extra_settings=ADMIN)
+async def test_the_admin_changes_titles_conditionally_and_says_what_is_wrong(testbed):
+    code, headers, about = await admin(testbed, "GET", "/catalogue")
     assert code == 200 and headers["ETag"] == '"1"' and about["titles"] == 5
     new = {"plan": "free", "seconds": 2, "holders": [1, 77]}
-    code, headers, made = await admin(world, "PUT", "/catalogue/titles/new", new, **{"If-Match": '"1"'})
+    code, headers, made = await admin(testbed, "PUT", "/catalogue/titles/new", new, **{"If-Match": '"1"'})
     assert code == 200 and made == {"version": 2, "new": True}
-    assert (await admin(world, "GET", "/catalogue/titles/new"))[2]["unlisted_holders"] == [77]
-    assert (await world.ask("new"))[0] == 200
-    code, _, lost = await admin(world, "DELETE", "/catalogue/titles/new", **{"If-Match": '"1"'})
+    assert (await admin(testbed, "GET", "/catalogue/titles/new"))[2]["unlisted_holders"] == [77]
+    assert (await testbed.request_playback("new"))[0] == 200
+    code, _, lost = await admin(testbed, "DELETE", "/catalogue/titles/new", **{"If-Match": '"1"'})
     assert code == 409 and lost["version"] == 2
     bad = {"id": "x", "put": {"a": {"plan": "free"}}}
-    code, _, wrong = await admin(world, "POST", "/catalogue/changes", bad)
+    code, _, wrong = await admin(testbed, "POST", "/catalogue/changes", bad)
     assert code == 422 and wrong["faults"][0]["path"] == "put.a"
     change = {"id": "same", "put": {"b": {"plan": "paid", "seconds": 2, "nowhere": True}}}
-    assert (await admin(world, "POST", "/catalogue/changes", change))[2] == {"version": 3, "new": True}
-    assert (await admin(world, "POST", "/catalogue/changes", change))[2] == {"version": 3, "new": False}
-    assert (await world.ask("b"))[0] == 503, "known, but it lies nowhere yet"
+    assert (await admin(testbed, "POST", "/catalogue/changes", change))[2] == {"version": 3, "new": True}
+    assert (await admin(testbed, "POST", "/catalogue/changes", change))[2] == {"version": 3, "new": False}
+    assert (await testbed.request_playback("b"))[0] == 503, "known, but it lies nowhere yet"
     for method, path, data, code in (
         ("POST", "/catalogue", None, 405),
         ("GET", "/other", None, 404),
@@ -279,69 +279,73 @@
         ("GET", "/catalogue/titles/none", None, 404),
         ("POST", "/catalogue/rollback", {"version": 9}, 409),
     ):
-        assert (await admin(world, method, path, data))[0] == code, path
-    assert (await admin(world, "PUT", "/catalogue/titles/x", new, **{"If-Match": "x"}))[0] == 400
-    found = (await admin(world, "GET", "/catalogue/diff?from=1&to=3"))[2]
+        assert (await admin(testbed, method, path, data))[0] == code, path
+    assert (await admin(testbed, "PUT", "/catalogue/titles/x", new, **{"If-Match": "x"}))[0] == 400
+    found = (await admin(testbed, "GET", "/catalogue/diff?from=1&to=3"))[2]
     assert set(found) == {"new", "b"} and found["new"]["was"] is None
-    assert (await admin(world, "POST", "/catalogue/rollback", {"version": 1}))[2]["version"] == 4
-    assert (await world.ask("new"))[0] == 404
-    past = (await admin(world, "GET", "/catalogue/history"))[2]["changes"]
+    assert (await admin(testbed, "POST", "/catalogue/rollback", {"version": 1}))[2]["version"] == 4
+    assert (await testbed.request_playback("new"))[0] == 404
+    past = (await admin(testbed, "GET", "/catalogue/history"))[2]["changes"]
     assert [p["version"] for p in past] == [1, 2, 3, 4]
 
 
-@in_world(front=ADMIN)
-async def test_a_file_is_followed_and_a_bad_one_leaves_the_catalogue(world):
+@in_testbed(extra_settings=ADMIN)
+async def test_a_file_is_followed_and_a_bad_one_leaves_the_catalogue(testbed):
     def write(text):
-        with open(world.path("cat.part"), "w", encoding="utf-8") as file:
+        with open(testbed.path("cat.part"), "w", encoding="utf-8") as file:
             file.write(text)
-        os.replace(world.path("cat.part"), world.path("cat.rec"))
+        os.replace(testbed.path("cat.part"), testbed.path("cat.rec"))
 
     async def version(n):
-        while world.service.titles.versions.visible < n:
+        while testbed.service.titles.versions.visible < n:
             await asyncio.sleep(0.01)
 
     write('titles: "clip": {plan: "free", seconds: 2}\ntitles: "x": {plan: "free", seconds: 3}')
     await version(2)
-    assert (await world.ask("x"))[0] == 200 and (await world.ask("lesson"))[0] == 404
+    assert (await testbed.request_playback("x"))[0] == 200 and (await testbed.request_playback("lesson"))[
+        0
+    ] == 404
     write('titles: "clip": {plan: "nothing", seconds: 2}')
-    while not any("no plan" in str(f) for _, _, f in world.told):
+    while not any("no plan" in str(f) for _, _, f in testbed.log_entries):
         await asyncio.sleep(0.01)
-    assert (await world.ask("x"))[0] == 200
+    assert (await testbed.request_playback("x"))[0] == 200
     write('titles: "clip": {plan: "free", seconds: 2}')
     await version(3)
-    assert (await world.ask("x"))[0] == 404
+    assert (await testbed.request_playback("x"))[0] == 404
 
 
-def drop(world, *names):
-    return world.service.catalogue.apply(Change(f"drop {names}", drop=names))
+def drop(testbed, *names):
+    return testbed.service.catalogue.apply(Change(f"drop {names}", drop=names))
 
 
-@in_world
-async def test_a_title_removed_while_it_plays_is_tried_and_is_held(world):
-    playing = asyncio.ensure_future(world.player("clip", "plays").watch())
-    while not world.notes("media"):
+@in_testbed
+async def test_a_title_removed_while_it_plays_is_tried_and_is_held(testbed):
+    playing = asyncio.ensure_future(testbed.player("clip", "plays").watch())
+    while not testbed.streamer_events("media"):
         await asyncio.sleep(0.01)
-    for s in world.fleet.streamers.values():
+    for s in testbed.fleet.streamers.values():
         s.begin("late", 0.08)
-    seats = await asyncio.gather(*(world.ask("seat", {cmcd.SESSION: f'sid="s{n}"'}) for n in range(2)))
+    seats = await asyncio.gather(
+        *(testbed.request_playback("seat", {cmcd.SESSION: f'sid="s{n}"'}) for n in range(2))
+    )
     assert [s[0] for s in seats] == [200, 200]
-    held = asyncio.ensure_future(world.ask("seat", {cmcd.SESSION: 'sid="held"'}))
-    while world.service.core.unanswered_count < 1:
+    held = asyncio.ensure_future(testbed.request_playback("seat", {cmcd.SESSION: 'sid="held"'}))
+    while testbed.service.core.unanswered_count < 1:
         await asyncio.sleep(0.005)
-    tried = asyncio.ensure_future(world.ask("clip", {cmcd.SESSION: 'sid="tried"'}))
-    while not any(n["sid"] == "tried" for n in world.notes("try")):
+    tried = asyncio.ensure_future(testbed.request_playback("clip", {cmcd.SESSION: 'sid="tried"'}))
+    while not any(n["sid"] == "tried" for n in testbed.streamer_events("try")):
         await asyncio.sleep(0.001)
-    await drop(world, "clip", "seat")
+    await drop(testbed, "clip", "seat")
     code, _, _, took = await held
     assert code == 503 and took < 0.9, "there is nothing left to wait for"
     assert (await tried)[0] == 200 and round(await playing, 2) == 2.0
-    assert (await world.ask("clip"))[0] == 404
-    assert set(world.breaks()["rules"].values()) == {0}
+    assert (await testbed.request_playback("clip"))[0] == 404
+    assert set(testbed.audit_report()["rules"].values()) == {0}
 
 
-@in_world
-async def test_holders_moved_between_the_choice_and_the_connect_send_nothing_to_the_old_one(world):
-    transport = world.service.transport
+@in_testbed
+async def test_holders_moved_between_the_choice_and_the_connect_send_nothing_to_the_old_one(testbed):
+    transport = testbed.service.transport
     began, may = asyncio.Event(), asyncio.Event()
     tried = transport._try
 
@@ -353,47 +357,47 @@
     transport._try = slow
     # An attempt of a repeatable plan times out after 200 ms, sooner than a busy disk writes the change;
     # one of a plan that may not be repeated waits until the playback's own deadline.
-    await world.service.catalogue.apply(Change("n", put={"moved": Title("paid", 2, holders=(1,))}))
-    asked = asyncio.ensure_future(world.ask("moved"))
+    await testbed.service.catalogue.apply(Change("n", put={"moved": Title("paid", 2, holders=(1,))}))
+    asked = asyncio.ensure_future(testbed.request_playback("moved"))
     await began.wait()
-    await world.service.catalogue.apply(Change("m", put={"moved": Title("paid", 2, holders=(2,))}))
+    await testbed.service.catalogue.apply(Change("m", put={"moved": Title("paid", 2, holders=(2,))}))
     may.set()
     assert (await asked)[0] == 200
-    assert {n["streamer"] for n in world.notes("try")} == {2}
+    assert {n["streamer"] for n in testbed.streamer_events("try")} == {2}
 
 
-@in_world
-async def test_a_holder_that_no_list_names_gets_nothing_until_one_does(world):
+@in_testbed
+async def test_a_holder_that_no_list_names_gets_nothing_until_one_does(testbed):
     v = Title("free", 2, holders=(9, 0))
-    await world.service.catalogue.apply(Change("m", put={"clip": v}))
-    assert world.service.catalogue.unlisted(world.service.addresses) == {"clip": [9]}
-    assert (await world.ask("clip"))[0] == 200
-    assert {n["streamer"] for n in world.notes("try")} == {0}
+    await testbed.service.catalogue.apply(Change("m", put={"clip": v}))
+    assert testbed.service.catalogue.unlisted(testbed.service.addresses) == {"clip": [9]}
+    assert (await testbed.request_playback("clip"))[0] == 200
+    assert {n["streamer"] for n in testbed.streamer_events("try")} == {0}
 
 
-@in_world
-async def test_a_rendition_removed_under_a_playing_rung_is_played_by_the_nearest_permitted(world):
-    code, _, body, _ = await world.ask("lesson")
+@in_testbed
+async def test_a_rendition_removed_under_a_playing_rung_is_played_by_the_nearest_permitted(testbed):
+    code, _, body, _ = await testbed.request_playback("lesson")
     base = next(x for x in body.decode().splitlines() if x.startswith("/p/")).rsplit("/", 2)[0]
-    rates = world.service.value["deployment"]["ladder"]["rates"]
+    rates = testbed.service.value["deployment"]["ladder"]["rates"]
 
     async def served():
-        return len((await world.ask(path=f"{base}/r3/0.ts"))[2])
+        return len((await testbed.request_playback(path=f"{base}/r3/0.ts"))[2])
 
     assert code == 200 and await served() == rates[3] * 0.2
     left = Title("paid", 2, rates=(*rates[:2], None, None))
-    await world.service.catalogue.apply(Change("m", put={"lesson": left}))
+    await testbed.service.catalogue.apply(Change("m", put={"lesson": left}))
     assert await served() == rates[1] * 0.2
     floor = Title("paid", 2, rates=(rates[0], None, rates[2], None))
-    await world.service.catalogue.apply(Change("n", put={"lesson": floor}))
+    await testbed.service.catalogue.apply(Change("n", put={"lesson": floor}))
     assert await served() == rates[2] * 0.2, "never under the floor"
-    assert set(world.breaks()["rules"].values()) == {0}
+    assert set(testbed.audit_report()["rules"].values()) == {0}
 
 
-@in_world(front=ADMIN)
-async def test_the_catalogue_is_there_again_after_the_controller_is(world):
-    await world.service.catalogue.apply(Change("m", put={"kept": Title("free", 2)}))
-    await world.service.close()
-    await world.serve(world.address)
-    assert (await world.ask("kept"))[0] == 200
-    assert (await fetch(world.pool, world.service.admin_address, "GET", "/catalogue"))[0] == 200
+@in_testbed(extra_settings=ADMIN)
+async def test_the_catalogue_is_there_again_after_the_controller_is(testbed):
+    await testbed.service.catalogue.apply(Change("m", put={"kept": Title("free", 2)}))
+    await testbed.service.close()
+    await testbed.start_controller(testbed.address)
+    assert (await testbed.request_playback("kept"))[0] == 200
+    assert (await fetch(testbed.pool, testbed.service.admin_address, "GET", "/catalogue"))[0] == 200
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -8,12 +8,12 @@
 import sys
 
 from click.testing import CliRunner
-from world import DEPLOYMENT
+from testbed import DEPLOYMENT_TEXT
 
 from terndrift.cli.main import cli
 from terndrift.rehearse import run as run_of
 
-FLEET = DEPLOYMENT + 'streamers: "a": {id: 1, rack: 0, kind: "box", link: 2MB/s}\nuplinks: {}\n'
+FLEET = DEPLOYMENT_TEXT + 'streamers: "a": {id: 1, rack: 0, kind: "box", link: 2MB/s}\nuplinks: {}\n'
 
 
 def run(*args, text=None):
@@ -47,7 +47,7 @@
     bad = tmp_path / "bad.rec"
     bad.write_text(FLEET.replace("rack: 0", "rack: -1"))
     out = run("check", str(bad))
-    assert out.exit_code == 2 and f"{bad}:{len(DEPLOYMENT.splitlines()) + 1}:" in out.stderr
+    assert out.exit_code == 2 and f"{bad}:{len(DEPLOYMENT_TEXT.splitlines()) + 1}:" in out.stderr
     bad.write_text(FLEET.replace('plan: "paid"', 'plan: "none"'))
     out = run("check", str(bad))
     assert out.exit_code == 2 and "no plan 'none'" in out.stderr
@@ -70,7 +70,7 @@
     streamer = start("streamer", str(tmp_path / "fleet.rec"))
     assert streamer.stdout.readline().startswith("a 127.0.0.1:")
     (tmp_path / "front.rec").write_text(
-        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 200ms\n'
+        DEPLOYMENT_TEXT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 200ms\n'
     )
     assert "nothing amiss" in run("check", str(tmp_path / "front.rec")).stdout
     serve = start("serve", str(tmp_path / "front.rec"))
@@ -90,7 +90,7 @@
 def test_a_second_sigterm_ends_it_at_once(tmp_path):
     (tmp_path / "list.rec").write_text('streamers: a: {id: 1, address: "127.0.0.1:1", rack: 0, kind: "box"}')
     (tmp_path / "front.rec").write_text(
-        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 60s\n'
+        DEPLOYMENT_TEXT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\nhttp: drain: 60s\n'
     )
     serve = start("serve", str(tmp_path / "front.rec"))
     line = json.loads(next(x for x in iter(serve.stderr.readline, "") if "listening" in x))
@@ -138,7 +138,7 @@
     (tmp_path / "list.rec").write_text('streamers: a: {id: 1, address: "127.0.0.1:1", rack: 0, kind: "box"}')
     front = tmp_path / "front.rec"
     front.write_text(
-        DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\n'
+        DEPLOYMENT_TEXT + 'controller: name: "c0"\nlist: "list.rec"\nlog: form: "json"\n'
         'catalogue: {store: "cat", admin: "127.0.0.1:0"}\nhttp: drain: 0s\n'
     )
     many = tmp_path / "many.jsonl"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,8 +14,8 @@
 import sys
 
 import pytest
-from platform_world import SETTINGS, in_world
-from world import Log, until
+from platform_testbed import SETTINGS, in_testbed
+from testbed import RecordingLog, wait_until
 
 from terndrift.core.active_playback import PlaybackStage
 from terndrift.platform import message as m
@@ -48,9 +48,9 @@
     )
 
 
-def blocking_socket(world):
+def blocking_socket(testbed):
     """A blocking socket to the controller; bytes are in the kernel once `sendall` returns."""
-    return socket.create_connection(world.service.address)
+    return socket.create_connection(testbed.service.address)
 
 
 async def read_all(sock):
@@ -63,29 +63,31 @@
     return decode_messages(buffer)
 
 
-async def received_so_far(viewer, world):
+async def received_so_far(viewer, testbed):
     """Messages that reach a viewer before the reply to a TEST message that is sent now."""
-    id, received = world.id(), []
+    id, received = testbed.id(), []
     viewer.send(encode_message(m.TEST, id, (m.CAUSE, b"\0")))
-    while (message := await viewer.hear()).type != m.TESTED:
+    while (message := await viewer.receive()).type != m.TESTED:
         received.append(message)
     return received
 
 
-async def sent_ids(world, type=m.SET_UP):
+async def sent_ids(testbed, type=m.SET_UP):
     """Ids of the messages sent to streamers so far, returned once streamers have read all of them."""
     markers = []
-    for connection in world.transport.all_connections():
-        marker = world.id()
+    for connection in testbed.transport.all_connections():
+        marker = testbed.id()
         if connection.send(encode_message(m.PROGRESS, marker)):
             markers.append(marker)
-    await until(lambda: set(markers) <= {id for s in world.streamers for id in s.ids(m.PROGRESS)})
-    return received_ids(world, type)
+    await wait_until(
+        lambda: set(markers) <= {id for s in testbed.streamers for id in s.received_ids(m.PROGRESS)}
+    )
+    return received_ids(testbed, type)
 
 
-def received_ids(world, type=m.SET_UP):
+def received_ids(testbed, type=m.SET_UP):
     """Ids of the messages that streamers have read so far."""
-    return [id for s in world.streamers for id in s.ids(type)]
+    return [id for s in testbed.streamers for id in s.received_ids(type)]
 
 
 @contextlib.contextmanager
@@ -183,112 +185,114 @@
 # Shutdown.
 
 
-@in_world(how="silent", streamers=1)
-async def test_streamer_answer_after_the_final_answer_is_not_forwarded(world):
-    viewer, streamer = await world.viewer(), world.streamers[0]
-    id = viewer.ask()
-    await until(lambda: streamer.ids(m.SET_UP) == [id])
-    world.service.front.send_final_answers()
-    streamer.say(encode_message(m.ANSWER, id, (m.DESCRIPTION, b"too late")))
-    reader = next(iter(next(iter(world.transport.peers.values())).connections)).reader
-    await until(lambda: reader.message_count)
-    received = await received_so_far(viewer, world)
+@in_testbed(behaviour="silent", streamers=1)
+async def test_streamer_answer_after_the_final_answer_is_not_forwarded(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
+    id = viewer.send_set_up()
+    await wait_until(lambda: streamer.received_ids(m.SET_UP) == [id])
+    testbed.service.front.send_final_answers()
+    streamer.send(encode_message(m.ANSWER, id, (m.DESCRIPTION, b"too late")))
+    reader = next(iter(next(iter(testbed.transport.peers.values())).connections)).reader
+    await wait_until(lambda: reader.message_count)
+    received = await received_so_far(viewer, testbed)
     assert [(message.type, message.id, message.cause) for message in received] == [
         (m.RELEASE, id, m.REJECTED)
     ]
-    await until(lambda: streamer.ids(m.RELEASE) == [id])
+    await wait_until(lambda: streamer.received_ids(m.RELEASE) == [id])
 
 
-@in_world(how="silent", streamers=2)
-async def test_refusal_after_the_final_answer_starts_no_further_attempt(world):
-    viewer = await world.viewer()
-    id = viewer.ask()
-    await until(lambda: received_ids(world) == [id])
-    streamer = next(s for s in world.streamers if s.heard)
-    world.service.front.send_final_answers()
-    streamer.say(encode_release(id, 34))
-    connections = world.transport.all_connections()
-    await until(lambda: any(connection.reader.message_count for connection in connections))
-    await received_so_far(viewer, world)
-    assert await sent_ids(world) == [id]
+@in_testbed(behaviour="silent", streamers=2)
+async def test_refusal_after_the_final_answer_starts_no_further_attempt(testbed):
+    viewer = await testbed.viewer()
+    id = viewer.send_set_up()
+    await wait_until(lambda: received_ids(testbed) == [id])
+    streamer = next(s for s in testbed.streamers if s.received)
+    testbed.service.front.send_final_answers()
+    streamer.send(encode_release(id, 34))
+    connections = testbed.transport.all_connections()
+    await wait_until(lambda: any(connection.reader.message_count for connection in connections))
+    await received_so_far(viewer, testbed)
+    assert await sent_ids(testbed) == [id]
 
 
-@in_world
-async def test_set_up_in_the_accept_queue_at_close_is_answered(world):
-    id, late_sockets, real_close = world.id(), [], world.service.front.listener.close
+@in_testbed
+async def test_set_up_in_the_accept_queue_at_close_is_answered(testbed):
+    id, late_sockets, real_close = testbed.id(), [], testbed.service.front.listener.close
 
     def connect_late_viewer_then_close():
         if not late_sockets:
-            late_sockets.append(blocking_socket(world))
+            late_sockets.append(blocking_socket(testbed))
             late_sockets[0].sendall(set_up_message(id))
         real_close()
 
-    world.service.front.listener.close = connect_late_viewer_then_close
+    testbed.service.front.listener.close = connect_late_viewer_then_close
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
-        await world.service.drain()
+        await testbed.service.drain()
     received = await read_all(late_sockets[0])
     assert [(message.id, message.cause) for message in received] == [(id, m.REJECTED)]
-    assert not await sent_ids(world)
+    assert not await sent_ids(testbed)
 
 
-@in_world
-async def test_set_up_between_final_answers_and_close_is_rejected(world):
-    viewer, id, front = await world.viewer(), world.id(), world.service.front
+@in_testbed
+async def test_set_up_between_final_answers_and_close_is_rejected(testbed):
+    viewer, id, front = await testbed.viewer(), testbed.id(), testbed.service.front
     real_last_answers = front.send_final_answers
 
     def final_answers_then_set_ups():
         real_last_answers()
         # the second is incomplete and needs no answer
-        viewer.send(set_up_message(id) + set_up_message(world.id())[:-3])
+        viewer.send(set_up_message(id) + set_up_message(testbed.id())[:-3])
 
     front.send_final_answers = final_answers_then_set_ups
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
-        await world.service.drain()
-    message = await viewer.hear()
+        await testbed.service.drain()
+    message = await viewer.receive()
     assert (message.id, message.cause) == (id, m.REJECTED)
-    assert await viewer.hear() is None
-    assert not await sent_ids(world)
+    assert await viewer.receive() is None
+    assert not await sent_ids(testbed)
 
 
-@in_world
-async def test_shutdown_waits_until_the_final_messages_are_sent(world):
-    viewer = await world.viewer()
-    id, _ = await world.plays(viewer)
-    connection = next(iter(world.service.front.connections))
+@in_testbed
+async def test_shutdown_waits_until_the_final_messages_are_sent(testbed):
+    viewer = await testbed.viewer()
+    id, _ = await testbed.set_up_playback(viewer)
+    connection = next(iter(testbed.service.front.connections))
     # fill the kernel's buffers: what is sent after that stays in the process
     connection.stream.max_write_buffer_size = None
-    filler = encode_message(m.PROGRESS, world.id()) * 4096
+    filler = encode_message(m.PROGRESS, testbed.id()) * 4096
     while not connection.has_unsent_output():
         connection.send(filler)
     for _ in range(8):
         connection.send(filler)
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2, FLUSH_TIMEOUT_S=60):
-        drain_task = asyncio.ensure_future(world.service.drain())
-        await until(lambda: world.service.stage is service_module.Stage.CLOSING)
+        drain_task = asyncio.ensure_future(testbed.service.drain())
+        await wait_until(lambda: testbed.service.stage is service_module.Stage.CLOSING)
         assert connection.has_unsent_output()
-        while (message := await viewer.hear()).type == m.PROGRESS:
+        while (message := await viewer.receive()).type == m.PROGRESS:
             pass
         assert (message.type, message.id) == (m.RELEASE, id)
         await drain_task
-    assert await viewer.hear() is None
+    assert await viewer.receive() is None
 
 
-@in_world(how="silent")
-async def test_shutdown_releases_pending_handover_on_both_sides(world):
-    viewer, streamer = await world.viewer(), world.streamers[0]
-    id = viewer.ask(figures=f"{ALL_HOLDERS};at:{streamer.name}")
-    await until(lambda: streamer.writers)
-    world.service.front.send_final_answers()
-    assert [message.id for message in await received_so_far(viewer, world)] == [id]
-    await until(lambda: streamer.ids(m.RELEASE) == [id])
+@in_testbed(behaviour="silent")
+async def test_shutdown_releases_pending_handover_on_both_sides(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
+    id = viewer.send_set_up(figures=f"{ALL_HOLDERS};at:{streamer.name}")
+    await wait_until(lambda: streamer.connections)
+    testbed.service.front.send_final_answers()
+    assert [message.id for message in await received_so_far(viewer, testbed)] == [id]
+    await wait_until(lambda: streamer.received_ids(m.RELEASE) == [id])
 
 
-@in_world
-async def test_sigterm_during_the_initial_feed_call_stops_without_listening(world):
-    world.feed.how = "stands"
-    second_service = Service(settings.read(world.path), Log(world.said), world.path)
+@in_testbed
+async def test_sigterm_during_the_initial_feed_call_stops_without_listening(testbed):
+    testbed.feed.behaviour = "hangs"
+    second_service = Service(
+        settings.read(testbed.configuration_path), RecordingLog(testbed.log_lines), testbed.configuration_path
+    )
     begin_task = asyncio.ensure_future(second_service.begin())
-    await until(lambda: second_service.feed.call is not None)
+    await wait_until(lambda: second_service.feed.call is not None)
     second_service.terminate()
     second_service.terminate()
     await begin_task
@@ -296,9 +300,9 @@
     assert second_service.stopped.is_set()
 
 
-@in_world
-async def test_repeated_sigterm_with_reloads_between_shuts_down_once(world):
-    service, final_answer_calls = world.service, []
+@in_testbed
+async def test_repeated_sigterm_with_reloads_between_shuts_down_once(testbed):
+    service, final_answer_calls = testbed.service, []
     real_last_answers = service.front.send_final_answers
     service.front.send_final_answers = lambda: (final_answer_calls.append(1), real_last_answers())
     with patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2):
@@ -306,7 +310,7 @@
         service.terminate()
         service.reread()
         service.terminate()
-        await until(lambda: final_answer_calls)
+        await wait_until(lambda: final_answer_calls)
         service.terminate()
         await service.stopped.wait()
         service.terminate()
@@ -373,14 +377,14 @@
 
 @pytest.mark.parametrize("departure", ["close", "reset", "half-close", "cancel", "cancel elsewhere"])
 def test_no_attempt_starts_for_a_viewer_that_left_while_the_loop_was_busy(departure):
-    @in_world(streamers=1)
-    async def test(world):
-        first_viewer = await world.viewer()
+    @in_testbed(streamers=1)
+    async def test(testbed):
+        first_viewer = await testbed.viewer()
         # leaves a connection to the streamer open, so that no connect delays the attempt
-        await world.plays(first_viewer)
-        ids_before, id = await sent_ids(world), world.id()
-        viewer, other_connection = blocking_socket(world), blocking_socket(world)
-        await until(lambda: len(world.service.front.connections) == 3)
+        await testbed.set_up_playback(first_viewer)
+        ids_before, id = await sent_ids(testbed), testbed.id()
+        viewer, other_connection = blocking_socket(testbed), blocking_socket(testbed)
+        await wait_until(lambda: len(testbed.service.front.connections) == 3)
         viewer.sendall(set_up_message(id))
         if departure == "half-close":
             viewer.shutdown(socket.SHUT_WR)
@@ -393,9 +397,9 @@
             if departure == "reset":
                 viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             viewer.close()
-        await received_so_far(first_viewer, world)
-        await until(lambda: not world.core.unanswered_count)
-        assert await sent_ids(world) == ids_before
+        await received_so_far(first_viewer, testbed)
+        await wait_until(lambda: not testbed.core.unanswered_count)
+        assert await sent_ids(testbed) == ids_before
         other_connection.close()
         if departure in ("half-close", "cancel", "cancel elsewhere"):
             viewer.close()
@@ -403,18 +407,18 @@
     test()
 
 
-@in_world(streamers=1)
-async def test_cancel_received_after_the_set_up_is_read_before_the_attempt_starts(world):
-    first_viewer = await world.viewer()
-    await world.plays(first_viewer)
+@in_testbed(streamers=1)
+async def test_cancel_received_after_the_set_up_is_read_before_the_attempt_starts(testbed):
+    first_viewer = await testbed.viewer()
+    await testbed.set_up_playback(first_viewer)
     ids_before, viewer, id, front = (
-        await sent_ids(world),
-        blocking_socket(world),
-        world.id(),
-        world.service.front,
+        await sent_ids(testbed),
+        blocking_socket(testbed),
+        testbed.id(),
+        testbed.service.front,
     )
-    await until(lambda: len(front.connections) == 2)
-    real_want, core, cancelled = world.core.request_playback, world.core, []
+    await wait_until(lambda: len(front.connections) == 2)
+    real_want, core, cancelled = testbed.core.request_playback, testbed.core, []
 
     def want_while_cancelled(*args):
         viewer.sendall(encode_release(id, 16))  # while the loop handles the set-up
@@ -423,27 +427,27 @@
 
     core.request_playback = want_while_cancelled
     viewer.sendall(set_up_message(id))
-    await until(lambda: cancelled)
-    await until(lambda: not core.unanswered_count)
-    await received_so_far(first_viewer, world)
-    assert await sent_ids(world) == ids_before
+    await wait_until(lambda: cancelled)
+    await wait_until(lambda: not core.unanswered_count)
+    await received_so_far(first_viewer, testbed)
+    assert await sent_ids(testbed) == ids_before
     viewer.close()
 
 
 @pytest.mark.parametrize("on_another_connection", [False, True])
 def test_cancel_between_placement_and_attempt_start_is_read_first(on_another_connection):
-    @in_world(streamers=1)
-    async def test(world):
-        first_viewer = await world.viewer()
-        await world.plays(first_viewer)
+    @in_testbed(streamers=1)
+    async def test(testbed):
+        first_viewer = await testbed.viewer()
+        await testbed.set_up_playback(first_viewer)
         ids_before, viewer, other_connection, id = (
-            await sent_ids(world),
-            blocking_socket(world),
-            blocking_socket(world),
-            world.id(),
+            await sent_ids(testbed),
+            blocking_socket(testbed),
+            blocking_socket(testbed),
+            testbed.id(),
         )
-        await until(lambda: len(world.service.front.connections) == 3)
-        real_want, loop, cancelled = world.core.request_playback, asyncio.get_running_loop(), []
+        await wait_until(lambda: len(testbed.service.front.connections) == 3)
+        real_want, loop, cancelled = testbed.core.request_playback, asyncio.get_running_loop(), []
 
         def cancel():
             (other_connection if on_another_connection else viewer).sendall(encode_release(id, 16))
@@ -453,58 +457,58 @@
             loop.call_soon(cancel)  # runs just before the attempt would start, in the same iteration
             return real_want(*args)
 
-        world.core.request_playback = want_then_cancel
+        testbed.core.request_playback = want_then_cancel
         # a negative limit makes the transport treat the iteration as a long one
         with patched(
             carrier_module,
             MAX_START_DELAY_NS=-1 if on_another_connection else carrier_module.MAX_START_DELAY_NS,
         ):
             viewer.sendall(set_up_message(id))
-            await until(lambda: cancelled)
-            await until(lambda: not world.core.unanswered_count)
-        await received_so_far(first_viewer, world)
-        assert await sent_ids(world) == ids_before
+            await wait_until(lambda: cancelled)
+            await wait_until(lambda: not testbed.core.unanswered_count)
+        await received_so_far(first_viewer, testbed)
+        assert await sent_ids(testbed) == ids_before
         viewer.close()
         other_connection.close()
 
     test()
 
 
-@in_world(how="silent")
-async def test_cancel_on_another_connection_ends_the_sent_attempt(world):
-    viewer, other_viewer = await world.viewer(), await world.viewer()
-    id = viewer.ask()
-    await until(lambda: received_ids(world) == [id])
+@in_testbed(behaviour="silent")
+async def test_cancel_on_another_connection_ends_the_sent_attempt(testbed):
+    viewer, other_viewer = await testbed.viewer(), await testbed.viewer()
+    id = viewer.send_set_up()
+    await wait_until(lambda: received_ids(testbed) == [id])
     other_viewer.send(encode_release(id, 16))
-    await until(lambda: received_ids(world, m.RELEASE) == [id])
-    assert not world.service.front.sessions and not await received_so_far(viewer, world)
+    await wait_until(lambda: received_ids(testbed, m.RELEASE) == [id])
+    assert not testbed.service.front.sessions and not await received_so_far(viewer, testbed)
 
 
-@in_world(streamers=2)
-async def test_simultaneous_refusal_and_viewer_close_start_no_further_attempt(world):
-    for streamer in world.streamers:
-        streamer.how = "silent"
-    viewer, id = blocking_socket(world), world.id()
+@in_testbed(streamers=2)
+async def test_simultaneous_refusal_and_viewer_close_start_no_further_attempt(testbed):
+    for streamer in testbed.streamers:
+        streamer.behaviour = "silent"
+    viewer, id = blocking_socket(testbed), testbed.id()
     viewer.sendall(set_up_message(id))
-    await until(lambda: received_ids(world) == [id])
-    streamer = next(s for s in world.streamers if s.heard)
-    streamer.say(encode_release(id, 34))
+    await wait_until(lambda: received_ids(testbed) == [id])
+    streamer = next(s for s in testbed.streamers if s.received)
+    streamer.send(encode_release(id, 34))
     viewer.close()
-    await until(lambda: not world.core.playbacks)
-    await received_so_far(await world.viewer(), world)
-    assert await sent_ids(world) == [id]
+    await wait_until(lambda: not testbed.core.playbacks)
+    await received_so_far(await testbed.viewer(), testbed)
+    assert await sent_ids(testbed) == [id]
 
 
-@in_world
-async def test_simultaneous_releases_by_viewer_and_streamer_end_the_playback_once(world):
-    viewer = await world.viewer()
-    id, streamer = await world.plays(viewer)
-    streamer.say(encode_release(id, 16))
+@in_testbed
+async def test_simultaneous_releases_by_viewer_and_streamer_end_the_playback_once(testbed):
+    viewer = await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
+    streamer.send(encode_release(id, 16))
     viewer.send(encode_release(id, 16))
-    await until(lambda: not world.core.playbacks)
-    received = await received_so_far(viewer, world)
+    await wait_until(lambda: not testbed.core.playbacks)
+    received = await received_so_far(viewer, testbed)
     assert sorted(message.type for message in received) in ([m.RELEASE, m.RELEASE_HEARD], [m.RELEASE_HEARD])
-    assert not world.service.front.sessions and not any(world.service.front.playback_counts.values())
+    assert not testbed.service.front.sessions and not any(testbed.service.front.playback_counts.values())
 
 
 # Connections established late.
@@ -512,205 +516,209 @@
 
 @pytest.mark.parametrize("departure", ["cancel", "close"])
 def test_connection_established_as_its_attempt_is_cancelled_carries_no_set_up(departure):
-    @in_world(streamers=1)
-    async def test(world):
+    @in_testbed(streamers=1)
+    async def test(testbed):
         connects = DelayedConnects()
         with patched(carrier_module, connect=connects):
-            viewer, id, real_call_off = await world.viewer(), world.id(), world.transport.cancel_attempt
+            viewer, id, real_call_off = await testbed.viewer(), testbed.id(), testbed.transport.cancel_attempt
 
             def allow_connect_then_call_off(playback):
                 connects.allow()
                 real_call_off(playback)
 
-            world.transport.cancel_attempt = allow_connect_then_call_off
+            testbed.transport.cancel_attempt = allow_connect_then_call_off
             viewer.send(set_up_message(id))
-            await until(lambda: connects.started)
+            await wait_until(lambda: connects.started)
             if departure == "cancel":
                 viewer.send(encode_release(id, 16))
             else:
                 viewer.writer.close()
-            await until(lambda: not world.core.playbacks)
-            await until(lambda: not any(p.pending_connects for p in world.transport.peers.values()))
-            await received_so_far(await world.viewer(), world)
-        assert not await sent_ids(world) and not world.transport.attempts
-        peer = next(iter(world.transport.peers.values()))
+            await wait_until(lambda: not testbed.core.playbacks)
+            await wait_until(lambda: not any(p.pending_connects for p in testbed.transport.peers.values()))
+            await received_so_far(await testbed.viewer(), testbed)
+        assert not await sent_ids(testbed) and not testbed.transport.attempts
+        peer = next(iter(testbed.transport.peers.values()))
         assert all(connection.is_open() and not attempts for connection, attempts in peer.connections.items())
 
     test()
 
 
-@in_world(streamers=2, how="silent")
-async def test_connection_established_as_the_next_attempt_starts_carries_no_set_up(world):
+@in_testbed(streamers=2, behaviour="silent")
+async def test_connection_established_as_the_next_attempt_starts_carries_no_set_up(testbed):
     """Otherwise two attempts for one playback would run at once."""
-    connects, real_call_off = DelayedConnects(delayed=1), world.transport.cancel_attempt
+    connects, real_call_off = DelayedConnects(delayed=1), testbed.transport.cancel_attempt
 
     def allow_connect_then_call_off(playback):
         connects.allow()
         real_call_off(playback)
 
-    world.transport.cancel_attempt = allow_connect_then_call_off
+    testbed.transport.cancel_attempt = allow_connect_then_call_off
     with patched(carrier_module, connect=connects):
-        viewer = await world.viewer()
-        id = viewer.ask()
-        await until(lambda: received_ids(world))
-        await until(lambda: not any(peer.pending_connects for peer in world.transport.peers.values()))
-        await received_so_far(viewer, world)
-        assert await sent_ids(world) == [id] and len(world.transport.attempts) == 1
-    assert len(world.transport.all_connections()) == 2, "the first connection is established"
+        viewer = await testbed.viewer()
+        id = viewer.send_set_up()
+        await wait_until(lambda: received_ids(testbed))
+        await wait_until(lambda: not any(peer.pending_connects for peer in testbed.transport.peers.values()))
+        await received_so_far(viewer, testbed)
+        assert await sent_ids(testbed) == [id] and len(testbed.transport.attempts) == 1
+    assert len(testbed.transport.all_connections()) == 2, "the first connection is established"
 
 
-@in_world(streamers=1)
-async def test_connection_established_after_the_attempt_timeout_carries_no_set_up(world):
+@in_testbed(streamers=1)
+async def test_connection_established_after_the_attempt_timeout_carries_no_set_up(testbed):
     connects = DelayedConnects()
     with patched(carrier_module, connect=connects):
-        viewer = await world.viewer()
-        viewer.ask(wait="300")
-        await until(lambda: connects.started)
-        assert (await viewer.hear()).type == m.RELEASE
+        viewer = await testbed.viewer()
+        viewer.send_set_up(wait="300")
+        await wait_until(lambda: connects.started)
+        assert (await viewer.receive()).type == m.RELEASE
         connects.allow()
-        await until(lambda: not any(peer.pending_connects for peer in world.transport.peers.values()))
-        await received_so_far(viewer, world)
-    assert not await sent_ids(world) and not world.transport.attempts
+        await wait_until(lambda: not any(peer.pending_connects for peer in testbed.transport.peers.values()))
+        await received_so_far(viewer, testbed)
+    assert not await sent_ids(testbed) and not testbed.transport.attempts
 
 
-@in_world(streamers=2)
-async def test_connection_to_an_address_reassigned_to_another_streamer_is_not_used(world):
+@in_testbed(streamers=2)
+async def test_connection_to_an_address_reassigned_to_another_streamer_is_not_used(testbed):
     """The list gives a streamer a new address while a connection to its old one is being made."""
-    moved_streamer, successor = world.streamers
+    moved_streamer, successor = testbed.streamers
     connects = DelayedConnects()
     with patched(carrier_module, connect=connects):
-        viewer = await world.viewer()
-        viewer.ask(figures=f"home:{moved_streamer.cell};copies:1;top:2")
-        await until(lambda: connects.started)
-        world.feed.tell({**moved_streamer.row(), "dial": f"127.0.0.1:{successor.port}"})
-        await until(lambda: world.service.feed.held == 2)
+        viewer = await testbed.viewer()
+        viewer.send_set_up(figures=f"home:{moved_streamer.cell};copies:1;top:2")
+        await wait_until(lambda: connects.started)
+        testbed.feed.publish({**moved_streamer.list_row(), "dial": f"127.0.0.1:{successor.port}"})
+        await wait_until(lambda: testbed.service.feed.held == 2)
         connects.allow()
-        answer = await viewer.hear()
+        answer = await viewer.receive()
         assert (answer.type, answer.cause) == (m.RELEASE, m.REJECTED), (
             "the set-up was never sent, and this was the only holder"
         )
-        await until(lambda: connects.streams[0].closed())
-        assert not await sent_ids(world)
-        id = viewer.ask(figures=f"home:{moved_streamer.cell};copies:1;top:2")
-        answer = await viewer.hear()
-    assert (answer.type, successor.ids(m.SET_UP), moved_streamer.ids(m.SET_UP)) == (m.ANSWER, [id], [])
+        await wait_until(lambda: connects.streams[0].closed())
+        assert not await sent_ids(testbed)
+        id = viewer.send_set_up(figures=f"home:{moved_streamer.cell};copies:1;top:2")
+        answer = await viewer.receive()
+    assert (answer.type, successor.received_ids(m.SET_UP), moved_streamer.received_ids(m.SET_UP)) == (
+        m.ANSWER,
+        [id],
+        [],
+    )
 
 
 @pytest.mark.parametrize("health", ["removed", "draining"])
 def test_streamer_removed_or_draining_during_connect_gets_no_set_up(health):
-    @in_world(streamers=1)
-    async def test(world):
+    @in_testbed(streamers=1)
+    async def test(testbed):
         connects = DelayedConnects()
-        world.core.drain_grace = -1  # the grace period is over at once
+        testbed.core.drain_grace = -1  # the grace period is over at once
         with patched(carrier_module, connect=connects):
-            viewer = await world.viewer()
-            viewer.ask(plan="paid")
-            await until(lambda: connects.started)
-            world.feed.tell(world.streamers[0].row(health))
-            await until(lambda: world.service.feed.held == 2)
+            viewer = await testbed.viewer()
+            viewer.send_set_up(plan="paid")
+            await wait_until(lambda: connects.started)
+            testbed.feed.publish(testbed.streamers[0].list_row(health))
+            await wait_until(lambda: testbed.service.feed.held == 2)
             connects.allow()
-            answer = await viewer.hear()
+            answer = await viewer.receive()
         assert (answer.type, answer.cause) == (m.RELEASE, m.REJECTED), "the set-up was never sent"
-        assert not await sent_ids(world)
+        assert not await sent_ids(testbed)
 
     test()
 
 
-@in_world(streamers=1)
-async def test_shutdown_completes_with_a_connect_in_progress(world):
+@in_testbed(streamers=1)
+async def test_shutdown_completes_with_a_connect_in_progress(testbed):
     connects = DelayedConnects()
     with (
         patched(carrier_module, connect=connects),
         patched(service_module, MAX_DEADLINE_S=0, KILL_DELAY_S=0.2),
     ):
-        viewer = await world.viewer()
-        id = viewer.ask()
-        await until(lambda: connects.started)
-        await world.service.drain()
+        viewer = await testbed.viewer()
+        id = viewer.send_set_up()
+        await wait_until(lambda: connects.started)
+        await testbed.service.drain()
         connects.allow()
-        assert (await viewer.hear()).id == id and await viewer.hear() is None
-        await until(lambda: all(stream.closed() for stream in connects.streams))
-    assert not await sent_ids(world)
+        assert (await viewer.receive()).id == id and await viewer.receive() is None
+        await wait_until(lambda: all(stream.closed() for stream in connects.streams))
+    assert not await sent_ids(testbed)
 
 
 # Retries.
 
 
-@in_world(how="silent", streamers=1)
-async def test_reused_id_is_refused_until_the_streamer_confirms_the_cancel(world):
+@in_testbed(behaviour="silent", streamers=1)
+async def test_reused_id_is_refused_until_the_streamer_confirms_the_cancel(testbed):
     """Otherwise the streamer's messages about the two set-ups could not be told apart."""
-    viewer, streamer = await world.viewer(), world.streamers[0]
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
     with patched(carrier_module, CANCEL_CONFIRMATION_TIMEOUT_S=3600):
-        id = viewer.ask()
-        await until(lambda: streamer.ids(m.SET_UP) == [id])
+        id = viewer.send_set_up()
+        await wait_until(lambda: streamer.received_ids(m.SET_UP) == [id])
         viewer.send(encode_release(id, 16))
-        assert (await viewer.hear()).type == m.RELEASE_HEARD
-        viewer.ask(id=id)
-        assert (await viewer.hear()).cause == m.UNUSABLE
-        streamer.say(encode_message(m.RELEASE_HEARD, id))
-        await until(lambda: not world.transport.has_cancelled_attempt(id))
-        viewer.ask(id=id)
-        await until(lambda: streamer.ids(m.SET_UP) == [id, id])
-
-
-@in_world(how="silent", streamers=1)
-async def test_answer_after_the_attempt_was_cancelled_is_released_and_ignored(world):
-    viewer, streamer = await world.viewer(), world.streamers[0]
-    id = viewer.ask()
-    await until(lambda: streamer.ids(m.SET_UP) == [id])
+        assert (await viewer.receive()).type == m.RELEASE_HEARD
+        viewer.send_set_up(id=id)
+        assert (await viewer.receive()).cause == m.UNUSABLE
+        streamer.send(encode_message(m.RELEASE_HEARD, id))
+        await wait_until(lambda: not testbed.transport.has_cancelled_attempt(id))
+        viewer.send_set_up(id=id)
+        await wait_until(lambda: streamer.received_ids(m.SET_UP) == [id, id])
+
+
+@in_testbed(behaviour="silent", streamers=1)
+async def test_answer_after_the_attempt_was_cancelled_is_released_and_ignored(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
+    id = viewer.send_set_up()
+    await wait_until(lambda: streamer.received_ids(m.SET_UP) == [id])
     viewer.send(encode_release(id, 16))
-    await until(lambda: not world.service.front.sessions)
-    streamer.say(
+    await wait_until(lambda: not testbed.service.front.sessions)
+    streamer.send(
         encode_message(m.ANSWER, id, (m.DESCRIPTION, b"late")) * 2
         + encode_release(id, 16)
         + encode_release(id, 16)
     )
-    await until(lambda: streamer.ids(m.RELEASE) == [id])
-    await until(lambda: not world.core.playbacks)
-    assert [message.type for message in await received_so_far(viewer, world)] == [m.RELEASE_HEARD]
+    await wait_until(lambda: streamer.received_ids(m.RELEASE) == [id])
+    await wait_until(lambda: not testbed.core.playbacks)
+    assert [message.type for message in await received_so_far(viewer, testbed)] == [m.RELEASE_HEARD]
 
 
-@in_world(how="silent", streamers=2)
-async def test_locally_closed_connection_ends_its_attempt_once(world):
-    viewer = await world.viewer()
-    id = viewer.ask(plan="paid")
-    await until(lambda: received_ids(world) == [id])
-    connection = next(c for c in world.transport.all_connections())
+@in_testbed(behaviour="silent", streamers=2)
+async def test_locally_closed_connection_ends_its_attempt_once(testbed):
+    viewer = await testbed.viewer()
+    id = viewer.send_set_up(plan="paid")
+    await wait_until(lambda: received_ids(testbed) == [id])
+    connection = next(c for c in testbed.transport.all_connections())
     connection.close("unreadable: closed by the test")
-    next(iter(world.streamers)).how = "plays"
-    answer = await viewer.hear()
+    next(iter(testbed.streamers)).behaviour = "plays"
+    answer = await viewer.receive()
     assert (answer.id, answer.cause) == (id, m.FAILED)
-    assert await sent_ids(world) == [id] and not await received_so_far(viewer, world)
+    assert await sent_ids(testbed) == [id] and not await received_so_far(viewer, testbed)
 
 
 # Idle connections.
 
 
-@in_world(streamers=1)
-async def test_connection_near_the_streamers_idle_timeout_carries_no_set_up(world):
-    viewer, streamer = await world.viewer(), world.streamers[0]
-    id, _ = await world.plays(viewer)
+@in_testbed(streamers=1)
+async def test_connection_near_the_streamers_idle_timeout_carries_no_set_up(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
+    id, _ = await testbed.set_up_playback(viewer)
     viewer.send(encode_release(id, 16))
-    await until(lambda: streamer.ids(m.RELEASE) == [id])
-    assert len(streamer.writers) == 1
-    world.transport.max_idle_ns = 0
-    paid_id = viewer.ask(plan="paid")
-    await until(lambda: streamer.ids(m.SET_UP) == [id, paid_id])
-    assert len(streamer.writers) == 2, "the set-up must use a new connection"
-
-
-@in_world(streamers=1)
-async def test_idle_connection_is_closed_before_the_streamer_closes_it(world):
-    viewer, streamer = await world.viewer(), world.streamers[0]
-    id, _ = await world.plays(viewer)
-    world.transport.max_idle_ns = 0
-    world.transport.enforce_timeouts()
-    assert world.transport.all_connections()[0].is_open(), (
+    await wait_until(lambda: streamer.received_ids(m.RELEASE) == [id])
+    assert len(streamer.connections) == 1
+    testbed.transport.max_idle_ns = 0
+    paid_id = viewer.send_set_up(plan="paid")
+    await wait_until(lambda: streamer.received_ids(m.SET_UP) == [id, paid_id])
+    assert len(streamer.connections) == 2, "the set-up must use a new connection"
+
+
+@in_testbed(streamers=1)
+async def test_idle_connection_is_closed_before_the_streamer_closes_it(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
+    id, _ = await testbed.set_up_playback(viewer)
+    testbed.transport.max_idle_ns = 0
+    testbed.transport.enforce_timeouts()
+    assert testbed.transport.all_connections()[0].is_open(), (
         "a connection to a streamer with a playback stays open"
     )
     viewer.send(encode_release(id, 16))
-    await until(lambda: streamer.ids(m.RELEASE) == [id])
-    await until(lambda: not world.transport.all_connections())
+    await wait_until(lambda: streamer.received_ids(m.RELEASE) == [id])
+    await wait_until(lambda: not testbed.transport.all_connections())
 
 
 @pytest.mark.parametrize(
@@ -734,20 +742,20 @@
             },
         },
     }
-    transport = carrier_module.StreamerTransport(None, settings.configuration(value), Log([]))
+    transport = carrier_module.StreamerTransport(None, settings.configuration(value), RecordingLog([]))
     assert transport.max_idle_ns // 10**6 == stale_after_ms
 
 
-@in_world
-async def test_viewer_connection_with_an_unread_set_up_is_not_closed_as_idle_or_to_free_a_descriptor(world):
-    front = world.service.front
-    viewer, id = blocking_socket(world), world.id()
-    await until(lambda: len(front.connections) == 1)
+@in_testbed
+async def test_viewer_connection_with_an_unread_set_up_is_not_closed_as_idle_or_to_free_a_descriptor(testbed):
+    front = testbed.service.front
+    viewer, id = blocking_socket(testbed), testbed.id()
+    await wait_until(lambda: len(front.connections) == 1)
     next(iter(front.connections)).reader.last_received_at = 0  # idle for long
     viewer.sendall(set_up_message(id))
     front.enforce_timeouts()
     assert not front._close_unused()
-    await until(lambda: received_ids(world) == [id])
+    await wait_until(lambda: received_ids(testbed) == [id])
     viewer.close()
 
 
@@ -782,14 +790,14 @@
 def test_listener_without_descriptors_pauses_between_accepts_and_recovers():
     async def scenario():
         accepted, log_entries = [], []
-        listener = Listener(accepted.append, lambda: False, Log(log_entries))
+        listener = Listener(accepted.append, lambda: False, RecordingLog(log_entries))
         address = listener.listen_on(("127.0.0.1", 0))
         listening_socket = listener.sockets[0]
         failing_socket = SocketWithoutDescriptors(listening_socket, 3)
         real_accept = listener._accept
         listener._accept = lambda _: real_accept(failing_socket)
         with socket.create_connection(address):
-            await until(lambda: accepted)
+            await wait_until(lambda: accepted)
             assert failing_socket.accept_calls <= 6, "one accept call per pause"
             assert [event for _, event, _ in log_entries] == ["nothing is accepted for a while"] * 3
             accepted[0].close()
@@ -801,12 +809,12 @@
 def test_listener_without_descriptors_frees_one_and_accepts():
     async def scenario():
         accepted, freed = [], []
-        listener = Listener(accepted.append, lambda: freed.append(1) or True, Log([]))
+        listener = Listener(accepted.append, lambda: freed.append(1) or True, RecordingLog([]))
         address = listener.listen_on(("127.0.0.1", 0))
         failing_socket, real_accept = SocketWithoutDescriptors(listener.sockets[0], 2), listener._accept
         listener._accept = lambda _: real_accept(failing_socket)
         with socket.create_connection(address):
-            await until(lambda: accepted)
+            await wait_until(lambda: accepted)
             assert freed == [1, 1]
             accepted[0].close()
         listener.close()
@@ -814,46 +822,48 @@
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-@in_world(streamers=4)
-async def test_streamer_connections_stay_within_their_descriptor_budget(world):
-    budgets = world.service.configuration.descriptors
+@in_testbed(streamers=4)
+async def test_streamer_connections_stay_within_their_descriptor_budget(testbed):
+    budgets = testbed.service.configuration.descriptors
     object.__setattr__(budgets, "streamers", 2)
-    viewer = await world.viewer()
+    viewer = await testbed.viewer()
     for n in range(8):
-        id, streamer = await world.plays(viewer, figures=f"home:{n % 4};copies:1;top:2")
-        assert len(world.transport.all_connections()) <= 2
+        id, streamer = await testbed.set_up_playback(viewer, figures=f"home:{n % 4};copies:1;top:2")
+        assert len(testbed.transport.all_connections()) <= 2
         viewer.send(encode_release(id, 16))
-        await until(lambda ended_id=id, at_streamer=streamer: ended_id in at_streamer.ids(m.RELEASE))
-        assert (await viewer.hear()).type == m.RELEASE_HEARD
+        await wait_until(
+            lambda ended_id=id, at_streamer=streamer: ended_id in at_streamer.received_ids(m.RELEASE)
+        )
+        assert (await viewer.receive()).type == m.RELEASE_HEARD
 
 
-@in_world(streamers=2)
-async def test_streamer_is_not_marked_unhealthy_for_lack_of_a_descriptor(world):
-    budgets = world.service.configuration.descriptors
-    viewer = await world.viewer()
-    id, first_streamer = await world.plays(viewer, figures="home:0;copies:1;top:2")
+@in_testbed(streamers=2)
+async def test_streamer_is_not_marked_unhealthy_for_lack_of_a_descriptor(testbed):
+    budgets = testbed.service.configuration.descriptors
+    viewer = await testbed.viewer()
+    id, first_streamer = await testbed.set_up_playback(viewer, figures="home:0;copies:1;top:2")
     object.__setattr__(budgets, "streamers", 1)
-    other_id = viewer.ask(figures="home:1;copies:1;top:2", plan="paid")
-    answer = await viewer.hear()
+    other_id = viewer.send_set_up(figures="home:1;copies:1;top:2", plan="paid")
+    answer = await viewer.receive()
     assert (answer.id, answer.cause) == (other_id, m.REJECTED), "the set-up was never sent"
-    streamer_state = world.by_name("s-00000001")
-    assert streamer_state.down is None and not streamer_state.gap and id in world.service.front.sessions
+    streamer_state = testbed.streamer_state("s-00000001")
+    assert streamer_state.down is None and not streamer_state.gap and id in testbed.service.front.sessions
 
 
-@in_world(how="silent", streamers=2)
-async def test_unreadable_answer_fails_every_attempt_on_its_connection_once(world):
-    viewer = await world.viewer()
+@in_testbed(behaviour="silent", streamers=2)
+async def test_unreadable_answer_fails_every_attempt_on_its_connection_once(testbed):
+    viewer = await testbed.viewer()
     with patched(carrier_module, MAX_CONNECTIONS_PER_STREAMER=1):
-        ids = [viewer.ask(plan="paid", figures="home:0;copies:1;top:2") for _ in range(3)]
-        await until(lambda: sorted(received_ids(world)) == sorted(ids))
-    streamer = next(s for s in world.streamers if s.heard)
-    for writer in streamer.writers:
+        ids = [viewer.send_set_up(plan="paid", figures="home:0;copies:1;top:2") for _ in range(3)]
+        await wait_until(lambda: sorted(received_ids(testbed)) == sorted(ids))
+    streamer = next(s for s in testbed.streamers if s.received)
+    for writer in streamer.connections:
         writer.write(b"\xff" * 32)
-    received = [await viewer.hear() for _ in ids]
+    received = [await viewer.receive() for _ in ids]
     assert sorted(message.id for message in received) == sorted(ids) and {
         message.cause for message in received
     } == {m.FAILED}
-    assert not await received_so_far(viewer, world)
+    assert not await received_so_far(viewer, testbed)
 
 
 # Hand-overs of playbacks that run already.
@@ -861,35 +871,35 @@
 
 @pytest.mark.parametrize("interruption", ["gone", "restarted", "cut", "released", "over"])
 def test_pending_handover_ends_once_on_every_interruption(interruption):
-    @in_world
-    async def test(world):
-        viewer, streamer = await world.viewer(), world.streamers[1]
-        id = viewer.ask(figures=f"{ALL_HOLDERS};at:{streamer.name}")
-        await until(lambda: streamer.writers)
-        viewer.ask(id=id, figures=f"{ALL_HOLDERS};at:{streamer.name}")  # sent twice
+    @in_testbed
+    async def test(testbed):
+        viewer, streamer = await testbed.viewer(), testbed.streamers[1]
+        id = viewer.send_set_up(figures=f"{ALL_HOLDERS};at:{streamer.name}")
+        await wait_until(lambda: streamer.connections)
+        viewer.send_set_up(id=id, figures=f"{ALL_HOLDERS};at:{streamer.name}")  # sent twice
         if interruption == "gone":
-            await streamer.die()
+            await streamer.crash()
         elif interruption == "restarted":
-            world.feed.tell({**streamer.row(), "born_ms": 1_900_000_000_000})
+            testbed.feed.publish({**streamer.list_row(), "born_ms": 1_900_000_000_000})
         elif interruption == "cut":
-            streamer.say(encode_release(id, 41))
+            streamer.send(encode_release(id, 41))
         elif interruption == "over":
-            streamer.say(encode_release(id, 16))
+            streamer.send(encode_release(id, 16))
         else:
             viewer.send(encode_release(id, 16))
-        message = await viewer.hear()
+        message = await viewer.receive()
         assert (message.type, message.id) == (
             m.RELEASE_HEARD if interruption == "released" else m.RELEASE,
             id,
         )
         # a note after the end must have no effect
         if interruption not in ("gone", "restarted"):
-            streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "1")))
-        assert not await received_so_far(viewer, world)
-        assert not world.service.front.sessions and not world.service.front.pending_hand_overs
-        assert not any(world.service.front.playback_counts.values())
+            streamer.send(encode_message(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "1")))
+        assert not await received_so_far(viewer, testbed)
+        assert not testbed.service.front.sessions and not testbed.service.front.pending_hand_overs
+        assert not any(testbed.service.front.playback_counts.values())
         assert not any(
-            playback.stage is not PlaybackStage.ENDED for playback in world.core.playbacks.values()
+            playback.stage is not PlaybackStage.ENDED for playback in testbed.core.playbacks.values()
         )
 
     test()
@@ -898,21 +908,21 @@
 # Configuration reload.
 
 
-@in_world
-async def test_reload_logs_changed_settings_other_than_the_feed(world):
-    with open(world.path, encoding="utf-8") as file:
+@in_testbed
+async def test_reload_logs_changed_settings_other_than_the_feed(testbed):
+    with open(testbed.configuration_path, encoding="utf-8") as file:
         value = json.load(file)
     value["settings"]["rules"]["drain_grace_ns"] = 1
     value["limits"]["sockets"] = 99
     value["seed"], value["feed"] = "0", "127.0.0.1:1"
-    with open(world.path, "w", encoding="utf-8") as file:
+    with open(testbed.configuration_path, "w", encoding="utf-8") as file:
         json.dump(value, file)
-    world.service.reread()
-    assert [facts["names"] for level, _, facts in world.said if level == "warning"] == [
+    testbed.service.reread()
+    assert [facts["names"] for level, _, facts in testbed.log_lines if level == "warning"] == [
         ["limits.sockets", "settings.rules.drain_grace_ns"]
     ]
-    assert world.service.feed.address == "127.0.0.1:1"
-    assert world.core.drain_grace == world.service.configuration.drain_grace == 250_000_000
+    assert testbed.service.feed.address == "127.0.0.1:1"
+    assert testbed.core.drain_grace == testbed.service.configuration.drain_grace == 250_000_000
 
 
 def test_transitions_cover_every_state():
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -5,8 +5,8 @@
 import json
 
 import pytest
-from platform_world import in_world
-from world import Log, until
+from platform_testbed import in_testbed
+from testbed import RecordingLog, wait_until
 
 from terndrift.http.client import Broken
 from terndrift.interface import Standing
@@ -22,7 +22,7 @@
         applied.append((event["n"], final))
         return "a row of the list" if event["n"] in unreadable else None
 
-    return Feed("127.0.0.1:1", held, apply_event, Log([] if log_entries is None else log_entries))
+    return Feed("127.0.0.1:1", held, apply_event, RecordingLog([] if log_entries is None else log_entries))
 
 
 def reply(*numbers, last=None):
@@ -100,7 +100,7 @@
 
 
 def test_backoff_grows_with_failures_and_differs_between_controllers():
-    feeds, all_delays = [Feed("127.0.0.1:1", 0, None, Log([]), seed) for seed in range(50)], []
+    feeds, all_delays = [Feed("127.0.0.1:1", 0, None, RecordingLog([]), seed) for seed in range(50)], []
     for feed in feeds:
         delays = []
         for feed.failed_calls in range(1, 60):  # noqa: B020
@@ -206,7 +206,7 @@
             http_response(reply(1, 2)),
         ) as server:
             async with polling(recording_feed(applied, log_entries), server) as feed:
-                await until(lambda: feed.held == 2)
+                await wait_until(lambda: feed.held == 2)
             assert [n for n, _ in applied] == [1, 2]
             assert not [level for level, _, _ in log_entries if level == "error"]
 
@@ -220,10 +220,10 @@
             ScriptedServer(http_response(reply(1))) as new_server,
             polling(recording_feed([]), old_server) as feed,
         ):
-            await until(lambda: old_server.requested_paths)
+            await wait_until(lambda: old_server.requested_paths)
             feed.set_address(new_server.address)
-            await until(lambda: feed.held == 1)
-            await until(lambda: not old_server.open_connections)
+            await wait_until(lambda: feed.held == 1)
+            await wait_until(lambda: not old_server.open_connections)
 
     run(scenario())
 
@@ -234,9 +234,9 @@
             feed = recording_feed([])
             feed.retry_delay = lambda: 3600
             async with polling(feed):
-                await until(lambda: feed.failed_calls)
+                await wait_until(lambda: feed.failed_calls)
                 feed.set_address(new_server.address)
-                await until(lambda: feed.held == 1)
+                await wait_until(lambda: feed.held == 1)
 
     run(scenario())
 
@@ -254,13 +254,13 @@
 
             async def poll_and_change_address(*args):
                 task = asyncio.ensure_future(poll(*args))
-                await until(lambda: feed.call is not None and feed.call.done() or task.done())
+                await wait_until(lambda: feed.call is not None and feed.call.done() or task.done())
                 feed.set_address(new_server.address)
                 return await task
 
             feed._poll = poll_and_change_address
             async with polling(feed):
-                await until(lambda: feed.held == 3)
+                await wait_until(lambda: feed.held == 3)
             assert [n for n, _ in applied] == [1, 2, 3] and "SUB=2" in new_server.requested_paths[0]
 
     run(scenario())
@@ -273,11 +273,11 @@
             ScriptedServer(http_response(reply(1))) as new_server,
             polling(recording_feed([]), old_server) as feed,
         ):
-            await until(lambda: old_server.requested_paths)
+            await wait_until(lambda: old_server.requested_paths)
             feed.set_address("127.0.0.1:1")
-            await until(lambda: feed.failed_calls)
+            await wait_until(lambda: feed.failed_calls)
             feed.set_address(new_server.address)
-            await until(lambda: feed.held == 1)
+            await wait_until(lambda: feed.held == 1)
 
     run(scenario())
 
@@ -299,7 +299,7 @@
     async def scenario():
         monkeypatch.setattr(feed_module, "fetch", fail_when_first_cancelled)
         task = asyncio.ensure_future(recording_feed([]).follow())
-        await until(lambda: calls)
+        await wait_until(lambda: calls)
         task.cancel()
         ended, _ = await asyncio.wait([task], timeout=2)
         assert ended and len(calls) == 1
@@ -313,32 +313,34 @@
             feed = recording_feed([])
             feed.address = server.address
             await feed.fetch_initial()
-            await until(lambda: not server.open_connections)
+            await wait_until(lambda: not server.open_connections)
             assert feed.held == 0
 
     run(scenario())
 
 
-@in_world
-async def test_drain_in_a_row_damaged_once_is_applied(world):
+@in_testbed
+async def test_drain_in_a_row_damaged_once_is_applied(testbed):
     """A drain must not be lost when its row is unreadable on first receipt: it does not count as applied."""
-    world.feed.tell({**world.streamers[0].row("draining"), "block": "?"}, world.streamers[1].row())
-    await until(lambda: world.service.feed.retried_event == 2)
-    world.feed.events[-1]["members"]["hosts"][0] = world.streamers[0].row("draining")
-    streamer = world.by_name("s-00000000")
-    await until(lambda: streamer.entry.standing is Standing.DRAINING)
-    assert not [entry for entry in world.said if entry[0] == "warning"]
-
-
-@in_world(streamers=3)
-async def test_full_list_with_an_unreadable_row_removes_no_streamer_on_first_receipt(world):
-    rows = [s.row() for s in world.streamers[:2]]
-    world.feed.tell(rows[0], {**rows[1], "share": []}, whole=True)
-    await until(lambda: world.service.feed.retried_event == 2)
-    standings = {s.name: world.by_name(s.name).entry.standing for s in world.streamers}
+    testbed.feed.publish(
+        {**testbed.streamers[0].list_row("draining"), "block": "?"}, testbed.streamers[1].list_row()
+    )
+    await wait_until(lambda: testbed.service.feed.retried_event == 2)
+    testbed.feed.events[-1]["members"]["hosts"][0] = testbed.streamers[0].list_row("draining")
+    streamer = testbed.streamer_state("s-00000000")
+    await wait_until(lambda: streamer.entry.standing is Standing.DRAINING)
+    assert not [entry for entry in testbed.log_lines if entry[0] == "warning"]
+
+
+@in_testbed(streamers=3)
+async def test_full_list_with_an_unreadable_row_removes_no_streamer_on_first_receipt(testbed):
+    rows = [s.list_row() for s in testbed.streamers[:2]]
+    testbed.feed.publish(rows[0], {**rows[1], "share": []}, complete=True)
+    await wait_until(lambda: testbed.service.feed.retried_event == 2)
+    standings = {s.name: testbed.streamer_state(s.name).entry.standing for s in testbed.streamers}
     assert set(standings.values()) == {Standing.READY}
-    world.feed.events[-1]["members"]["hosts"][1] = rows[1]
-    await until(lambda: world.service.feed.held == 2)
-    assert world.by_name("s-00000002").entry.standing is Standing.GONE
-    assert world.by_name("s-00000001").entry.standing is Standing.READY
-    assert settings.streamer_id("s-00000001") in world.transport.peers
+    testbed.feed.events[-1]["members"]["hosts"][1] = rows[1]
+    await wait_until(lambda: testbed.service.feed.held == 2)
+    assert testbed.streamer_state("s-00000002").entry.standing is Standing.GONE
+    assert testbed.streamer_state("s-00000001").entry.standing is Standing.READY
+    assert settings.streamer_id("s-00000001") in testbed.transport.peers
--- a/tests/test_offer.py
+++ b/tests/test_offer.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_xds import run, wall
-from test_xds_client import FORMS, SECOND, Plain, Sourced, endpoints, plainly, sourced, until
-from world import DEPLOYMENT, Log, in_world
+from test_xds_client import FORMS, SECOND, Plain, Sourced, endpoints, plainly, sourced, wait_until
+from testbed import DEPLOYMENT_TEXT, RecordingLog, in_testbed
 
 from terndrift.cli.main import cli
 from terndrift.http.client import fetch
@@ -159,36 +159,38 @@
 
 @pytest.mark.parametrize("form", FORMS)
 def test_a_controller_serves_what_it_follows_and_another_follows_that(form):
-    async def test(world):
-        async with Plain(source=world.service.offer_address, form=form) as plain:
-            await until(lambda: len(plain.lines()) == 3)
-            world.tell(s1="draining", s0=None)
-            await until(
+    async def test(testbed):
+        async with Plain(source=testbed.service.offer_address, form=form) as plain:
+            await wait_until(lambda: len(plain.lines()) == 3)
+            testbed.tell(s1="draining", s0=None)
+            await wait_until(
                 lambda: (
                     {x.name: x.standing for x in plain.lines().values()} == {"s1": "draining", "s2": "ready"}
                 )
             )
-            mine = world.service.listing.merged.lines
+            mine = testbed.service.listing.merged.lines
             assert {a: (x.id, x.rack, x.zone, x.weight) for a, x in plain.lines().items()} == {
                 a: (x.id, x.rack, x.zone, x.weight) for a, x in mine.items()
             }
 
-    sourced(form, front='offer: listen: "127.0.0.1:0"')(test)()
+    sourced(form, extra_settings='offer: listen: "127.0.0.1:0"')(test)()
 
 
 def test_loads_are_reported_to_a_source_that_asks_and_are_what_was_relayed():
-    async def test(world):
-        player = world.player("clip", "v1", seconds=1.0)
+    async def test(testbed):
+        player = testbed.player("clip", "v1", seconds=1.0)
         await player.watch()
-        reports = world.source.reports
-        await until(lambda: sum(c["played"] for r in reports for c in r.values()) >= 1)
-        await until(lambda: sum(c["bytes_a_second"] * c["seconds"] for r in reports for c in r.values()) > 0)
-        await world.quiet()
+        reports = testbed.source.reports
+        await wait_until(lambda: sum(c["played"] for r in reports for c in r.values()) >= 1)
+        await wait_until(
+            lambda: sum(c["bytes_a_second"] * c["seconds"] for r in reports for c in r.values()) > 0
+        )
+        await testbed.wait_until_idle()
         sent = 200_000 * 0.2  # a segment of the highest rung, which the whole of a link has room for
         total = sum(c["bytes_a_second"] * c["seconds"] for r in reports for c in r.values())
         assert total > sent and all(name.startswith("rack-") for r in reports for name in r)
 
-    in_world(test, kind=Sourced, loads=True)()
+    in_testbed(test, testbed_class=Sourced, loads=True)()
 
 
 def test_a_server_refuses_what_it_does_not_serve_and_takes_load_reports():
@@ -196,7 +198,7 @@
         offer = Offer(float)
         offer.changed({"h:1": line(1)})
         told = []
-        serving = Serving(offer, Log(told), SECOND // 10)
+        serving = Serving(offer, RecordingLog(told), SECOND // 10)
         address = await serving.start("127.0.0.1:0")
         try:
             async with grpc.aio.insecure_channel(address) as channel:
@@ -212,7 +214,7 @@
                 used = {7: load.Used(4, 3, 1, 2, 3000)}
                 found = load.stats(used, SECOND, lambda a: ["rack-0"], lambda id: line(id), lambda id: 2)
                 await call.write(load.request(found))
-                await until(lambda: serving.reports.get("envoy-1"))
+                await wait_until(lambda: serving.reports.get("envoy-1"))
                 row = serving.reports["envoy-1"]["rack-0"]
                 assert (
                     row["tries"],
@@ -307,8 +309,8 @@
         f'streamers: s{n}: {{id: {n}, address: "h:{n + 1}", rack: 0, kind: "box"}}\n' for n in range(8)
     )
     (tmp_path / "list.rec").write_text(rows)
-    (tmp_path / "front.rec").write_text(DEPLOYMENT + 'controller: name: "c0"\nlist: "list.rec"\n')
-    (tmp_path / "none.rec").write_text(DEPLOYMENT + 'controller: name: "c0"\n')
+    (tmp_path / "front.rec").write_text(DEPLOYMENT_TEXT + 'controller: name: "c0"\nlist: "list.rec"\n')
+    (tmp_path / "none.rec").write_text(DEPLOYMENT_TEXT + 'controller: name: "c0"\n')
     assert "nothing amiss" in CliRunner().invoke(cli, ["check", str(tmp_path / "front.rec")]).stdout
     none = CliRunner().invoke(cli, ["check", str(tmp_path / "none.rec"), "--kind", "front"])
     assert none.exit_code == 2 and "neither names where" in none.stderr
@@ -326,17 +328,17 @@
         process.stdout.close()
 
 
-@in_world(front='catalogue: {admin: "127.0.0.1:0", store: "c0.store"}')
-async def test_admin_shows_the_list_in_force_and_takes_the_operators_word(world):
-    lines = world.fleet.lines() | {
+@in_testbed(extra_settings='catalogue: {admin: "127.0.0.1:0", store: "c0.store"}')
+async def test_admin_shows_the_list_in_force_and_takes_the_operators_word(testbed):
+    lines = testbed.fleet.lines() | {
         f"x{n}": {"id": 50 + n, "address": f"127.0.0.1:{n + 1}", "rack": 0, "kind": "box"} for n in range(9)
     }
-    write_list(world.path("list.rec"), lines)
-    listing, admin = world.service.listing, world.service.admin_address
-    await until(lambda: len(listing.merged.lines) == 12)
-    write_list(world.path("list.rec"), world.fleet.lines())
-    await until(lambda: len(listing.merged.sources["file"].doubted) == 9)
-    _, _, body = await fetch(world.pool, admin, "GET", "/listing")
+    write_list(testbed.path("list.rec"), lines)
+    listing, admin = testbed.service.listing, testbed.service.admin_address
+    await wait_until(lambda: len(listing.merged.lines) == 12)
+    write_list(testbed.path("list.rec"), testbed.fleet.lines())
+    await wait_until(lambda: len(listing.merged.sources["file"].doubted) == 9)
+    _, _, body = await fetch(testbed.pool, admin, "GET", "/listing")
     said = json.loads(body)
     assert len(said["streamers"]) == 12 and said["sources"]["file"]["doubted"] == 9 and said["alarms"]
     for value, code in (
@@ -347,6 +349,6 @@
     ):
         data = json.dumps(value).encode()
         headers = {"Content-Length": str(len(data))}
-        got, _, body = await fetch(world.pool, admin, "POST", "/listing/confirm", headers, body=data)
+        got, _, body = await fetch(testbed.pool, admin, "POST", "/listing/confirm", headers, body=data)
         assert got == code, body
     assert len(listing.merged.lines) == 3
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 
 import pytest
-from platform_world import SETTINGS
+from platform_testbed import SETTINGS
 
 from terndrift import operator_settings
 from terndrift.adapter import codec
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,8 +14,8 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from platform_world import SETTINGS, in_world
-from world import Log, until
+from platform_testbed import SETTINGS, in_testbed
+from testbed import RecordingLog, wait_until
 
 from terndrift import operator_settings
 from terndrift.core.active_playback import PlaybackStage
@@ -245,13 +245,13 @@
 # A controller with simulated streamers, feed and viewers.
 
 
-@in_world
-async def test_playback_is_set_up_at_a_streamer_and_released_when_it_ends(world):
-    viewer = await world.viewer()
+@in_testbed
+async def test_playback_is_set_up_at_a_streamer_and_released_when_it_ends(testbed):
+    viewer = await testbed.viewer()
     viewer.send(encode_message(m.TEST, ID, (m.CAUSE, b"\0")))
-    assert (await viewer.hear()).cause == 1
-    id, streamer = await world.plays(viewer, plan="paid")
-    sent = next(message for message in streamer.heard if message.type == m.SET_UP)
+    assert (await viewer.receive()).cause == 1
+    id, streamer = await testbed.set_up_playback(viewer, plan="paid")
+    sent = next(message for message in streamer.received if message.type == m.SET_UP)
     assert (
         sent.id == id
         and sent.parameters[m.DESCRIPTION] == b"what I can play"
@@ -259,106 +259,112 @@
     )
     assert sent.parameters[m.TITLE] == b"00112233aabbccdd" and int(sent.parameters[m.RUNG_NO]) >= 1
     assert 0 < int(sent.parameters[m.WAIT]) <= 3000 and m.HINT not in sent.parameters
-    streamer.say(encode_release(id, 16, (m.REPORT, "active:0;x0:0.0;x1:0.0")))
-    over = await viewer.hear()
+    streamer.send(encode_release(id, 16, (m.REPORT, "active:0;x0:0.0;x1:0.0")))
+    over = await viewer.receive()
     assert (over.type, over.id) == (m.RELEASE, id)
-    await until(lambda: not world.core.playbacks and not world.core.controller.playbacks)
-    assert not world.service.front.sessions and not streamer.ids(m.RELEASE), (
+    await wait_until(lambda: not testbed.core.playbacks and not testbed.core.controller.playbacks)
+    assert not testbed.service.front.sessions and not streamer.received_ids(m.RELEASE), (
         "the streamer reported the end itself"
     )
 
 
-@in_world
-async def test_viewer_can_release_a_playback_on_any_connection(world):
-    viewer, other = await world.viewer(), await world.viewer()
-    id, streamer = await world.plays(viewer)
+@in_testbed
+async def test_viewer_can_release_a_playback_on_any_connection(testbed):
+    viewer, other = await testbed.viewer(), await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
     other.send(encode_release(id, 16))
-    await until(lambda: id in streamer.ids(m.RELEASE))
-    assert (await other.hear()).type == m.RELEASE_HEARD
-    assert not world.core.playbacks
+    await wait_until(lambda: id in streamer.received_ids(m.RELEASE))
+    assert (await other.receive()).type == m.RELEASE_HEARD
+    assert not testbed.core.playbacks
 
 
-@in_world
-async def test_release_goes_to_another_connection_if_the_viewers_own_has_closed(world):
-    viewer, other = await world.viewer(), await world.viewer()
-    id, streamer = await world.plays(viewer)
-    await world.plays(other)
+@in_testbed
+async def test_release_goes_to_another_connection_if_the_viewers_own_has_closed(testbed):
+    viewer, other = await testbed.viewer(), await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
+    await testbed.set_up_playback(other)
     viewer.writer.close()
-    await until(lambda: len(world.service.front.connections) == 1)
-    streamer.say(encode_release(id, 16))
-    assert (await other.hear()).id == id
+    await wait_until(lambda: len(testbed.service.front.connections) == 1)
+    streamer.send(encode_release(id, 16))
+    assert (await other.receive()).id == id
 
 
-@in_world
-async def test_undelivered_release_goes_on_the_next_connection(world):
-    viewer = await world.viewer()
-    id, streamer = await world.plays(viewer)
+@in_testbed
+async def test_undelivered_release_goes_on_the_next_connection(testbed):
+    viewer = await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
     viewer.writer.close()
-    await until(lambda: not world.service.front.connections)
-    streamer.say(encode_release(id, 16))
-    await until(lambda: world.service.front.undelivered_releases)
-    other = await world.viewer()
-    await world.plays(other)
-    assert (await other.hear()).id == id
-
-
-@in_world(streamers=3)
-async def test_each_streamer_failure_leads_to_the_next_streamer_and_then_to_a_rejection(world):
-    world.streamers[0].how, world.streamers[1].how, world.streamers[2].how = "full", "fails", "resets"
-    viewer = await world.viewer()
-    id = viewer.ask()
-    answer = await viewer.hear()
+    await wait_until(lambda: not testbed.service.front.connections)
+    streamer.send(encode_release(id, 16))
+    await wait_until(lambda: testbed.service.front.undelivered_releases)
+    other = await testbed.viewer()
+    await testbed.set_up_playback(other)
+    assert (await other.receive()).id == id
+
+
+@in_testbed(streamers=3)
+async def test_each_streamer_failure_leads_to_the_next_streamer_and_then_to_a_rejection(testbed):
+    testbed.streamers[0].behaviour, testbed.streamers[1].behaviour, testbed.streamers[2].behaviour = (
+        "full",
+        "fails",
+        "resets",
+    )
+    viewer = await testbed.viewer()
+    id = viewer.send_set_up()
+    answer = await viewer.receive()
     assert (answer.type, answer.id, answer.cause) == (m.RELEASE, id, m.REJECTED)
     assert 0 < int(answer.parameters[m.ADVICE]) <= 500
-    assert all(s.ids(m.SET_UP) == [id] for s in world.streamers)
-    assert world.by_name("s-00000000").load_reports, "the refusal carried a load report"
+    assert all(s.received_ids(m.SET_UP) == [id] for s in testbed.streamers)
+    assert testbed.streamer_state("s-00000000").load_reports, "the refusal carried a load report"
 
 
-@in_world(how="silent")
-async def test_last_answers_reject_only_what_is_safe_to_retry_and_advise_a_delay(world):
-    viewer = await world.viewer()
-    paid, free = viewer.ask(plan="paid"), viewer.ask()
-    await until(lambda: {paid, free} <= {id for s in world.streamers for id in s.ids(m.SET_UP)})
-    world.service.front.send_final_answers()
-    answers = {answer.id: answer for answer in (await viewer.hear(), await viewer.hear())}
+@in_testbed(behaviour="silent")
+async def test_last_answers_reject_only_what_is_safe_to_retry_and_advise_a_delay(testbed):
+    viewer = await testbed.viewer()
+    paid, free = viewer.send_set_up(plan="paid"), viewer.send_set_up()
+    await wait_until(
+        lambda: {paid, free} <= {id for s in testbed.streamers for id in s.received_ids(m.SET_UP)}
+    )
+    testbed.service.front.send_final_answers()
+    answers = {answer.id: answer for answer in (await viewer.receive(), await viewer.receive())}
     assert answers[paid].cause == m.FAILED, "the attempt is outstanding and may have run"
     assert answers[free].cause == m.REJECTED and int(answers[free].parameters[m.ADVICE]) == 500
-    viewer.ask(plan="paid")
-    late = await viewer.hear()
+    viewer.send_set_up(plan="paid")
+    late = await viewer.receive()
     assert (late.cause, late.parameters[m.ADVICE]) == (m.REJECTED, b"500"), "it was never sent to a streamer"
 
 
-@in_world(streamers=1, how="silent")
-async def test_streamer_that_refuses_connections_stays_healthy_and_its_open_ones_are_shared(world):
-    viewer, streamer = await world.viewer(), world.streamers[0]
-    first = viewer.ask(plan="paid")
-    await until(lambda: streamer.ids(m.SET_UP) == [first])
+@in_testbed(streamers=1, behaviour="silent")
+async def test_streamer_that_refuses_connections_stays_healthy_and_its_open_ones_are_shared(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[0]
+    first = viewer.send_set_up(plan="paid")
+    await wait_until(lambda: streamer.received_ids(m.SET_UP) == [first])
     streamer.server.close()  # open connections stay open, new ones are refused
-    second = viewer.ask(plan="paid", title="ffffffffffffffff")
-    await until(lambda: streamer.ids(m.SET_UP) == [first, second])
-    assert len(streamer.writers) == 1 and world.by_name("s-00000000").failed_at is None
+    second = viewer.send_set_up(plan="paid", title="ffffffffffffffff")
+    await wait_until(lambda: streamer.received_ids(m.SET_UP) == [first, second])
+    assert len(streamer.connections) == 1 and testbed.streamer_state("s-00000000").failed_at is None
 
 
-@in_world(streamers=2)
-async def test_no_state_is_left_of_ended_playbacks_and_closed_connections(world):
+@in_testbed(streamers=2)
+async def test_no_state_is_left_of_ended_playbacks_and_closed_connections(testbed):
     core, controller, transport, front = (
-        world.core,
-        world.core.controller,
-        world.transport,
-        world.service.front,
+        testbed.core,
+        testbed.core.controller,
+        testbed.transport,
+        testbed.service.front,
     )
-    remaining = await world.viewer()
-    await world.plays(remaining)
+    remaining = await testbed.viewer()
+    await testbed.set_up_playback(remaining)
     for n in range(40):
-        viewer = await world.viewer()
-        ids = [(await world.plays(viewer, title=f"{n:016x}"))[0] for _ in range(2)]
+        viewer = await testbed.viewer()
+        ids = [(await testbed.set_up_playback(viewer, title=f"{n:016x}"))[0] for _ in range(2)]
         viewer.send(encode_release(ids[0], 16))
-        await until(lambda lost=ids[0]: lost not in front.sessions)
+        await wait_until(lambda lost=ids[0]: lost not in front.sessions)
         viewer.writer.close()  # the other playback goes on; its end is told on another connection
-        await until(lambda: len(front.connections) == 1)
-        streamer = next(s for s in world.streamers if ids[1] in s.ids(m.SET_UP))
-        streamer.say(encode_release(ids[1], 16))
-        await until(lambda: len(core.playbacks) == 1)
+        await wait_until(lambda: len(front.connections) == 1)
+        streamer = next(s for s in testbed.streamers if ids[1] in s.received_ids(m.SET_UP))
+        streamer.send(encode_release(ids[1], 16))
+        await wait_until(lambda: len(core.playbacks) == 1)
     counts = {
         "core": len(core.playbacks),
         "attempts": len(transport.attempts),
@@ -383,115 +389,115 @@
     }
     assert sum(len(p.connections) for p in transport.peers.values()) <= 4
     # timers of ended playbacks stay until they expire
-    latest_expiry = world.service.clock.now() + 3 * SECOND
+    latest_expiry = testbed.service.clock.now() + 3 * SECOND
     assert all(at <= latest_expiry for at, _, _ in core.alarms)
 
 
-@in_world(streamers=4)
-async def test_paid_attempt_that_may_have_run_is_aborted_and_never_rejected(world):
+@in_testbed(streamers=4)
+async def test_paid_attempt_that_may_have_run_is_aborted_and_never_rejected(testbed):
     for n, how in enumerate(("fails", "resets", "sends garbage", "truncates answer")):
-        world.streamers[n].how = how
-        viewer = await world.viewer()
-        id = viewer.ask(plan="paid", figures=f"home:{n};copies:1;top:2")
-        answer = await viewer.hear()
+        testbed.streamers[n].behaviour = how
+        viewer = await testbed.viewer()
+        id = viewer.send_set_up(plan="paid", figures=f"home:{n};copies:1;top:2")
+        answer = await viewer.receive()
         assert answer.id == id and answer.cause == m.FAILED, how
-        assert world.streamers[n].ids(m.SET_UP) == [id]
+        assert testbed.streamers[n].received_ids(m.SET_UP) == [id]
 
 
-@in_world(streamers=1)
-async def test_paid_attempt_refused_by_a_full_streamer_may_be_rejected(world):
-    world.streamers[0].how = "full"
-    viewer = await world.viewer()
-    viewer.ask(plan="paid")
-    assert (await viewer.hear()).cause == m.REJECTED
+@in_testbed(streamers=1)
+async def test_paid_attempt_refused_by_a_full_streamer_may_be_rejected(testbed):
+    testbed.streamers[0].behaviour = "full"
+    viewer = await testbed.viewer()
+    viewer.send_set_up(plan="paid")
+    assert (await viewer.receive()).cause == m.REJECTED
 
 
-@in_world(how="silent")
-async def test_attempt_at_a_silent_streamer_is_cancelled_and_the_streamer_is_told(world):
-    viewer = await world.viewer()
-    id = viewer.ask()
-    answer = await viewer.hear()
+@in_testbed(behaviour="silent")
+async def test_attempt_at_a_silent_streamer_is_cancelled_and_the_streamer_is_told(testbed):
+    viewer = await testbed.viewer()
+    id = viewer.send_set_up()
+    answer = await viewer.receive()
     assert answer.cause == m.REJECTED
-    for streamer in world.streamers:
-        await until(lambda s=streamer: s.ids(m.RELEASE) == [id])
+    for streamer in testbed.streamers:
+        await wait_until(lambda s=streamer: s.received_ids(m.RELEASE) == [id])
 
 
-@in_world(how="silent")
-async def test_next_attempt_waits_for_the_confirmation_of_the_cancel(world):
+@in_testbed(behaviour="silent")
+async def test_next_attempt_waits_for_the_confirmation_of_the_cancel(testbed):
     original, transport.CANCEL_CONFIRMATION_TIMEOUT_S = transport.CANCEL_CONFIRMATION_TIMEOUT_S, 30
     try:
-        viewer = await world.viewer()
-        id = viewer.ask()
-        await until(lambda: any(s.ids(m.RELEASE) for s in world.streamers))
-        first, other = sorted(world.streamers, key=lambda s: not s.heard)
+        viewer = await testbed.viewer()
+        id = viewer.send_set_up()
+        await wait_until(lambda: any(s.received_ids(m.RELEASE) for s in testbed.streamers))
+        first, other = sorted(testbed.streamers, key=lambda s: not s.received)
         await asyncio.sleep(0.1)
-        assert not other.heard, "two attempts would be outstanding at once"
-        other.how = "plays"
-        first.say(encode_message(m.RELEASE_HEARD, id))
-        assert (await viewer.hear()).type == m.ANSWER and other.ids(m.SET_UP) == [id]
+        assert not other.received, "two attempts would be outstanding at once"
+        other.behaviour = "plays"
+        first.send(encode_message(m.RELEASE_HEARD, id))
+        assert (await viewer.receive()).type == m.ANSWER and other.received_ids(m.SET_UP) == [id]
     finally:
         transport.CANCEL_CONFIRMATION_TIMEOUT_S = original
 
 
-@in_world(how="plays twice")
-async def test_duplicate_and_unknown_answers_are_ignored(world):
-    viewer = await world.viewer()
-    await world.plays(viewer)
+@in_testbed(behaviour="plays twice")
+async def test_duplicate_and_unknown_answers_are_ignored(testbed):
+    viewer = await testbed.viewer()
+    await testbed.set_up_playback(viewer)
     viewer.send(encode_message(m.TEST, ID, (m.CAUSE, b"\0")))
-    assert (await viewer.hear()).type == m.TESTED
+    assert (await viewer.receive()).type == m.TESTED
 
 
-@in_world(how="silent")
-async def test_viewer_that_cancels_or_disconnects_frees_its_attempts(world):
-    viewer = await world.viewer()
-    ids = [viewer.ask() for _ in range(40)]
-    await until(lambda: world.core.unanswered_count == 40)
+@in_testbed(behaviour="silent")
+async def test_viewer_that_cancels_or_disconnects_frees_its_attempts(testbed):
+    viewer = await testbed.viewer()
+    ids = [viewer.send_set_up() for _ in range(40)]
+    await wait_until(lambda: testbed.core.unanswered_count == 40)
     for id in ids[:20]:
         viewer.send(encode_release(id, 16))
-    await until(lambda: world.core.unanswered_count == 20)
+    await wait_until(lambda: testbed.core.unanswered_count == 20)
     viewer.writer.close()
-    await until(lambda: not world.core.playbacks and not world.service.front.sessions)
-    assert not world.service.front.admission.open_count and not world.core.controller.pending
+    await wait_until(lambda: not testbed.core.playbacks and not testbed.service.front.sessions)
+    assert not testbed.service.front.admission.open_count and not testbed.core.controller.pending
 
 
-@in_world
-async def test_invalid_input_is_refused_without_affecting_other_viewers(world):
-    unaffected = await world.viewer()
-    id, _ = await world.plays(unaffected)
+@in_testbed
+async def test_invalid_input_is_refused_without_affecting_other_viewers(testbed):
+    unaffected = await testbed.viewer()
+    id, _ = await testbed.set_up_playback(unaffected)
     for data in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 100_000, b"\0" * 100, encode_message(m.NOTE, ID)):
-        viewer = await world.viewer()
+        viewer = await testbed.viewer()
         viewer.send(data)
-        assert await viewer.hear() is None
+        assert await viewer.receive() is None
     for changed in (dict(plan="dear"), dict(wait="x"), dict(hint="nan"), dict(title="none"), dict(id=id)):
-        viewer = await world.viewer()
-        viewer.ask(**changed)
-        answer = await viewer.hear()
+        viewer = await testbed.viewer()
+        viewer.send_set_up(**changed)
+        answer = await viewer.receive()
         assert answer.type == m.RELEASE and answer.cause == m.UNUSABLE, changed
-    silent, partial = await world.viewer(), await world.viewer()
+    silent, partial = await testbed.viewer(), await testbed.viewer()
     partial.send(b"\0")
-    assert await silent.hear() is None and await partial.hear() is None
-    assert id in world.service.front.sessions
+    assert await silent.receive() is None and await partial.receive() is None
+    assert id in testbed.service.front.sessions
     assert not [
         message
-        for streamer in world.streamers
-        for message in streamer.heard
+        for streamer in testbed.streamers
+        for message in streamer.received
         if message.type == m.SET_UP and message.id != id
     ]
 
 
-@in_world(how="silent")
-async def test_two_set_ups_with_one_id_are_both_cancelled(world):
-    viewer = await world.viewer()
-    id = viewer.ask()
-    viewer.ask(id=id, description=b"another")
-    assert (await viewer.hear()).cause == m.UNUSABLE
-    await until(lambda: not world.core.playbacks)
+@in_testbed(behaviour="silent")
+async def test_two_set_ups_with_one_id_are_both_cancelled(testbed):
+    viewer = await testbed.viewer()
+    id = viewer.send_set_up()
+    viewer.send_set_up(id=id, description=b"another")
+    assert (await viewer.receive()).cause == m.UNUSABLE
+    await wait_until(lambda: not testbed.core.playbacks)
 
 
-@in_world
-async def test_set_ups_cancelled_or_repeated_within_one_read_never_reach_a_streamer(world):
-    viewer = await world.viewer()
-    ids = [world.id() for _ in range(200)]
+@in_testbed
+async def test_set_ups_cancelled_or_repeated_within_one_read_never_reach_a_streamer(testbed):
+    viewer = await testbed.viewer()
+    ids = [testbed.id() for _ in range(200)]
     parameters = (
         (m.PLAN, "free"),
         (m.WAIT, "3000"),
@@ -504,61 +510,64 @@
         + b"".join(encode_release(id, 16) for id in ids[:100])
         + b"".join(encode_message(m.SET_UP, id, *parameters) * 2 for id in ids[100:])
     )
-    last = viewer.ask()
-    while (answer := await viewer.hear()).id != last:
+    last = viewer.send_set_up()
+    while (answer := await viewer.receive()).id != last:
         assert answer.type in (m.RELEASE, m.RELEASE_HEARD)
     assert answer.type == m.ANSWER
-    assert {id for s in world.streamers for id in s.ids(m.SET_UP)} == {last}
+    assert {id for s in testbed.streamers for id in s.received_ids(m.SET_UP)} == {last}
 
 
-@in_world
-async def test_many_silent_connections_do_not_keep_a_viewer_out(world):
-    silent_viewers = [await world.viewer() for _ in range(world.service.front.max_connections + 20)]
-    viewer = await world.viewer()
-    await world.plays(viewer)
-    assert len(world.service.front.connections) <= world.service.front.max_connections
+@in_testbed
+async def test_many_silent_connections_do_not_keep_a_viewer_out(testbed):
+    silent_viewers = [await testbed.viewer() for _ in range(testbed.service.front.max_connections + 20)]
+    viewer = await testbed.viewer()
+    await testbed.set_up_playback(viewer)
+    assert len(testbed.service.front.connections) <= testbed.service.front.max_connections
     for silent in silent_viewers:
         silent.writer.close()
 
 
-@in_world(streamers=1)
-async def test_death_of_a_streamer_ends_its_playbacks_and_their_viewers_are_told(world):
-    viewer = await world.viewer()
-    id, streamer = await world.plays(viewer)
-    await streamer.die()
-    answer = await viewer.hear()
+@in_testbed(streamers=1)
+async def test_death_of_a_streamer_ends_its_playbacks_and_their_viewers_are_told(testbed):
+    viewer = await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
+    await streamer.crash()
+    answer = await viewer.receive()
     assert (answer.type, answer.id) == (m.RELEASE, id)
-    await until(lambda: not world.core.playbacks)
-    assert world.by_name(streamer.name).failed_at is not None or world.by_name(streamer.name).backoff
-
-
-@in_world(streamers=1)
-async def test_broken_connection_does_not_end_playbacks(world):
-    viewer = await world.viewer()
-    id, streamer = await world.plays(viewer)
-    connection_count = len(streamer.writers)
-    streamer.writers[-1].transport.abort()
-    await until(lambda: len(streamer.writers) > connection_count)
-    assert id in world.service.front.sessions
-    streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, "link_use"), (m.NOTE_VALUE, "0.5")))
-    await until(lambda: world.by_name(streamer.name).load_reports)
-    streamer.say(encode_release(id, 16))
-    assert (await viewer.hear()).id == id
-
-
-@in_world(streamers=1)
-async def test_restart_of_a_streamer_ends_its_playbacks(world):
-    viewer = await world.viewer()
-    id, streamer = await world.plays(viewer)
-    world.feed.tell(streamer.row(started_ms=time.time_ns() // 1_000_000))
-    assert (await viewer.hear()).id == id
-
-
-@in_world
-async def test_notes_reach_the_decisions_and_a_rung_change_reaches_the_streamer(world):
-    viewer = await world.viewer()
-    id, streamer = await world.plays(viewer)
-    playback = world.service.front.sessions[id].playback
+    await wait_until(lambda: not testbed.core.playbacks)
+    assert (
+        testbed.streamer_state(streamer.name).failed_at is not None
+        or testbed.streamer_state(streamer.name).backoff
+    )
+
+
+@in_testbed(streamers=1)
+async def test_broken_connection_does_not_end_playbacks(testbed):
+    viewer = await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
+    connection_count = len(streamer.connections)
+    streamer.connections[-1].transport.abort()
+    await wait_until(lambda: len(streamer.connections) > connection_count)
+    assert id in testbed.service.front.sessions
+    streamer.send(encode_message(m.NOTE, id, (m.NOTE_NAME, "link_use"), (m.NOTE_VALUE, "0.5")))
+    await wait_until(lambda: testbed.streamer_state(streamer.name).load_reports)
+    streamer.send(encode_release(id, 16))
+    assert (await viewer.receive()).id == id
+
+
+@in_testbed(streamers=1)
+async def test_restart_of_a_streamer_ends_its_playbacks(testbed):
+    viewer = await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
+    testbed.feed.publish(streamer.list_row(started_ms=time.time_ns() // 1_000_000))
+    assert (await viewer.receive()).id == id
+
+
+@in_testbed
+async def test_notes_reach_the_decisions_and_a_rung_change_reaches_the_streamer(testbed):
+    viewer = await testbed.viewer()
+    id, streamer = await testbed.set_up_playback(viewer)
+    playback = testbed.service.front.sessions[id].playback
     for name, value in (
         ("served", "0.7"),
         ("link_use", "0.4"),
@@ -567,9 +576,9 @@
         ("colour", "1"),
         ("served", "x"),
     ):
-        streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
-    state = world.by_name(streamer.name)
-    await until(
+        streamer.send(encode_message(m.NOTE, id, (m.NOTE_NAME, name), (m.NOTE_VALUE, value)))
+    state = testbed.streamer_state(streamer.name)
+    await wait_until(
         lambda: (
             state.delivery_reports
             and state.load_reports
@@ -577,92 +586,96 @@
             and playback.rung == 0
         )
     )
-    assert state.delivery_reports[-1][1] == 0.7 and world.core.controller.playbacks[playback.id].rung == 0
-    world.transport.set_rung(playback, 2)
-    await until(lambda: streamer.ids(m.RUNG) == [id])
-    assert next(message for message in streamer.heard if message.type == m.RUNG).parameters[m.RUNG_NO] == b"2"
-
-
-@in_world
-async def test_hand_over_completes_when_the_streamer_tells_the_rung(world):
-    viewer, streamer = await world.viewer(), world.streamers[1]
-    id = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
-    await until(lambda: streamer.writers)
-    viewer.ask(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")  # repeated: ignored
-    assert not world.core.playbacks, (
+    assert state.delivery_reports[-1][1] == 0.7 and testbed.core.controller.playbacks[playback.id].rung == 0
+    testbed.transport.set_rung(playback, 2)
+    await wait_until(lambda: streamer.received_ids(m.RUNG) == [id])
+    assert (
+        next(message for message in streamer.received if message.type == m.RUNG).parameters[m.RUNG_NO] == b"2"
+    )
+
+
+@in_testbed
+async def test_hand_over_completes_when_the_streamer_tells_the_rung(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[1]
+    id = viewer.send_set_up(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
+    await wait_until(lambda: streamer.connections)
+    viewer.send_set_up(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")  # repeated: ignored
+    assert not testbed.core.playbacks, (
         "a hand-over waits for the rung, as a guessed one would be corrected at once"
     )
-    streamer.say(encode_message(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "2")))
-    await until(lambda: id in world.service.front.sessions)
-    playback = world.service.front.sessions[id].playback
-    assert playback.stage is PlaybackStage.PLAYING and playback.rung == 2 and not streamer.ids(m.SET_UP)
-    assert world.core.controller.playbacks[playback.id].rung == 2
-    viewer.ask(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")
-    streamer.say(encode_release(id, 16))
-    over = await viewer.hear()
+    streamer.send(encode_message(m.NOTE, id, (m.NOTE_NAME, "at_rung"), (m.NOTE_VALUE, "2")))
+    await wait_until(lambda: id in testbed.service.front.sessions)
+    playback = testbed.service.front.sessions[id].playback
+    assert (
+        playback.stage is PlaybackStage.PLAYING and playback.rung == 2 and not streamer.received_ids(m.SET_UP)
+    )
+    assert testbed.core.controller.playbacks[playback.id].rung == 2
+    viewer.send_set_up(id=id, figures=f"home:0;copies:4;top:2;at:{streamer.name}")
+    streamer.send(encode_release(id, 16))
+    over = await viewer.receive()
     assert (over.type, over.id) == (m.RELEASE, id)
-    lost = viewer.ask(figures="home:0;copies:4;top:2;at:s-ffffffff")
-    assert (await viewer.hear()).id == lost
-    assert not streamer.ids(m.RUNG)
-
-
-@in_world
-async def test_hand_over_completes_at_the_floor_if_the_streamer_does_not_tell_the_rung(world):
-    viewer, streamer = await world.viewer(), world.streamers[1]
-    id = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}", plan="paid")
-    await until(lambda: id in world.service.front.sessions)
-    assert world.service.front.sessions[id].playback.rung == 1, "the floor of its plan"
-    other = viewer.ask(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
-    await until(lambda: other in world.service.front.pending_hand_overs)
+    lost = viewer.send_set_up(figures="home:0;copies:4;top:2;at:s-ffffffff")
+    assert (await viewer.receive()).id == lost
+    assert not streamer.received_ids(m.RUNG)
+
+
+@in_testbed
+async def test_hand_over_completes_at_the_floor_if_the_streamer_does_not_tell_the_rung(testbed):
+    viewer, streamer = await testbed.viewer(), testbed.streamers[1]
+    id = viewer.send_set_up(figures=f"home:0;copies:4;top:2;at:{streamer.name}", plan="paid")
+    await wait_until(lambda: id in testbed.service.front.sessions)
+    assert testbed.service.front.sessions[id].playback.rung == 1, "the floor of its plan"
+    other = viewer.send_set_up(figures=f"home:0;copies:4;top:2;at:{streamer.name}")
+    await wait_until(lambda: other in testbed.service.front.pending_hand_overs)
     viewer.send(encode_release(other, 16))
-    await until(lambda: other in streamer.ids(m.RELEASE))
-    await streamer.die()
-    assert [(await viewer.hear()).id for _ in range(2)] == [other, id]
-    assert not world.service.front.playback_counts[next(iter(world.service.front.connections))]
-
-
-@in_world
-async def test_feed_is_followed_across_failures_and_to_a_new_address(world):
-    world.feed.how = "breaks"
-    world.feed.tell(world.streamers[0].row("draining"))
-    await until(lambda: [line for line in world.said if line[1] == "feed"])
-    world.feed.how = "answers"
-    state = world.by_name("s-00000000")
-    await until(lambda: state.entry.standing is Standing.DRAINING)
-    viewer = await world.viewer()
-    assert (await world.plays(viewer))[1] is world.streamers[1]
-    old_feed, world.feed = world.feed, type(world.feed)()
-    world.feed.events = list(old_feed.events)
-    await world.feed.start()
-    old_feed.how = "stands"
-    world.write_configuration()
-    world.service.reread()
-    world.feed.tell(world.streamers[0].row("removed"))
-    await until(lambda: state.entry.standing is Standing.GONE)
-    assert world.feed.requested_positions[0] == 2
+    await wait_until(lambda: other in streamer.received_ids(m.RELEASE))
+    await streamer.crash()
+    assert [(await viewer.receive()).id for _ in range(2)] == [other, id]
+    assert not testbed.service.front.playback_counts[next(iter(testbed.service.front.connections))]
+
+
+@in_testbed
+async def test_feed_is_followed_across_failures_and_to_a_new_address(testbed):
+    testbed.feed.behaviour = "disconnects"
+    testbed.feed.publish(testbed.streamers[0].list_row("draining"))
+    await wait_until(lambda: [line for line in testbed.log_lines if line[1] == "feed"])
+    testbed.feed.behaviour = "answers"
+    state = testbed.streamer_state("s-00000000")
+    await wait_until(lambda: state.entry.standing is Standing.DRAINING)
+    viewer = await testbed.viewer()
+    assert (await testbed.set_up_playback(viewer))[1] is testbed.streamers[1]
+    old_feed, testbed.feed = testbed.feed, type(testbed.feed)()
+    testbed.feed.events = list(old_feed.events)
+    await testbed.feed.start()
+    old_feed.behaviour = "hangs"
+    testbed.write_configuration()
+    testbed.service.reread()
+    testbed.feed.publish(testbed.streamers[0].list_row("removed"))
+    await wait_until(lambda: state.entry.standing is Standing.GONE)
+    assert testbed.feed.requested_positions[0] == 2
     old_feed.server.close()
-    with open(world.path, "w", encoding="utf-8") as file:
+    with open(testbed.configuration_path, "w", encoding="utf-8") as file:
         file.write("{")
-    world.service.reread()
-    assert world.logged_errors() and world.service.feed.address == world.feed.address
-    world.said.clear()
+    testbed.service.reread()
+    assert testbed.logged_errors() and testbed.service.feed.address == testbed.feed.address
+    testbed.log_lines.clear()
 
 
-@in_world
-async def test_start_fetches_feed_changes_before_accepting_viewers(world):
+@in_testbed
+async def test_start_fetches_feed_changes_before_accepting_viewers(testbed):
     """Guards against placement by an outdated list of the configuration at start.
 
     In a restart of a fleet (herd, seed 973969406102, seen twice) 134 controllers started while drains were
     told. The drains reached them 30 to 37 ms after they began to listen, and one controller had placed
     set-ups at a draining streamer until then.
     """
-    path = world.path + ".second"
-    with open(world.path, encoding="utf-8") as file:
+    path = testbed.configuration_path + ".second"
+    with open(testbed.configuration_path, encoding="utf-8") as file:
         value = json.load(file)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(value, file)
-    world.feed.tell(world.streamers[0].row("draining"))
-    second = Service(settings.read(path), Log(world.said), path)
+    testbed.feed.publish(testbed.streamers[0].list_row("draining"))
+    second = Service(settings.read(path), RecordingLog(testbed.log_lines), path)
     listened = []
     second.front.listen_on = lambda address: listened.append(
         second.core.controller.streamers[settings.streamer_id("s-00000000")].entry.standing
@@ -671,46 +684,46 @@
     assert listened == [Standing.DRAINING]
     second.close()
     # a feed that does not reply must not keep the controller from serving
-    world.feed.how = "stands"
-    third = Service(settings.read(path), Log(world.said), path)
+    testbed.feed.behaviour = "hangs"
+    third = Service(settings.read(path), RecordingLog(testbed.log_lines), path)
     third.front.listen_on = lambda address: listened.append(None)
     await third.begin()
-    assert len(listened) == 2 and [line for line in world.said if "first call" in str(line)]
+    assert len(listened) == 2 and [line for line in testbed.log_lines if "first call" in str(line)]
     third.close()
-    world.feed.how = "answers"
+    testbed.feed.behaviour = "answers"
 
 
-@in_world
-async def test_invalid_row_is_reported_and_the_valid_rows_are_applied(world):
-    world.feed.tell({"health": "up"}, world.streamers[0].row("draining"))
-    await until(lambda: world.service.feed.held == 2)
-    assert world.by_name("s-00000000").entry.standing is Standing.DRAINING
-    assert [values["why"] for level, _, values in world.said if level == "warning"] == [
+@in_testbed
+async def test_invalid_row_is_reported_and_the_valid_rows_are_applied(testbed):
+    testbed.feed.publish({"health": "up"}, testbed.streamers[0].list_row("draining"))
+    await wait_until(lambda: testbed.service.feed.held == 2)
+    assert testbed.streamer_state("s-00000000").entry.standing is Standing.DRAINING
+    assert [values["why"] for level, _, values in testbed.log_lines if level == "warning"] == [
         "event 2: a row of the list: KeyError 'host', passed over"
     ]
 
 
-@in_world
-async def test_drain_keeps_serving_and_then_answers_and_releases_everything(world):
-    viewer, late = await world.viewer(), await world.viewer()
-    ended, streamer = await world.plays(viewer)
-    draining = asyncio.ensure_future(world.service.drain())
-    ended_late, _ = await world.plays(late)
-    for simulated in world.streamers:
-        simulated.how = "silent"
+@in_testbed
+async def test_drain_keeps_serving_and_then_answers_and_releases_everything(testbed):
+    viewer, late = await testbed.viewer(), await testbed.viewer()
+    ended, streamer = await testbed.set_up_playback(viewer)
+    draining = asyncio.ensure_future(testbed.service.drain())
+    ended_late, _ = await testbed.set_up_playback(late)
+    for simulated in testbed.streamers:
+        simulated.behaviour = "silent"
     await asyncio.sleep(2)  # so that the next set-up is still open at shutdown
-    opened = late.ask(plan="paid", wait="3000")
-    answer = await viewer.hear()
+    opened = late.send_set_up(plan="paid", wait="3000")
+    answer = await viewer.receive()
     assert (answer.type, answer.id) == (m.RELEASE, ended)
-    answers = [await late.hear(), await late.hear()]
+    answers = [await late.receive(), await late.receive()]
     assert {(message.type, message.id) for message in answers} == {
         (m.RELEASE, opened),
         (m.RELEASE, ended_late),
     }
     assert next(message for message in answers if message.id == opened).cause == m.FAILED
     await draining
-    assert ended in streamer.ids(m.RELEASE)
-    assert world.service.stopped.is_set()
+    assert ended in streamer.received_ids(m.RELEASE)
+    assert testbed.service.stopped.is_set()
 
 
 def test_process_starts_handles_signals_and_imports_no_other_front(tmp_path):
@@ -753,29 +766,29 @@
     assert run.returncode == 1 and "LB_CONFIG" in run.stderr
 
 
-@in_world
-async def test_ended_playbacks_are_freed_without_a_garbage_collection(world):
+@in_testbed
+async def test_ended_playbacks_are_freed_without_a_garbage_collection(testbed):
     """Guards against reference cycles between the front's sessions and the core's playbacks.
 
     Only a full garbage collection freed them: in a soak test memory grew by 1.5 MB in each quarter of the
     run, with 1,938 playbacks in memory where 244 were held.
     """
-    viewer = await world.viewer()
+    viewer = await testbed.viewer()
     references = []
     gc.collect()
     gc.disable()
     try:
         for ended_by_streamer in (False, True):
-            id, streamer = await world.plays(viewer)
-            session = world.service.front.sessions[id]
+            id, streamer = await testbed.set_up_playback(viewer)
+            session = testbed.service.front.sessions[id]
             references += [weakref.ref(session), weakref.ref(session.playback)]
             del session
             if ended_by_streamer:
-                streamer.say(encode_release(id, 16))
+                streamer.send(encode_release(id, 16))
             else:
                 viewer.send(encode_release(id, 16))
-            await viewer.hear()
-            await until(lambda: not world.service.front.sessions and not world.core.playbacks)
+            await viewer.receive()
+            await wait_until(lambda: not testbed.service.front.sessions and not testbed.core.playbacks)
         await asyncio.sleep(0.05)
         assert [reference() for reference in references] == [None] * 4
     finally:
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis
 from hypothesis import strategies as st
-from platform_world import SETTINGS
+from platform_testbed import SETTINGS
 
 from terndrift.core.active_playback import AnswerKind, PlaybackRequest, PlaybackStage
 from terndrift.core.core import Core, margin
--- a/tests/test_swing.py
+++ b/tests/test_swing.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 from helpers import Front, S
-from world import in_world
+from testbed import in_testbed
 
 from terndrift.audit import seconds
 from terndrift.audit.facts import Facts
@@ -191,14 +191,17 @@
     assert out.exit_code == 2 and "not played in virtual time" in out.output
 
 
-@in_world
-async def test_a_player_does_not_send_a_request_on_a_connection_that_the_controller_is_closing(world):
+@in_testbed
+async def test_a_player_does_not_send_a_request_on_a_connection_that_the_controller_is_closing(testbed):
     """A request on an idle connection that the controller closed at that moment was never accepted, but the
     audit counted it as accepted and lost (`catalogue-swap`, seed 990005, under load)."""
-    player = world.player(visit="v1")
+    player = testbed.player(visit="v1")
     await player.watch()
     await asyncio.sleep(0.05)
-    for stream in list(world.service.server.peers):
+    for stream in list(testbed.service.server.peers):
         stream.close()  # the player hasn't read the end yet
     await player.ask()
-    assert not [n for n in world.notes("no answer")] and world.breaks()["rules"]["answers"] == 0
+    assert (
+        not [n for n in testbed.streamer_events("no answer")]
+        and testbed.audit_report()["rules"]["answers"] == 0
+    )
--- a/tests/world.py
+++ b/tests/testbed.py
@@ -1,6 +1,6 @@
 """Integration fixture: a controller, stand-in streamers and players in one process, over real sockets.
 
-`in_world` runs a test coroutine within a `World`. The files of a world live in a temporary folder.
+`in_testbed` runs a test coroutine within a `Testbed`. The files of a testbed live in a temporary folder.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from terndrift.standin.fleet import Fleet, write_list
 from terndrift.standin.player import Player
 
-DEPLOYMENT = """
+DEPLOYMENT_TEXT = """
 deployment: {
 	plans: free: {startup_target: 400ms, abandon: 1500ms}
 	plans: paid: {startup_target: 500ms, abandon: 1s, floor: 1, repeatable: false}
@@ -35,22 +35,28 @@
 """
 
 
-class World:
+class Testbed:
     """A running controller (`service`) with `streamers` stand-in streamers on two racks (`fleet`).
 
-    `front` is text appended to the controller's settings file, `customize_service` a callable that gets the
-    service before it starts and may replace parts of it. `told` collects the log as (level, event, facts).
+    `extra_settings` is text appended to the controller's settings file, `customize_service` a callable that
+    gets the service before it starts and may replace parts of it. `log_entries` collects the log as (level,
+    event, facts).
     """
 
+    __test__ = False  # pytest would collect the class where it is imported, because of its name
     list_file = "list.rec"
 
-    def __init__(self, streamers=3, front="", customize_service=None):
+    def __init__(self, streamers=3, extra_settings="", customize_service=None):
         self.folder = tempfile.TemporaryDirectory()
-        self.streamers, self.more, self.customize_service = streamers, front, customize_service
-        self.pool, self.told = Pool(), []
+        self.streamers, self.extra_settings, self.customize_service = (
+            streamers,
+            extra_settings,
+            customize_service,
+        )
+        self.pool, self.log_entries = Pool(), []
 
     def path(self, name):
-        """Return the path of a file in the world's folder."""
+        """Return the path of a file in the testbed's folder."""
         return os.path.join(self.folder.name, name)
 
     async def __aenter__(self):
@@ -58,24 +64,30 @@
             f'streamers: "s{n}": {{id: {n}, rack: {n % 2}, kind: "box", link: 2MB/s}}\n'
             for n in range(self.streamers)
         )
-        text = DEPLOYMENT + f'uplinks: {{"0": 4MB/s}}\nledger: "{self.path("fleet.jsonl")}"\n' + streamer_rows
+        text = (
+            DEPLOYMENT_TEXT
+            + f'uplinks: {{"0": 4MB/s}}\nledger: "{self.path("fleet.jsonl")}"\n'
+            + streamer_rows
+        )
         self.fleet = Fleet(records.loads(text, "fleet"))
         self.fleet.start()
         self.player_ledger, self.test_notes = ledgers.Ledger(self.path("seen.jsonl")), []
-        self.standing, self.started = {}, {}
+        self.standings, self.start_times = {}, {}
         self.write_list()
-        await self.serve()
+        await self.start_controller()
         return self
 
-    async def serve(self, listen="127.0.0.1:0"):
+    async def start_controller(self, listen="127.0.0.1:0"):
         """Write the settings file and start the controller; also starts it again after a test closed it."""
-        store_setting = "" if "store:" in self.more else 'catalogue: store: "c0.store"'
+        store_setting = "" if "store:" in self.extra_settings else 'catalogue: store: "c0.store"'
         with open(self.path("front.rec"), "w", encoding="utf-8") as file:
             file.write(
-                DEPLOYMENT + f'controller: name: "c0"\nlist: "{self.list_file}"\nlist_poll: 20ms\n'
-                f'http: listen: "{listen}"\n{store_setting}\n{self.more}\n'
+                DEPLOYMENT_TEXT + f'controller: name: "c0"\nlist: "{self.list_file}"\nlist_poll: 20ms\n'
+                f'http: listen: "{listen}"\n{store_setting}\n{self.extra_settings}\n'
             )
-        self.service = service.Service(service.read(self.path("front.rec")), log=Log(self.told))
+        self.service = service.Service(
+            service.read(self.path("front.rec")), log=RecordingLog(self.log_entries)
+        )
         if self.customize_service:
             self.customize_service(self.service)
         # A controller that starts with nothing known assumes that the streamers may have just started too.
@@ -83,7 +95,7 @@
         self.service.core.controller.started_without_state = False
         await self.service.start()
         self.address = self.service.address
-        self.note("controller up", name="c0", address=self.address)
+        self.record_event("controller up", name="c0", address=self.address)
 
     async def __aexit__(self, *_):
         await self.service.close()
@@ -91,32 +103,33 @@
         self.pool.close()
         self.player_ledger.flush()
 
-    def note(self, event, **facts):
+    def record_event(self, event, **facts):
         """Record what the test itself did, for the audit."""
         self.test_notes.append({"what": event, "t": time.monotonic_ns(), **facts})
 
     def write_list(self, **standing):
         """Write the server list. `standing`: changes by streamer, as in `s0="draining"`; they persist."""
-        self.standing.update({int(key[1:]): value for key, value in standing.items()})
-        write_list(self.path("list.rec"), self.fleet.lines(), self.started, self.standing)
+        self.standings.update({int(key[1:]): value for key, value in standing.items()})
+        write_list(self.path("list.rec"), self.fleet.lines(), self.start_times, self.standings)
         for name, state in standing.items():
-            self.note("listed", streamer=int(name[1:]), standing=state)
+            self.record_event("listed", streamer=int(name[1:]), standing=state)
 
-    async def listed(self):
+    async def list_in_force(self):
         """Wait until the controller has taken up the list as last written."""
         version = self.service.listing.version
         while self.service.listing.version == version:
             await asyncio.sleep(0.01)
 
-    async def ask(self, title="clip", headers=None, within=5.0, path=None):
+    async def request_playback(self, title="clip", headers=None, timeout_s=5.0, path=None):
         """Request a playback; return (code, headers, body, duration in s).
 
-        `within`: timeout in s. Code 0: the connection could not be made or broke; the body is then the error.
+        `timeout_s`: timeout in s. Code 0: the connection could not be made or broke; the body is then the
+        error.
         """
         started_at = time.monotonic()
         try:
             response = await fetch(
-                self.pool, self.address, "GET", path or f"/v/{title}/main.m3u8", headers, within=within
+                self.pool, self.address, "GET", path or f"/v/{title}/main.m3u8", headers, within=timeout_s
             )
         except (Broken, Unreached) as error:
             response = (0, {}, str(error).encode())
@@ -131,26 +144,26 @@
             lambda: self.address, title, self.player_ledger, self.pool, visit, plan, abandon, **player_options
         )
 
-    async def load(self, visit_prefix, done):
+    async def run_viewers(self, visit_prefix, done):
         """Run viewers of a short title, one after the other, until the container `done` is not empty."""
         viewer_count = 0
         while not done:
             viewer_count += 1
             await self.player("clip", f"{visit_prefix}{viewer_count}", seconds=0.2).watch()
 
-    def raw(self, data):
+    def send_raw(self, data):
         """Return a socket connected to the controller that has sent `data`; the caller closes it."""
         host, _, port = self.address.rpartition(":")
         sock = socket.create_connection((host, int(port)))
         sock.sendall(data)
         return sock
 
-    def notes(self, event=None):
+    def streamer_events(self, event=None):
         """Return the streamers' ledger entries, of one event or all."""
         self.fleet.ledger.flush()
         return [n for n in ledgers.read(self.path("fleet.jsonl")) if event in (None, n["what"])]
 
-    def facts(self):
+    def audit_facts(self):
         """Return what players, test and streamers recorded, as input of the audit."""
         self.player_ledger.flush()
         return Facts(
@@ -158,46 +171,46 @@
             {
                 "viewers": ledgers.read(self.path("seen.jsonl")),
                 "runner": self.test_notes,
-                "streamers": self.notes(),
+                "streamers": self.streamer_events(),
             },
             told_within=0.3,
         )
 
-    def breaks(self):
+    def audit_report(self):
         """Return the audit's report of broken rules."""
-        return judge.report(self.facts())
+        return judge.report(self.audit_facts())
 
-    async def quiet(self):
+    async def wait_until_idle(self):
         """Wait until the controller has no playback and no attempt in flight."""
         while self.service.core.playbacks or self.service.transport.tries:
             await asyncio.sleep(0.01)
 
 
-class Log:
+class RecordingLog:
     """Logger that appends each line to the list `entries` as (level, event, facts)."""
 
     def __init__(self, entries):
-        self.told = entries
+        self.log_entries = entries
 
     def __getattr__(self, level):
-        return lambda event, **facts: self.told.append((level, event, facts))
+        return lambda event, **facts: self.log_entries.append((level, event, facts))
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait until `condition()` is true, without a timeout of its own."""
     while not condition():
         await asyncio.sleep(0.005)
 
 
-def in_world(test=None, kind=World, **world_options):
-    """Decorate a test coroutine to run within a new `kind(**world_options)`, for 60 s at most."""
+def in_testbed(test=None, testbed_class=Testbed, **testbed_options):
+    """Decorate a test coroutine to run within a new `testbed_class(**testbed_options)`, for 60 s at most."""
     if test is None:
-        return lambda test: in_world(test, kind, **world_options)
+        return lambda test: in_testbed(test, testbed_class, **testbed_options)
 
     def run():
         async def run_test():
-            async with kind(**world_options) as world:
-                await asyncio.wait_for(test(world), 60)
+            async with testbed_class(**testbed_options) as testbed:
+                await asyncio.wait_for(test(testbed), 60)
 
         asyncio.run(run_test())
 
