--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -12,7 +12,7 @@
 import time
 
 import pytest
-from cases import Cases
+from process_cases import Cases
 
 from terndrift.rehearse.several import Several
 
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -5,7 +5,7 @@
 import re
 
 import pytest
-from cases import Cases
+from process_cases import Cases
 
 from terndrift import records
 from terndrift.http.client import Broken, Unreached, fetch
--- a/tests/test_return_processes.py
+++ b/tests/test_return_processes.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from cases import Cases
+from process_cases import Cases
 
 from terndrift.http.client import Broken, Unreached, fetch
 
