--- a/tests/test_cold_start_pacing.py
+++ b/tests/test_cold_start_pacing.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import MS, T0, S, deployment, line
+from helpers import MS, SECOND, START, deployment, list_entry
 
 from terndrift.decide import Controller, State
 
@@ -21,12 +21,12 @@
 
     def __init__(self, seed, size, rate, wave, restarts, idle):
         self.random, self.size, self.rate, self.wave = random.Random(seed), size, rate, wave
-        self.start, self.now, self.requested, self.setup_times = T0 + idle * S, T0, 0, []
+        self.start, self.now, self.requested, self.setup_times = START + idle * SECOND, START, 0, []
         self.deployment = deployment(controllers=size)
         self.controllers = [self._new_controller(rank) for rank in range(size)]
-        self.list_due = [self.start + int(self.random.random() * 3 * S) for _ in range(size)]
+        self.list_due = [self.start + int(self.random.random() * 3 * SECOND) for _ in range(size)]
         restarting = self.random.sample(range(size), restarts)
-        self.restarts = {rank: self.start + int(self.random.random() * 6 * S) for rank in restarting}
+        self.restarts = {rank: self.start + int(self.random.random() * 6 * SECOND) for rank in restarting}
         self.out = []  # set-ups in progress: (when it succeeds, rank, playback)
 
     def _new_controller(self, rank, entries=()):
@@ -38,7 +38,7 @@
 
     def run(self):
         """Run until the streamer is warm and return the time of each set-up sent to it."""
-        entry = line(COLD_ID, started=self.start)
+        entry = list_entry(COLD_ID, started=self.start)
         while self.now < self.start + self.deployment.rules.cold_for - STEP:
             self.now += STEP
             for rank in range(self.size):
@@ -57,15 +57,15 @@
         return self.setup_times
 
     def _request_playbacks(self, rank):
-        wave = self.wave if self.start <= self.now < self.start + 4 * S else 0
-        chance = (self.rate + wave) / self.size * STEP / S
+        wave = self.wave if self.start <= self.now < self.start + 4 * SECOND else 0
+        chance = (self.rate + wave) / self.size * STEP / SECOND
         changed = []
         while self.random.random() < chance:
             chance -= 1
             self.requested += 1
             id, title = f"pb{self.requested}", f"t{self.requested % 50}"
             changed += self.controllers[rank].request_playback(
-                self.now, id, "free", title, frozenset([0]), 3, 4 * S, 0, False
+                self.now, id, "free", title, frozenset([0]), 3, 4 * SECOND, 0, False
             )
         return changed
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -3,7 +3,7 @@
 Also of the admission gate, the visits and the delivery meter that fronts use beside it.
 """
 
-from helpers import MS, S, deployment, line
+from helpers import MS, SECOND, deployment, list_entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -15,7 +15,7 @@
 from terndrift.interface import Ending, Standing
 from terndrift.rehearse.baselines import LeastConnections, Random, RoundRobin
 
-T0 = 1000 * S
+START = 1000 * SECOND
 ALL_CELLS = frozenset(range(4))
 
 
@@ -50,12 +50,14 @@
     """
 
     def __init__(self, streamers=4, **rules):
-        self.now, self.transport, self.answers, self.events = T0, ScriptedTransport(), {}, []
-        self.core = Core(deployment(**rules), T0, "c0", S, lambda e, p, **f: self.events.append((e, p)))
+        self.now, self.transport, self.answers, self.events = START, ScriptedTransport(), {}, []
+        self.core = Core(
+            deployment(**rules), START, "c0", SECOND, lambda e, p, **f: self.events.append((e, p))
+        )
         self.core.controller.started_without_state = False
-        self.core.list_changed(T0, [line(n, n % 4) for n in range(streamers)], True, False)
+        self.core.list_changed(START, [list_entry(n, n % 4) for n in range(streamers)], True, False)
 
-    def want(self, plan="free", time_left=4 * S, title="t"):
+    def want(self, plan="free", time_left=4 * SECOND, title="t"):
         """Request a playback; asserts that it is answered no more than once."""
         answers = []
 
@@ -64,7 +66,10 @@
             answers.append((self.now, answer))
 
         playback = self.core.request_playback(
-            self.now, PlaybackRequest(plan, title, ALL_CELLS, 3, time_left, 20 * S), self.transport, on_answer
+            self.now,
+            PlaybackRequest(plan, title, ALL_CELLS, 3, time_left, 20 * SECOND),
+            self.transport,
+            on_answer,
         )
         self.answers[playback] = answers
         return playback
@@ -108,18 +113,22 @@
 
 def test_timed_out_attempt_of_a_non_repeatable_plan_is_aborted_in_time_and_not_repeated():
     harness = CoreHarness()
-    playback = harness.want("paid", time_left=2 * S)
+    playback = harness.want("paid", time_left=2 * SECOND)
     harness.wait(1990 * MS)
     ((at, answer),) = harness.answers[playback]
-    assert answer.kind is AnswerKind.ABORTED and at < T0 + 2 * S and playback in harness.transport.cancelling
+    assert (
+        answer.kind is AnswerKind.ABORTED
+        and at < START + 2 * SECOND
+        and playback in harness.transport.cancelling
+    )
     harness.end(playback, Ending.CALLED_OFF)
-    harness.wait(5 * S)
+    harness.wait(5 * SECOND)
     assert len(harness.transport.sends) == 1 and not harness.core.playbacks
 
 
 def test_attempt_that_succeeds_while_being_cancelled_is_released_without_a_second_answer():
     harness = CoreHarness()
-    playback = harness.want("paid", time_left=S)
+    playback = harness.want("paid", time_left=SECOND)
     harness.wait(990 * MS)
     assert playback.stage is PlaybackStage.CANCELLING
     harness.plays(playback)
@@ -148,30 +157,30 @@
     harness = CoreHarness(streamers=1)
     playback = harness.want()
     assert harness.core.may_send(harness.now, playback)
-    harness.core.list_changed(harness.now, [line(0, 0, Standing.DRAINING)], False, False)
-    assert harness.core.may_send(harness.now + S, playback) and not harness.core.may_send(
-        harness.now + S + 1, playback
+    harness.core.list_changed(harness.now, [list_entry(0, 0, Standing.DRAINING)], False, False)
+    assert harness.core.may_send(harness.now + SECOND, playback) and not harness.core.may_send(
+        harness.now + SECOND + 1, playback
     )
-    harness.core.list_changed(harness.now, [line(0, 0)], False, False)
-    assert harness.core.may_send(harness.now + 2 * S, playback)
+    harness.core.list_changed(harness.now, [list_entry(0, 0)], False, False)
+    assert harness.core.may_send(harness.now + 2 * SECOND, playback)
 
 
 def test_streamer_missing_from_a_full_list_gets_no_set_up_after_the_grace_period():
     harness = CoreHarness(streamers=2)
     playback = harness.want()
-    harness.core.list_changed(harness.now, [line(1 - playback.streamer.id, 0)], True, False)
-    assert not harness.core.may_send(harness.now + S + 1, playback)
+    harness.core.list_changed(harness.now, [list_entry(1 - playback.streamer.id, 0)], True, False)
+    assert not harness.core.may_send(harness.now + SECOND + 1, playback)
 
 
 def test_exception_in_the_decision_logic_still_gives_one_answer_in_time():
     harness = CoreHarness()
     harness.core.controller.request_playback = lambda *_: 1 / 0
-    playback = harness.want("paid", time_left=2 * S)
-    harness.wait(2 * S)
+    playback = harness.want("paid", time_left=2 * SECOND)
+    harness.wait(2 * SECOND)
     ((at, answer),) = harness.answers[playback]
-    assert answer.kind is AnswerKind.REJECTED and at <= T0 + 2 * S and harness.core.decision_errors == 1, (
-        "no attempt was sent"
-    )
+    assert (
+        answer.kind is AnswerKind.REJECTED and at <= START + 2 * SECOND and harness.core.decision_errors == 1
+    ), "no attempt was sent"
     assert 0 < answer.retry_after <= harness.core.deployment.rules.longest_advice
     assert ("fault", playback) in harness.events
 
@@ -185,13 +194,16 @@
 
 def test_baseline_policies_place_playbacks():
     for policy in (Random, RoundRobin, LeastConnections):
-        core = Core(deployment(), T0, "c0", S, decisions=policy)
+        core = Core(deployment(), START, "c0", SECOND, decisions=policy)
         core.controller.started_without_state = False
-        core.list_changed(T0, [line(n, n % 4) for n in range(4)], True, False)
+        core.list_changed(START, [list_entry(n, n % 4) for n in range(4)], True, False)
         transport = ScriptedTransport()
         for n in range(4):
             core.request_playback(
-                T0 + n, PlaybackRequest("free", "t", ALL_CELLS, 3, S, 20 * S), transport, lambda answer: None
+                START + n,
+                PlaybackRequest("free", "t", ALL_CELLS, 3, SECOND, 20 * SECOND),
+                transport,
+                lambda answer: None,
             )
         assert len(transport.sends) == 4 and not core.decision_errors
         assert policy is Random or len({streamer_id for _, streamer_id in transport.sends}) == 4
@@ -199,18 +211,18 @@
 
 def test_playback_ids_differ_between_runs_of_a_controller():
     first, second = CoreHarness(), CoreHarness()
-    second.core.run_id = Core(deployment(), T0 + 1, "c0").run_id
+    second.core.run_id = Core(deployment(), START + 1, "c0").run_id
     assert first.want().id != second.want().id
 
 
 def test_adopted_playback_is_playing_and_counts_at_its_streamer():
     harness = CoreHarness()
     playback = harness.core.adopt_playback(
-        harness.now, PlaybackRequest("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 2, 1
+        harness.now, PlaybackRequest("free", "t", ALL_CELLS, 3, 900 * SECOND, 0), harness.transport, 2, 1
     )
     assert playback.stage is PlaybackStage.PLAYING and harness.core.controller.streamers[2].playbacks
     not_listed = harness.core.adopt_playback(
-        harness.now, PlaybackRequest("free", "t", ALL_CELLS, 3, 900 * S, 0), harness.transport, 99, 1
+        harness.now, PlaybackRequest("free", "t", ALL_CELLS, 3, 900 * SECOND, 0), harness.transport, 99, 1
     )
     assert not_listed.stage is PlaybackStage.ENDED and not_listed.id not in harness.core.playbacks
 
@@ -254,7 +266,9 @@
             )
         elif action == "list":
             standing = [Standing.READY, Standing.DRAINING, Standing.GONE][variant % 3]
-            harness.core.list_changed(harness.now, [line(choice % 4, choice % 4, standing)], False, False)
+            harness.core.list_changed(
+                harness.now, [list_entry(choice % 4, choice % 4, standing)], False, False
+            )
         elif action == "share":
             harness.core.delivery_reported(harness.now, choice % 4, choice / 999)
         elif action == "wait":
@@ -267,7 +281,7 @@
                 or playback not in maybe_ran
                 or sent == playback.attempts
             )
-    harness.wait(6 * S)
+    harness.wait(6 * SECOND)
     for playback, answers in harness.answers.items():
         assert len(answers) == 1 or playback in left_playbacks and not answers
         if answers:
@@ -294,7 +308,7 @@
             open_before, from_source = len(open_sources), open_sources.count(source)
             retry_after = gate.admit(now, source)
             assert bool(retry_after) == (open_before >= 8 or open_before >= 4 and from_source >= 2)
-            assert retry_after == 0 or S <= retry_after <= 2 * MAX_RETRY_AFTER_NS
+            assert retry_after == 0 or SECOND <= retry_after <= 2 * MAX_RETRY_AFTER_NS
             if not retry_after:
                 open_sources.append(source)
         elif open_sources:
@@ -347,23 +361,23 @@
 
 def test_stalled_segment_lowers_the_share_before_it_ends():
     meter = DeliveryMeter()
-    meter.segment_pending(S, 1, S, 900 * MS)
-    assert meter.due_reports(S) == []
-    meter.segment_pending(4 * S, 1, S, 4 * S)
-    assert meter.due_reports(4 * S) == [(1, 0.25)]
+    meter.segment_pending(SECOND, 1, SECOND, 900 * MS)
+    assert meter.due_reports(SECOND) == []
+    meter.segment_pending(4 * SECOND, 1, SECOND, 4 * SECOND)
+    assert meter.due_reports(4 * SECOND) == [(1, 0.25)]
 
 
 def test_load_reports_of_a_streamer_are_passed_on_every_two_seconds():
     limiter = ReportRateLimiter()
-    assert [limiter.may_pass(n * S, 1) for n in range(5)] == [True, False, True, False, True]
+    assert [limiter.may_pass(n * SECOND, 1) for n in range(5)] == [True, False, True, False, True]
     for n in range(9000):
-        limiter.may_pass(n * S, n)
+        limiter.may_pass(n * SECOND, n)
     assert len(limiter.last_passed) < 5000
 
 
 def test_answer_is_given_a_tenth_of_the_wait_before_the_deadline():
     harness = CoreHarness()
-    playback = harness.want("paid", time_left=4 * S)
-    harness.wait(4 * S)
+    playback = harness.want("paid", time_left=4 * SECOND)
+    harness.wait(4 * SECOND)
     ((at, answer),) = harness.answers[playback]
-    assert answer.kind is AnswerKind.ABORTED and T0 + 3 * S < at <= T0 + 3700 * MS
+    assert answer.kind is AnswerKind.ABORTED and START + 3 * SECOND < at <= START + 3700 * MS
--- a/tests/test_decision_properties.py
+++ b/tests/test_decision_properties.py
@@ -1,6 +1,6 @@
 """Property tests: generated histories of calls, checked against simple models of the rules."""
 
-from helpers import MS, Front, S, line
+from helpers import MS, SECOND, Front, list_entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -22,14 +22,16 @@
 def test_any_history_of_calls_keeps_the_rules(history, warm):
     front = Front(streamers=5, warm=warm)
     for call, a, b in history:
-        out = [playback for playback in front.c.playbacks.values() if playback.in_progress]
+        out = [playback for playback in front.controller.playbacks.values() if playback.in_progress]
         playback = out[a % len(out)] if out else None
         if call == "want":
-            front.want(["free", "paid"][a % 2], f"t{b % 3}", cells=a % 5, top=b % 4, left=(a % 50) * 100 * MS)
+            front.request(
+                ["free", "paid"][a % 2], f"t{b % 3}", cells=a % 5, top=b % 4, left=(a % 50) * 100 * MS
+            )
         elif call == "play" and playback and playback.state is State.ATTEMPTING:
-            front.play(playback)
+            front.succeed(playback)
         elif call == "end" and playback:
-            front.end(
+            front.end_attempt(
                 playback,
                 BAD[b % len(BAD)] if playback.state is State.ATTEMPTING else Ending.PLAYED_OUT,
                 finished=playback.state is State.PLAYING,
@@ -37,17 +39,19 @@
             )
         elif call == "list":
             standing = [Standing.READY, Standing.DRAINING, Standing.GONE][b % 3]
-            front.list([line(a % 5, a % 4, standing, started=front.now if b > 3 else 0, weight=a % 3)])
+            front.change_list(
+                [list_entry(a % 5, a % 4, standing, started=front.now if b > 3 else 0, weight=a % 3)]
+            )
         elif call == "use":
-            front.use(a % 6, [a / 300, None, -1.0, 1e9][b % 4], [b / 2, None][a % 2])
+            front.report_utilisation(a % 6, [a / 300, None, -1.0, 1e9][b % 4], [b / 2, None][a % 2])
         elif call == "share":
-            front.share(a % 6, a / 999)
+            front.report_delivery(a % 6, a / 999)
         elif call == "left" and playback and playback.state is State.PLAYING:
-            front.c.viewer_left(front.now, playback.id)
+            front.controller.viewer_left(front.now, playback.id)
         elif call == "wait":
-            front.pass_time((a % 40) * 50 * MS)
-    front.pass_time(8 * S)
-    assert not front.c.pending, "a playback has no answer"
+            front.advance((a % 40) * 50 * MS)
+    front.advance(8 * SECOND)
+    assert not front.controller.pending, "a playback has no answer"
 
 
 def naive_fair_rungs(controller, now, rack):
@@ -84,10 +88,12 @@
 def test_fair_rungs_equal_those_of_the_naive_algorithm(requests):
     front = Front(streamers=6)
     for n, (paid, top, use) in enumerate(requests):
-        playback = front.want("paid" if paid else "free", f"t{n}", cells=6, top=max(top, int(paid)))
+        playback = front.request("paid" if paid else "free", f"t{n}", cells=6, top=max(top, int(paid)))
         if playback and playback.state is State.ATTEMPTING:
-            front.play(playback)
+            front.succeed(playback)
         if use < 20:
-            front.use(n % 6, link=use / 20, uplink=0.1 + use / 25)
-        for rack in front.c.racks.values():
-            assert front.c._fair_rungs(front.now, rack) == naive_fair_rungs(front.c, front.now, rack)
+            front.report_utilisation(n % 6, link=use / 20, uplink=0.1 + use / 25)
+        for rack in front.controller.racks.values():
+            assert front.controller._fair_rungs(front.now, rack) == naive_fair_rungs(
+                front.controller, front.now, rack
+            )
--- a/tests/test_stability.py
+++ b/tests/test_stability.py
@@ -7,7 +7,7 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import Front, S
+from helpers import SECOND, Front
 from testbed import in_testbed
 
 from terndrift.audit import seconds
@@ -29,12 +29,12 @@
 
 def fill(front, link):
     """Return two playbacks placed at the top rung of a streamer of 2,000 kB/s, whose link reports `link`."""
-    front.use(0, link=0.0)
-    playing = [front.want(), front.want()]
+    front.report_utilisation(0, link=0.0)
+    playing = [front.request(), front.request()]
     for playback in playing:
-        front.play(playback)
+        front.succeed(playback)
     assert [playback.rung for playback in playing] == [3, 3]
-    front.pass_time(3 * S)
+    front.advance(3 * SECOND)
     report_link(front, link)
     return playing
 
@@ -42,45 +42,45 @@
 def report_link(front, link):
     """Report this utilisation of the streamer's link."""
     for _ in range(2):  # the last two reports are averaged
-        front.use(0, link=link)
+        front.report_utilisation(0, link=link)
 
 
 def test_playbacks_above_their_fair_rung_are_lowered_for_a_newcomer_without_room():
     front = Front(streamers=1)
     playing = fill(front, 1.05)  # over capacity, but not by the tenth that lowers rungs without a newcomer
-    before = front.c.streamers[0].own_demand()
-    playback = front.want()
+    before = front.controller.streamers[0].own_demand()
+    playback = front.request()
     assert playback.state is State.ATTEMPTING, "not placed though own playbacks can free what it needs"
     assert sum(other.rung < 3 for other in playing) == 1
-    assert front.c.streamers[0].own_demand() <= before, "demand must not rise"
+    assert front.controller.streamers[0].own_demand() <= before, "demand must not rise"
 
 
 def test_no_playback_is_lowered_while_there_is_room_or_when_too_little_can_be_freed():
     front = Front(streamers=1)
     playing = fill(front, 0.85)
-    assert front.want().state is State.ATTEMPTING and [other.rung for other in playing] == [3, 3]
+    assert front.request().state is State.ATTEMPTING and [other.rung for other in playing] == [3, 3]
     front = Front(streamers=1)
-    front.use(0, link=0.0)
-    playback = front.want(top=0)
-    front.play(playback)
-    front.pass_time(3 * S)
+    front.report_utilisation(0, link=0.0)
+    playback = front.request(top=0)
+    front.succeed(playback)
+    front.advance(3 * SECOND)
     report_link(front, 1.05)
-    assert front.want().state is State.HELD and playback.rung == 0
+    assert front.request().state is State.HELD and playback.rung == 0
 
 
 def test_a_second_cut_waits_for_a_report_from_after_the_first():
     front = Front(streamers=1, controllers=8)
     playing = fill(front, 1.6)
-    front.pass_time(S // 10)
-    own = front.c.streamers[0].own_demand()
+    front.advance(SECOND // 10)
+    own = front.controller.streamers[0].own_demand()
     assert own < 1600
     report_link(front, 1.59)  # a second old, from before the cut
-    front.pass_time(S // 2)
-    assert front.c.streamers[0].own_demand() == own, "cut again by a report from before the cut"
-    front.pass_time(S)
+    front.advance(SECOND // 2)
+    assert front.controller.streamers[0].own_demand() == own, "cut again by a report from before the cut"
+    front.advance(SECOND)
     report_link(front, 1.58)
-    front.pass_time(S // 10)
-    assert front.c.streamers[0].own_demand() < own and any(playback.rung < 3 for playback in playing)
+    front.advance(SECOND // 10)
+    assert front.controller.streamers[0].own_demand() < own and any(playback.rung < 3 for playback in playing)
 
 
 @pytest.mark.parametrize("controllers", [3, 8])
@@ -105,7 +105,7 @@
 
     `link` is the capacity of the only streamer in bytes per second, `fault` holds further streamer notes.
     """
-    begin, notes = 10 * S, {"viewers": [], "streamers": [*fault], "runner": []}
+    begin, notes = 10 * SECOND, {"viewers": [], "streamers": [*fault], "runner": []}
     notes["runner"] += [
         {
             "what": "fleet",
@@ -119,10 +119,10 @@
     for n in range(playing):
         key = {"streamer": 1, "pb": f"c0~1-{n}", "number": 1}
         notes["streamers"] += [
-            {"what": "try", "t": begin - S, "title": "sorting", "br": 200, "sid": f"p{n}", **key},
-            {"what": "try end", "t": begin - S, "code": 200, "ran": True, **key},
-            {"what": "media", "t": begin - S, "rung": 3, "streamer": 1, "pb": f"c0~1-{n}"},
-            {"what": "farewell", "t": begin + 5 * S, "streamer": 1, "pb": f"c0~1-{n}"},
+            {"what": "try", "t": begin - SECOND, "title": "sorting", "br": 200, "sid": f"p{n}", **key},
+            {"what": "try end", "t": begin - SECOND, "code": 200, "ran": True, **key},
+            {"what": "media", "t": begin - SECOND, "rung": 3, "streamer": 1, "pb": f"c0~1-{n}"},
+            {"what": "farewell", "t": begin + 5 * SECOND, "streamer": 1, "pb": f"c0~1-{n}"},
         ]
     for n in range(requested):
         request = {"ask": f"v{n}/1", "visit": f"v{n}"}
@@ -133,10 +133,10 @@
                 "title": "sorting",
                 "plan": "recorded",
                 "controller": "c0",
-                "until": begin + 3 * S,
+                "until": begin + 3 * SECOND,
                 **request,
             },
-            {"what": "answer", "t": begin + S // 2, "code": 200 if n < answered else 503, **request},
+            {"what": "answer", "t": begin + SECOND // 2, "code": 200 if n < answered else 503, **request},
         ]
     return Facts(run.load("calm-fleet")["deployment"], notes, told_within=0.0)
 
@@ -154,12 +154,12 @@
     assert low(facts_of_second(3, 0)) == 0.0, "three requests are too few to judge"
     streamer_down = {
         "what": "fault",
-        "t": 9 * S,
+        "t": 9 * SECOND,
         "kind": "die",
         "streamers": [1],
         "racks": [],
         "size": 1.0,
-        "lasts": 5 * S,
+        "lasts": 5 * SECOND,
     }
     assert low(facts_of_second(10, 4, fault=[streamer_down])) == 0.0
 
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -2,14 +2,14 @@
 
 import itertools
 
-from helpers import T0, Front, S, line
+from helpers import SECOND, START, Front, list_entry
 
 from terndrift.fleet.messages import AskKnown, Knows
 from terndrift.fleet.ranks import KEY, Ranks, W
 from terndrift.fleet.warm import FADES, HANDS, Known
 from terndrift.fleet.work import LIMIT
 
-COLD = 8 * S
+COLD = 8 * SECOND
 
 
 def same(wall):
@@ -20,7 +20,7 @@
     """Members that each see some streamers, and a clock."""
 
     def __init__(self, count=4):
-        self.now, self.runs = T0, {f"c{n}": 1 for n in range(count)}
+        self.now, self.runs = START, {f"c{n}": 1 for n in range(count)}
         self.known = {n: Known(n, 1, self.now, COLD) for n in self.runs}
 
     def sees(self, who, address, started=5, ill=0, use=40):
@@ -32,7 +32,7 @@
     def run(self, seconds, *seeing):
         """A quarter of a second after the other; `seeing`: (who, address, started) that go on all along."""
         for _ in range(4 * seconds):
-            self.now += S // 4
+            self.now += SECOND // 4
             for who, address, started in seeing:
                 self.sees(who, address, started)
             for who, one in self.known.items():
@@ -61,7 +61,7 @@
     assert one.proven(town.now, {"a": 5, "b": 6}, same) == {"a": 40, "b": 40}
     assert one.proven(town.now, {"a": 7, "b": 6}, same) == {"b": 40}, "a fact of another start is no fact"
     assert one.proven(town.now, {"c": 5}, same) == {}, "nobody saw it"
-    town.run(FADES // S + 1)
+    town.run(FADES // SECOND + 1)
     assert one.proven(town.now, {"a": 5, "b": 6}, same) == {}, "facts fade"
 
 
@@ -85,7 +85,7 @@
     assert town.known["c3"].proven(town.now, {"a": 5}, same), "c0 saw it well after that"
     liar = town.known["c1"]
     for _ in range(3):
-        town.now += S
+        town.now += SECOND
         town.sees("c1", "a", ill=True)
         town.says("c1", "c3", liar._knows(town.now, ["a"]))
     assert town.known["c3"].proven(town.now, {"a": 5}, same)
@@ -119,7 +119,7 @@
         else:
             town.anew(n)
     for _ in range(12):  # three seconds
-        town.now += S // 4
+        town.now += SECOND // 4
         for who, one in town.known.items():
             if who not in old:
                 one.tick(town.now, [n for n in town.known if n != who])
@@ -135,11 +135,11 @@
 def test_what_an_earlier_run_kept_counts_under_the_same_start_and_not_for_long():
     town = Town()
     town.run(12, ("c0", "a", 5))
-    kept = town.known["c0"].keeps(town.now, 500 * S)
+    kept = town.known["c0"].keeps(town.now, 500 * SECOND)
     one = town.anew("c0")
-    one.restore(town.now, 504 * S, kept)
+    one.restore(town.now, 504 * SECOND, kept)
     assert one.proven(town.now, {"a": 5}, same) and not one.proven(town.now, {"a": 6}, same)
-    for wall in (499 * S, 500 * S + 61 * S):  # a clock that was set back; too long ago
+    for wall in (499 * SECOND, 500 * SECOND + 61 * SECOND):  # a clock that was set back; too long ago
         one = town.anew("c0")
         one.restore(town.now, wall, kept)
         assert not one.seen
@@ -174,13 +174,13 @@
     pairs = [("abcdef", "abcd"), ("abcd", "abcdef"), ("abcd", "abef"), ("ab", "abcdef"), ("abcde", "abf")]
     for before, names in pairs:
         old, new = state((before, before)), state((before, before), (names, before))
-        for seen_at in itertools.product((0, LIMIT - S, None, "anew"), repeat=len(all_of)):
+        for seen_at in itertools.product((0, LIMIT - SECOND, None, "anew"), repeat=len(all_of)):
             if seen_at.count("anew") > 2:
                 continue
-            views, at = {n: Ranks() for n in all_of}, T0
+            views, at = {n: Ranks() for n in all_of}, START
             for n in all_of:
                 views[n].look(at - 3 * W, old)
-            for passed in (0, S, LIMIT - 1, LIMIT, W - 1, W, LIMIT + W, 2 * W):
+            for passed in (0, SECOND, LIMIT - 1, LIMIT, W - 1, W, LIMIT + W, 2 * W):
                 now, here = at + passed, {}
                 for n, when in zip(all_of, seen_at, strict=True):
                     if when == "anew":  # it started a moment ago, and has heard
@@ -194,27 +194,27 @@
                         ranks.look(at + when, new)
                         here[n] = ranks, new, 0
                 total = parts(here, now)
-                assert total <= 1 + 1e-9, (before, names, seen_at, passed / S, total)
+                assert total <= 1 + 1e-9, (before, names, seen_at, passed / SECOND, total)
                 least = min(least, total) if passed >= 2 * W and seen_at == (0,) * 6 else least
     assert least > 1 - 1e-9, "once all have seen it the whole pace is used"
 
 
 def test_the_leader_takes_a_name_out_after_a_limit_and_begins_with_the_files_names():
-    ranks, now = Ranks(), T0
+    ranks, now = Ranks(), START
     id, value = ranks.next(now, state(), set("abc"), set("abc"))
     assert id == "ranks/1" and value[KEY]["names"] == value[KEY]["before"] == list("abc")
     assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][KEY]["before"] == []
     one = state(("abc", "abc"))
     ranks.look(now, one)
     for seconds in range(0, 70, 1):
-        found = ranks.next(now + seconds * S, one, set("abc"), set("ab"))
+        found = ranks.next(now + seconds * SECOND, one, set("abc"), set("ab"))
         if found:
             break
-    assert seconds >= 2 * W // S and found[1][KEY]["names"] == list("ab")
+    assert seconds >= 2 * W // SECOND and found[1][KEY]["names"] == list("ab")
     two = state(("abc", "abc"), ("ab", "abc"))
-    ranks.look(now + 100 * S, two)
-    assert ranks.next(now + 101 * S, two, set("abc"), set("abc")) is None, "one after the other"
-    _, back = ranks.next(now + 100 * S + 2 * W, two, set("abc"), set("abc"))
+    ranks.look(now + 100 * SECOND, two)
+    assert ranks.next(now + 101 * SECOND, two, set("abc"), set("abc")) is None, "one after the other"
+    _, back = ranks.next(now + 100 * SECOND + 2 * W, two, set("abc"), set("abc"))
     assert back[KEY]["names"] == list("abc") and back[KEY]["before"] == list("ab")
 
 
@@ -222,27 +222,27 @@
 
 
 def cold_front():
-    front = Front(streamers=1, warm=False, cold_for=8 * S)
-    front.list([line(0, started=T0 - 100 * S)])
+    front = Front(streamers=1, warm=False, cold_for=8 * SECOND)
+    front.change_list([list_entry(0, started=START - 100 * SECOND)])
     return front
 
 
 def sent(front, seconds):
     attempts = 0
     for _ in range(int(seconds * 10)):
-        front.now += S // 10
-        pb = front.want(cells=1, left=S // 2, top=0)
+        front.now += SECOND // 10
+        pb = front.request(cells=1, left=SECOND // 2, top=0)
         attempts += pb is not None and pb.attempts > 0
     return attempts
 
 
 def test_a_restarted_front_places_at_once_on_what_is_proven_warm_and_by_its_turn_on_the_rest():
     paced, proven = cold_front(), cold_front()
-    proven.c.fleet_changed(proven.now, 2, (0, 2), [0])
+    proven.controller.fleet_changed(proven.now, 2, (0, 2), [0])
     assert sent(proven, 2) > 2 * sent(paced, 2), "without the proof a whole warm-up is waited for"
     none = cold_front()
-    none.c.fleet_changed(none.now, 2, None)
+    none.controller.fleet_changed(none.now, 2, None)
     assert sent(none, 6) == 0, "no turn, and not proven"
     # proven for the start that the list said: a new one is cold again
-    proven.list([line(0, started=proven.now)])
-    assert proven.c._cold_slot(proven.now, proven.c.streamers[0]) is not None
+    proven.change_list([list_entry(0, started=proven.now)])
+    assert proven.controller._cold_slot(proven.now, proven.controller.streamers[0]) is not None
