--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,10 +22,8 @@
 from terndrift.platform import service as service_module
 from terndrift.platform import settings
 from terndrift.platform import transport as carrier_module
-from terndrift.platform.attempt import TRANSITIONS as ATTEMPT_TRANSITIONS
-from terndrift.platform.attempt import Attempt, AttemptState
-from terndrift.platform.connection import TRANSITIONS as CONNECTION_TRANSITIONS
-from terndrift.platform.connection import Connection, ConnectionState
+from terndrift.platform.attempt import ATTEMPT_TRANSITIONS, Attempt, AttemptState
+from terndrift.platform.connection import CONNECTION_TRANSITIONS, Connection, ConnectionState
 from terndrift.platform.descriptors import RESERVED_DESCRIPTORS, divide_descriptors
 from terndrift.platform.listener import Listener
 from terndrift.platform.message import decode_messages, encode_message, encode_release
@@ -765,10 +763,12 @@
 def test_descriptor_budgets_stay_within_the_limit():
     for limit in (16, 32, 48, 64, 256, 1024, 65536):
         budgets = divide_descriptors(limit)
-        assert budgets.viewers + budgets.streamers + RESERVED_DESCRIPTORS <= limit
-        assert budgets.viewers >= 2 and (limit < 48 or budgets.viewers >= limit // 3), (
-            "well-behaved viewers hold up to a third"
+        assert (
+            budgets.max_viewer_connections + budgets.max_streamer_connections + RESERVED_DESCRIPTORS <= limit
         )
+        assert budgets.max_viewer_connections >= 2 and (
+            limit < 48 or budgets.max_viewer_connections >= limit // 3
+        ), "well-behaved viewers hold up to a third"
 
 
 class SocketWithoutDescriptors:
@@ -825,7 +825,7 @@
 @in_testbed(streamers=4)
 async def test_streamer_connections_stay_within_their_descriptor_budget(testbed):
     budgets = testbed.service.configuration.descriptors
-    object.__setattr__(budgets, "streamers", 2)
+    object.__setattr__(budgets, "max_streamer_connections", 2)
     viewer = await testbed.viewer()
     for n in range(8):
         id, streamer = await testbed.set_up_playback(viewer, figures=f"home:{n % 4};copies:1;top:2")
@@ -842,12 +842,16 @@
     budgets = testbed.service.configuration.descriptors
     viewer = await testbed.viewer()
     id, first_streamer = await testbed.set_up_playback(viewer, figures="home:0;copies:1;top:2")
-    object.__setattr__(budgets, "streamers", 1)
+    object.__setattr__(budgets, "max_streamer_connections", 1)
     other_id = viewer.send_set_up(figures="home:1;copies:1;top:2", plan="paid")
     answer = await viewer.receive()
     assert (answer.id, answer.cause) == (other_id, m.REJECTED), "the set-up was never sent"
     streamer_state = testbed.streamer_state("s-00000001")
-    assert streamer_state.down is None and not streamer_state.gap and id in testbed.service.front.sessions
+    assert (
+        streamer_state.failed_at is None
+        and not streamer_state.backoff
+        and id in testbed.service.front.sessions
+    )
 
 
 @in_testbed(behaviour="silent", streamers=2)
