--- a/terndrift/audit/overload.py
+++ b/terndrift/audit/overload.py
@@ -6,7 +6,7 @@
 from terndrift.audit.recovery import full_at, peak
 from terndrift.audit.seconds import played, rows, seatless
 from terndrift.deployment import build_plans
-from terndrift.fleet.shed import importance
+from terndrift.fleet.shedding import importance
 
 SECOND = 1_000_000_000
 # Of one second and all controllers, so many pairs of a less important one taken and a more important one
--- a/terndrift/cli/fleet.py
+++ b/terndrift/cli/fleet.py
@@ -8,7 +8,7 @@
 import click
 
 from terndrift.cli.stored import address, ask, fail, kept_in, shown
-from terndrift.fleet import surge
+from terndrift.fleet import overload_control
 from terndrift.fleet.raft import PersistentState
 from terndrift.fleet.service import STREAM
 
@@ -180,7 +180,7 @@
         fail(value["error"], 2)
     if level > len(value["order"]):
         fail(f"level: {level} where there are {len(value['order'])} plans", 2)
-    _agreed(admin, *surge.hold(level, seconds, who(), wall()))
+    _agreed(admin, *overload_control.hold(level, seconds, who(), wall()))
 
 
 @shed.command("release")
@@ -189,7 +189,7 @@
     """Go by what the fleet settles again."""
     from terndrift.cli.work import wall
 
-    _agreed(admin, *surge.release(wall()))
+    _agreed(admin, *overload_control.release(wall()))
 
 
 def _agreed(admin, id, value):
--- a/terndrift/fleet/copies.py
+++ b/terndrift/fleet/catalogue_sync.py
@@ -22,8 +22,8 @@
 # than half of all controllers, but at most MAX_RESPONSES_NEEDED: where half of them have the newest change,
 # the chance that all of these lack it is 1 in 4,096.
 REQUEST_INTERVAL_NS, PARALLEL_REQUESTS, MAX_RESPONSES_NEEDED = SECOND // 4, 4, 12
-# As long as the recovery stage in which it waits (stages.STAGE_TIMEOUT_NS). A controller that reaches no
-# other then serves what it has.
+# As long as the recovery stage in which it waits (recovery_stages.STAGE_TIMEOUT_NS). A controller that
+# reaches no other then serves what it has.
 SYNC_TIMEOUT_NS = 6 * SECOND
 # Change ids in a message, so that it fits a datagram. A controller further behind than this still lacks the
 # newest change, so it is found to be behind.
--- a/terndrift/fleet/findings.py
+++ b/terndrift/fleet/failing_streamers.py
@@ -1,8 +1,9 @@
 """Detects streamers that fail for the whole fleet, and limits attempts at them to one controller at a time.
 
 Each controller records the failed and successful set-ups at streamers that it excludes from placement. The
-tables travel with the load reports (load.py, beside.py) and are merged on the way; surge.py applies the
-verdicts of `judged`. Free of I/O; it never sends anything or changes a placement itself.
+tables travel with the load reports (load_reports.py, load_supplement.py) and are merged on the way;
+overload_control.py applies the verdicts of `judged`. Free of I/O; it never sends anything or changes a
+placement itself.
 
 A row describes one streamer, in the order of the indexes BY to PLAYED: how many controllers exclude it; ms
 since its last failure there, since the first of them excluded it, and since its last successful set-up (-1:
--- a/terndrift/fleet/crowds.py
+++ b/terndrift/fleet/heavy_keys.py
@@ -1,9 +1,9 @@
 """Caps on dominant keys under overload: a key is one title or one address, written "<kind> <name>".
 
 Where one title or one address causes most of all requests, its viewers are reduced to a share of the capacity
-first, and the shedding level (shed.py) applies to what is left. Each controller sends its most requested keys
-in load reports; sums are of the whole fleet. The controller that decides the level decides the caps too: its
-`Level` owns a `Caps` and steps it, and surge.py applies the parts. This module does no I/O.
+first, and the shedding level (shedding.py) applies to what is left. Each controller sends its most requested
+keys in load reports; sums are of the whole fleet. The controller that decides the level decides the caps too:
+its `Level` owns a `Caps` and steps it, and overload_control.py applies the parts. This module does no I/O.
 
 A cap protects the viewers of everything else, in every plan, against one title or one client that is
 requested many times more often than usual. It would do harm where that title is what all viewers want. It is
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -1,8 +1,8 @@
 """Fleet-wide rate limits, granted as leases: extra attempts, new connections to a streamer, calls to sources.
 
 Each controller owns one `Leases`. The fleet's member (member.py) passes it the lease messages, calls `tick`
-and sends what it puts into `out`; surge.py tells it the demand and asks it before each limited action. This
-module does no I/O.
+and sends what it puts into `out`; overload_control.py tells it the demand and asks it before each limited
+action. This module does no I/O.
 
 GUARANTEED_SHARE of each limit is split evenly among all controllers that the configuration names, and is
 theirs whatever they know of the others. The rest is granted for a short time by the leader of the record, by
--- a/terndrift/fleet/load.py
+++ b/terndrift/fleet/load_reports.py
@@ -1,7 +1,7 @@
 """Load reports: the fleet-wide sums of requests and answers, kept by each controller without a central node.
 
 The fleet's member (member.py) owns a `Loads`, passes received `FleetLoad` messages to it and sends what it
-puts into `out`; surge.py fills in the local figures and reads the totals. This module does no I/O.
+puts into `out`; overload_control.py fills in the local figures and reads the totals. This module does no I/O.
 
 Members are sorted by name and split into groups of about sqrt(n). Twice a second each member sends its
 complete counts of the last WINDOW_SECONDS seconds to the two collectors of its group: the first two of the
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from terndrift.fleet import beside
+from terndrift.fleet import load_supplement
 from terndrift.fleet.messages import FleetLoad, Piggyback
 from terndrift.fleet.recent_counts import LOAD_REPORT_INTERVAL, SECOND, CountsBySecond
 
@@ -88,7 +88,9 @@
         shaped
         and all(0 <= n <= MAX_COUNT_PER_MEMBER * report.member_count for row in rows for n in row)
         and 0 <= report.shed_level < 100
-        and beside.sound(report.piggyback, report.member_count, MAX_COUNT_PER_MEMBER * report.member_count)
+        and load_supplement.sound(
+            report.piggyback, report.member_count, MAX_COUNT_PER_MEMBER * report.member_count
+        )
     )
 
 
@@ -96,9 +98,9 @@
     """The load reports that one controller holds and sends, and the shedding level carried with them.
 
     `own(now)` returns the local ({plan: row}, row of other counts); while it is None nothing is sent or
-    accepted. `own_beside(now)` returns the local `Piggyback` or None. Both are set by surge.py. `out`
-    collects (recipient, message) for the member to send. All times are in ns of the controller's monotonic
-    clock.
+    accepted. `own_beside(now)` returns the local `Piggyback` or None. Both are set by overload_control.py.
+    `out` collects (recipient, message) for the member to send. All times are in ns of the controller's
+    monotonic clock.
     """
 
     def __init__(self, own_name, names, now):
@@ -146,7 +148,7 @@
         self.member_reports = {
             n: x for n, x in self.member_reports.items() if now - x[1] < REPORT_LIFETIME_NS
         }
-        group_beside = beside.merged(
+        group_beside = load_supplement.merged(
             [(report.piggyback, now - at) for report, at in self.member_reports.values()]
         )
         group_report = self._report(
@@ -245,7 +247,7 @@
         )
 
     def _beside(self, now):
-        return beside.merged(
+        return load_supplement.merged(
             [
                 (report.piggyback, now - at)
                 for report, at in self.group_reports.values()
@@ -265,7 +267,7 @@
         """The fleet's `Piggyback` that belongs to `total`, with its ages as of now."""
         received = self._received_total(now, self._sum(now))
         carried = (
-            beside.merged([(received.piggyback, now - self.total_report[1])])
+            load_supplement.merged([(received.piggyback, now - self.total_report[1])])
             if received
             else self._beside(now)
         )
--- a/terndrift/fleet/beside.py
+++ b/terndrift/fleet/load_supplement.py
@@ -1,11 +1,12 @@
 """Merges and validates the supplement of the load reports between controllers (messages.Beside).
 
-The supplement carries failing streamers (findings.py), advised retries (returns.py), the heaviest keys
-(crowds.py), the names of strained controllers (strain.py) and the caps decided with the shedding level. Each
-part is handled by the functions of its own module; load.py calls the two functions here. Free of I/O.
+The supplement carries failing streamers (failing_streamers.py), advised retries (retry_schedule.py), the
+heaviest keys (heavy_keys.py), the names of strained controllers (local_overload.py) and the caps decided with
+the shedding level. Each part is handled by the functions of its own module; load_reports.py calls the two
+functions here. Free of I/O.
 """
 
-from terndrift.fleet import crowds, findings, returns
+from terndrift.fleet import failing_streamers, heavy_keys, retry_schedule
 from terndrift.fleet.messages import Piggyback
 
 MS = 1_000_000  # ns
@@ -18,11 +19,13 @@
     if not parts:
         return None
     return Piggyback(
-        failures=findings.merge_tables([findings.age_table(one.failures, age // MS) for one, age in parts]),
-        expected_returns=returns.merge_tables(
-            [returns.age_table(one.expected_returns, age) for one, age in parts]
+        failures=failing_streamers.merge_tables(
+            [failing_streamers.age_table(one.failures, age // MS) for one, age in parts]
         ),
-        request_counts=crowds.merged([one.request_counts for one, _ in parts]),
+        expected_returns=retry_schedule.merge_tables(
+            [retry_schedule.age_table(one.expected_returns, age) for one, age in parts]
+        ),
+        request_counts=heavy_keys.merged([one.request_counts for one, _ in parts]),
         overloaded=sorted({name for one, _ in parts for name in one.overloaded})[:MAX_STRAINED],
     )
 
@@ -34,11 +37,11 @@
     been asked for.
     """
     return supplement is None or (
-        findings.is_valid_table(supplement.failures, members)
-        and crowds.sound(supplement.request_counts, max_requests)
+        failing_streamers.is_valid_table(supplement.failures, members)
+        and heavy_keys.sound(supplement.request_counts, max_requests)
         and len(supplement.overloaded) <= MAX_STRAINED
-        and len(supplement.expected_returns) <= returns.MAX_SECONDS_AHEAD + 1
+        and len(supplement.expected_returns) <= retry_schedule.MAX_SECONDS_AHEAD + 1
         and all(0 <= count <= max_requests for count in supplement.expected_returns)
-        and len(supplement.shed_shares) <= 2 * crowds.KEYS
+        and len(supplement.shed_shares) <= 2 * heavy_keys.KEYS
         and all(0 <= part <= 1 for part in supplement.shed_shares.values())
     )
--- a/terndrift/fleet/strain.py
+++ b/terndrift/fleet/local_overload.py
@@ -1,8 +1,8 @@
 """Detects overload of a single controller: a late event loop, or file descriptors or memory near the limit.
 
-A strained controller sheds in the fleet's order of plans (shed.py), by a level of its own on top of the
-fleet's. surge.py calls `Strain.second`, reports the strain to the other controllers and redirects viewers to
-them where it can. Free of I/O; it decides only the level.
+A strained controller sheds in the fleet's order of plans (shedding.py), by a level of its own on top of the
+fleet's. overload_control.py calls `Strain.second`, reports the strain to the other controllers and redirects
+viewers to them where it can. Free of I/O; it decides only the level.
 
 This guards against a controller that accepts, and answers late, viewers for whom its neighbours have
 capacity. It could do harm where all controllers are strained alike: viewers are then redirected once and
@@ -16,7 +16,7 @@
 MAX_USE = 0.9  # of descriptors or memory; the rest is needed to end running playbacks
 RECOVERED_USE = 0.8
 RECOVERY_HOLD_NS = 3 * SECOND  # without strain before the level falls
-STEP = 0.5  # plans a second on the way up, half of it on the way down: up faster than down, as in shed.py
+STEP = 0.5  # plans a second on the way up, half of it on the way down: up faster than down, as in shedding.py
 
 
 class Standing(Enum):
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -203,7 +203,7 @@
     out_in_earlier_epoch: dict[str, dict] = {}
 
 
-# Observations of streamers (warm.py).
+# Observations of streamers (streamer_observations.py).
 
 
 class Observation(msgspec.Struct, array_like=True, frozen=True):
@@ -231,7 +231,7 @@
     is_response: bool = False  # responds to an `ObservationsRequest`, with all that the sender has
 
 
-# Catalogues (copies.py).
+# Catalogues (catalogue_sync.py).
 
 
 class CatalogueHeadRequest(Message, tag="AskHead"):
@@ -246,13 +246,13 @@
     confirmed: bool = False  # confirmed by the responses of other controllers that no catalogue is ahead
 
 
-# Load reports (load.py) and the data piggybacked on them (beside.py).
+# Load reports (load_reports.py) and the data piggybacked on them (load_supplement.py).
 
 
 class Piggyback(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
     """Data piggybacked on a `FleetLoad`."""
 
-    failures: dict[str, list[int]] = {}  # streamer -> row of its failures (findings.py)
+    failures: dict[str, list[int]] = {}  # streamer -> row of its failures (failing_streamers.py)
     expected_returns: list[int] = []  # viewers told to come back, by second from now
     request_counts: dict[str, int] = {}  # the most requested titles and addresses -> requests
     overloaded: list[str] = []  # names of overloaded controllers
--- a/terndrift/fleet/sight.py
+++ b/terndrift/fleet/observation_collector.py
@@ -1,9 +1,10 @@
 """Collection of what this controller's traffic and list say of streamers, and its use after a start.
 
-The fleet service calls `look` periodically. It passes own observations to the store in warm.py, from which
-other controllers get them, saves them for the next run, and reports to the core, by one call of the
-decisions' contract, how many controllers there are, which slow start share this one has and which streamers
-are proven warm. This module must never make a placement decision, and does no I/O; the owner writes the file.
+The fleet service calls `look` periodically. It passes own observations to the store in
+streamer_observations.py, from which other controllers get them, saves them for the next run, and reports to
+the core, by one call of the decisions' contract, how many controllers there are, which slow start share this
+one has and which streamers are proven warm. This module must never make a placement decision, and does no
+I/O; the owner writes the file.
 """
 
 import msgspec
@@ -11,7 +12,7 @@
 from terndrift.core.active_playback import AnswerKind
 from terndrift.fleet.membership import Standing
 from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS, is_fresh_enough_to_place
-from terndrift.fleet.warm import OBSERVATION_LIFETIME_NS, SECOND
+from terndrift.fleet.streamer_observations import OBSERVATION_LIFETIME_NS, SECOND
 
 # Mean rate of bytes that saving may write to the disk, and the least time between saves.
 SAVE_BYTES_PER_SECOND, MIN_SAVE_INTERVAL_NS = 4096, 10 * SECOND
@@ -21,7 +22,7 @@
     """Contents of the file for the next run."""
 
     at: int  # when it was saved, in ns since 1970
-    rows: list[tuple[str, int, int, int, int]]  # from warm.Known.export_own
+    rows: list[tuple[str, int, int, int, int]]  # from streamer_observations.Known.export_own
     turn: tuple[int, int] | None = None  # slow start share: (rank, number of ranks)
     age: int | None = None  # age of the agreed state when saved, in ns
 
--- a/terndrift/fleet/surge.py
+++ b/terndrift/fleet/overload_control.py
@@ -10,14 +10,14 @@
 import zlib
 
 from terndrift.core.active_playback import AnswerKind
-from terndrift.fleet import crowds, findings, load
+from terndrift.fleet import failing_streamers, heavy_keys, load_reports
 from terndrift.fleet.leases import KeyedRateLimiter, Leases
-from terndrift.fleet.load import LoadCounter
+from terndrift.fleet.load_reports import LoadCounter
+from terndrift.fleet.local_overload import Strain
 from terndrift.fleet.messages import Piggyback
 from terndrift.fleet.recent_counts import SECOND, WINDOW_SECONDS, CountsBySecond
-from terndrift.fleet.returns import Book
-from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
-from terndrift.fleet.strain import Strain
+from terndrift.fleet.retry_schedule import Book
+from terndrift.fleet.shedding import Level, importance, is_shed, shed_parts
 from terndrift.interface import Ending, State
 
 # Key in the record's map of a level set by an operator: {"level", "until" (ms since 1970), "by"}.
@@ -43,8 +43,8 @@
         self.plans, self.order, self.counter = plans, importance(plans), LoadCounter()
         now = self.clock.now()
         # failed_streamers: ids with a failed set-up or playback since the last `look`
-        self.findings, self.failed_streamers = findings.Own(), set()
-        self.key_counter, self.failed_attempts = crowds.Own(), CountsBySecond(lambda: [0])
+        self.findings, self.failed_streamers = failing_streamers.Own(), set()
+        self.key_counter, self.failed_attempts = heavy_keys.Own(), CountsBySecond(lambda: [0])
         self.return_times, self.draw_count = Book(self.core.deployment.rules.longest_advice), 0
         # told: what the core was last told: (extra attempts, streamer id -> may attempt, return times in ns)
         self.strain, self.told = Strain(len(plans)), (None, {}, ())
@@ -69,7 +69,7 @@
         """Called by the core with each of its events."""
         now = self.clock.now()
         if event == "wanted":
-            self.counter.count(now, playback.request.plan, load.WANTED)
+            self.counter.count(now, playback.request.plan, load_reports.WANTED)
         elif event == "answer":
             plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.request.plan
             self.return_times.books(now, facts["come_back"])
@@ -79,12 +79,18 @@
             # seconds. Counting them would raise the level again for a cause that the last raise has removed.
             if playback.accepted_at < self.raised_at:
                 return
-            column = load.IN_TARGET if facts["took"] <= self.plans[plan].startup_target else load.LATE
-            self.counter.count(now, plan, load.ANSWERED, column if plays else load.TURNED_AWAY)
+            column = (
+                load_reports.IN_TARGET
+                if facts["took"] <= self.plans[plan].startup_target
+                else load_reports.LATE
+            )
+            self.counter.count(
+                now, plan, load_reports.ANSWERED, column if plays else load_reports.TURNED_AWAY
+            )
         elif event == "try":
             self.findings.tries(now, self.address(playback.streamer.id))
             if facts["number"] > 1:
-                self.counter.count_other(now, load.EXTRA_ATTEMPTS)
+                self.counter.count_other(now, load_reports.EXTRA_ATTEMPTS)
                 self.leases.consume(now, "extra")
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in FAILED_ENDINGS):
             # `look` checks whether the core has set the streamer aside for it.
@@ -94,14 +100,14 @@
     def gate(self, plan, wait):
         """Called when this controller's own bounds turned a viewer away, to come back after `wait` ns."""
         now = self.clock.now()
-        self.counter.count(now, plan, load.WANTED, load.ANSWERED, load.TURNED_AWAY)
+        self.counter.count(now, plan, load_reports.WANTED, load_reports.ANSWERED, load_reports.TURNED_AWAY)
         self.return_times.books(now, wait)
 
     def connecting(self, address):
         """Returns ns to wait before a new connection to a streamer, or None where it must not be made."""
         wait = self.connection_limiter.reserve(self.clock.now(), address)
         if wait is not None:
-            self.counter.count_other(self.clock.now(), load.CONNECTIONS)
+            self.counter.count_other(self.clock.now(), load_reports.CONNECTIONS)
         return wait
 
     def calling(self):
@@ -141,13 +147,17 @@
         self.call_limiter.update_demand(now)
         rides = self.controller.load_reports.rides(now)
         alive = {self.controller.own_name, *self.controller.membership.alive_names()}
-        judged = findings.judged(now, self.controller.own_name, rides.failures, alive, self.findings.tried)
+        judged = failing_streamers.judged(
+            now, self.controller.own_name, rides.failures, alive, self.findings.tried
+        )
         may_attempt = (
             {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
         )
         plans, _, _ = self.controller.load_reports.total(now)
-        wanted_rate = sum(row[load.WANTED] for row in plans.values()) / WINDOW_SECONDS
-        self.return_times.serves(now, sum(row[load.IN_TARGET] for row in plans.values()) / WINDOW_SECONDS)
+        wanted_rate = sum(row[load_reports.WANTED] for row in plans.values()) / WINDOW_SECONDS
+        self.return_times.serves(
+            now, sum(row[load_reports.IN_TARGET] for row in plans.values()) / WINDOW_SECONDS
+        )
         told = (
             self.leases.available(now, "extra"),
             may_attempt,
@@ -177,7 +187,7 @@
         return self.controller.load_reports.in_force(now)
 
     def sheds(self, plan, viewer, *keys):
-        """Decides on a viewer's request and counts it; `keys`: his title and address as in crowds.py.
+        """Decides on a viewer's request and counts it; `keys`: his title and address as in heavy_keys.py.
 
         Returns None where he is taken, else (ns after which to come back, whether he may be sent on to
         another controller because only this one is overloaded).
@@ -187,13 +197,13 @@
         level, own_level = self.level(), self.strain.level
         caps = self.controller.load_reports.caps_in_force(now)
         if any(is_shed(now, caps.get(key, 0.0), viewer) for key in keys):
-            self.counter.count(now, plan, load.WANTED)
+            self.counter.count(now, plan, load_reports.WANTED)
         elif level and is_shed(now, shed_parts(level, self.order).get(plan, 0.0), viewer):
-            self.counter.count(now, plan, load.WANTED, load.SHED)
+            self.counter.count(now, plan, load_reports.WANTED, load_reports.SHED)
         elif own_level and is_shed(now, shed_parts(own_level, self.order).get(plan, 0.0), viewer):
             if self.elsewhere():
                 return self._return_time(now), True
-            self.counter.count(now, plan, load.WANTED, load.SHED)
+            self.counter.count(now, plan, load_reports.WANTED, load_reports.SHED)
         else:
             return None
         wait = self._return_time(now)
@@ -224,9 +234,9 @@
             "name": self.controller.own_name,
             "members": members,
             "plans": rows,
-            "extra_tries": others[load.EXTRA_ATTEMPTS] / WINDOW_SECONDS,
-            "connections": others[load.CONNECTIONS] / WINDOW_SECONDS,
-            "open": others[load.OPEN_SETUPS],
+            "extra_tries": others[load_reports.EXTRA_ATTEMPTS] / WINDOW_SECONDS,
+            "connections": others[load_reports.CONNECTIONS] / WINDOW_SECONDS,
+            "open": others[load_reports.OPEN_SETUPS],
             "level": round(level, 3),
             "decided_by": by,
             "age_s": round((now - at) / SECOND, 1),
@@ -235,13 +245,13 @@
             "come_back": rides.expected_returns,
             "failing": {
                 a: {
-                    "by": row[findings.BY],
+                    "by": row[failing_streamers.BY],
                     "tried_here": self.may_attempt(a),
-                    "failed": row[findings.FAILED],
-                    "played": row[findings.PLAYED],
+                    "failed": row[failing_streamers.FAILED],
+                    "played": row[failing_streamers.PLAYED],
                 }
                 for a, row in rides.failures.items()
-                if row[findings.BY]
+                if row[failing_streamers.BY]
             },
             "leases": self.leases.report(now),
             "strained": rides.overloaded,
--- a/terndrift/fleet/elsewhere.py
+++ b/terndrift/fleet/redirect_targets.py
@@ -15,7 +15,8 @@
 from terndrift.fleet.work_budget import CONTROLLER_PREFIX
 
 FRONT_KEY_PREFIX = "front/"  # keys of the record's map: prefix and name -> URL without a path
-# A member alive for a shorter time may have just started and not accept viewers yet (copies.py: 6 s at most).
+# A member alive for a shorter time may have just started and not accept viewers yet (catalogue_sync.py: 6 s
+# at most).
 MIN_ALIVE_NS = 8_000_000_000
 
 
--- a/terndrift/fleet/returns.py
+++ b/terndrift/fleet/retry_schedule.py
@@ -2,7 +2,8 @@
 
 Each controller counts, second by second, the retries that it has advised (`Book`), and sends the counts with
 its load reports; so each knows, with a delay of half a second, how many viewers all controllers expect in
-each of the next seconds. surge.py records the advice here and passes new advice on to the core. Free of I/O.
+each of the next seconds. overload_control.py records the advice here and passes new advice on to the core.
+Free of I/O.
 
 A retry is put into a second drawn at random, weighted by the room left in it. The first free second would be
 wrong, as all controllers work from the same figures and would choose the same one. The capacity is the best
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -18,19 +18,19 @@
 from terndrift.catalogue.versions import Conflict, change_of
 from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import InconsistentRecordError
+from terndrift.fleet.catalogue_sync import COPY as COPY_ID_PREFIX
+from terndrift.fleet.catalogue_sync import Copies
+from terndrift.fleet.catalogue_sync import Standing as CopyStanding
 from terndrift.fleet.committed_state import initial_state
-from terndrift.fleet.copies import COPY as COPY_ID_PREFIX
-from terndrift.fleet.copies import Copies
-from terndrift.fleet.copies import Standing as CopyStanding
-from terndrift.fleet.elsewhere import Elsewhere
 from terndrift.fleet.member import Controller
 from terndrift.fleet.messages import MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, decode
+from terndrift.fleet.observation_collector import Kept
+from terndrift.fleet.overload_control import LOOKS
 from terndrift.fleet.planned_work import REVISION_KEY
+from terndrift.fleet.planned_work_site import OfLate
 from terndrift.fleet.raft import PersistentState
-from terndrift.fleet.sight import Kept
-from terndrift.fleet.site import OfLate
-from terndrift.fleet.stages import HOLDS, Return
-from terndrift.fleet.surge import LOOKS
+from terndrift.fleet.recovery_stages import HOLDS, Return
+from terndrift.fleet.redirect_targets import Elsewhere
 from terndrift.http.client import Broken, Pool, Unreached, fetch
 from terndrift.http.server import Server
 from terndrift.store.commit import Committer
@@ -91,12 +91,12 @@
         self.startup_target = startup_target
         self.value, self.me, self.clock, self.log = value, me, clock, log
         self.dropped, self.body_tasks, self.pool = Counter(), set(), Pool(2)
-        self.site = None  # site.Site, if this controller takes part in planned work
+        self.site = None  # planned_work_site.Site, if this controller takes part in planned work
         self.logged_level = 0.0
-        self.surge = None  # surge.Surge, if this controller sheds by the fleet's level
+        self.surge = None  # overload_control.Surge, if this controller sheds by the fleet's level
         # set by `serves`; the task that takes a copy; whether a copy is being sent
         self.catalogue, self.copy_task, self.sending_copy = None, None, False
-        # sight.Sight; the file that keeps its observations over a restart, "" for none
+        # observation_collector.Sight; the file that keeps its observations over a restart, "" for none
         self.sight, self.keep_in = None, ""
         self.back, self.answers = Return(clock.now(), True), OfLate(HOLDS)
         self.worked = asyncio.Event()  # set when planned work was agreed on; the service clears it
--- a/terndrift/fleet/shed.py
+++ b/terndrift/fleet/shedding.py
@@ -1,9 +1,9 @@
 """Load shedding: one level and one order of plans for the whole fleet, where it is asked for more than it can
 answer in time.
 
-surge.py asks `is_shed` before a viewer gets a playback. The controller that decides for the fleet, the first
-one alive, steps its `Level` on the sums of all (member.py); the others apply the level that they receive in
-load reports. This module does no I/O and never ends a running playback.
+overload_control.py asks `is_shed` before a viewer gets a playback. The controller that decides for the fleet,
+the first one alive, steps its `Level` on the sums of all (member.py); the others apply the level that they
+receive in load reports. This module does no I/O and never ends a running playback.
 
 A level of 1.4 sheds all requests for the least important plan and 0.4 of those for the next one. As all
 controllers apply one level and one order, none takes a less important playback while another turns away a
@@ -31,8 +31,8 @@
 from collections import deque
 from math import ceil
 
-from terndrift.fleet.crowds import Caps
-from terndrift.fleet.load import ANSWERED, IN_TARGET, SHED, WANTED
+from terndrift.fleet.heavy_keys import Caps
+from terndrift.fleet.load_reports import ANSWERED, IN_TARGET, SHED, WANTED
 from terndrift.fleet.recent_counts import LOAD_REPORT_INTERVAL, SECOND, WINDOW_SECONDS
 
 HIGH_BAD_RATIO, LOW_BAD_RATIO, ALLOWED_BAD = 0.15, 0.05, 2
@@ -83,8 +83,8 @@
     def step(self, now, plans, keys=()):
         """Updates the level and the caps, and returns the level.
 
-        `plans`: plan -> row of the fleet's sums of the last WINDOW_SECONDS seconds (load.py); `keys`:
-        requests of the most requested keys (crowds.py).
+        `plans`: plan -> row of the fleet's sums of the last WINDOW_SECONDS seconds (load_reports.py); `keys`:
+        requests of the most requested keys (heavy_keys.py).
         """
         wanted, answered, in_target = (
             sum(row[n] for row in plans.values()) for n in (WANTED, ANSWERED, IN_TARGET)
--- a/terndrift/fleet/warm.py
+++ b/terndrift/fleet/streamer_observations.py
@@ -1,8 +1,9 @@
 """Observations of streamers that prove, after a restart, which of them are warm.
 
 An observation says which controller saw a streamer run, under which start, since when and until when. The
-fleet's Controller calls this module to exchange observations with other members; sight.py adds this
-controller's own, stores them for its next run and asks which streamers are proven warm. It does no I/O.
+fleet's Controller calls this module to exchange observations with other members; observation_collector.py
+adds this controller's own, stores them for its next run and asks which streamers are proven warm. It does no
+I/O.
 
 A streamer must never be taken for warm on one source alone. It takes two: the list heard in this run, which
 says when the streamer started, and an observer who saw it run for a whole warm-up under that very start and
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -7,10 +7,10 @@
 from terndrift.audit import recovery
 from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import build_deployment
-from terndrift.fleet.sight import Sight
+from terndrift.fleet.observation_collector import Sight
+from terndrift.fleet.planned_work_site import OfLate
+from terndrift.fleet.recovery_stages import HOLDS, Return
 from terndrift.fleet.simulated_fleet import SimulatedFleet
-from terndrift.fleet.site import OfLate
-from terndrift.fleet.stages import HOLDS, Return
 from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.rehearse import virtual
 from terndrift.rehearse.virtual import SECOND, WAY
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -17,10 +17,10 @@
 from terndrift.core.core import Core
 from terndrift.core.runner import Clock, CoreRunner
 from terndrift.decide import Controller
+from terndrift.fleet.observation_collector import Sight
+from terndrift.fleet.overload_control import Surge
+from terndrift.fleet.planned_work_site import Site
 from terndrift.fleet.service import Fleet, settled
-from terndrift.fleet.sight import Sight
-from terndrift.fleet.site import Site
-from terndrift.fleet.surge import Surge
 from terndrift.http.client import Pool
 from terndrift.http.front import Front, Served
 from terndrift.http.server import Server
--- a/terndrift/xds/follow.py
+++ b/terndrift/xds/follow.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from terndrift.fleet.site import SOURCE as WORK
+from terndrift.fleet.planned_work_site import SOURCE as WORK
 from terndrift.listing.file import Followed
 from terndrift.listing.service import Listing
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from terndrift.fleet.copies import MAX_RESPONSES_NEEDED, SYNC_TIMEOUT_NS, Copies, Standing
+from terndrift.fleet.catalogue_sync import MAX_RESPONSES_NEEDED, SYNC_TIMEOUT_NS, Copies, Standing
 from terndrift.fleet.messages import CatalogueHead, CatalogueHeadRequest
 
 S = 1_000_000_000
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -5,11 +5,11 @@
 import pytest
 from helpers import deployment
 
-from terndrift.fleet import load, shed
-from terndrift.fleet.load import REPORT_LIFETIME_NS, LoadCounter, Loads
+from terndrift.fleet import load_reports, shedding
+from terndrift.fleet.load_reports import REPORT_LIFETIME_NS, LoadCounter, Loads
 from terndrift.fleet.messages import FleetLoad
 from terndrift.fleet.recent_counts import WINDOW_SECONDS
-from terndrift.fleet.shed import Level, importance, is_shed, shed_parts
+from terndrift.fleet.shedding import Level, importance, is_shed, shed_parts
 
 SECOND = 1_000_000_000
 
@@ -153,7 +153,7 @@
 def test_local_counts_cover_whole_seconds_of_the_window_only():
     counter, now = LoadCounter(), 1000 * SECOND
     for n in range(40):
-        counter.count(now + n * SECOND // 4, "free", load.WANTED)
+        counter.count(now + n * SECOND // 4, "free", load_reports.WANTED)
     plans, others = counter.recent(now + 10 * SECOND, 7)
     assert plans == {"free": [8, 0, 0, 0, 0, 0]} and others == [0, 0, 7]
     assert counter.recent(now + 20 * SECOND, 0)[0] == {}
@@ -180,7 +180,7 @@
     assert first <= {v for v in viewers if is_shed(now, 0.5, v)}, "a higher part sheds the same and others"
     always = first
     for turn in range(1, 12):
-        always = {v for v in always if is_shed(now + turn * shed.TURN_NS, 0.3, v)}
+        always = {v for v in always if is_shed(now + turn * shedding.TURN_NS, 0.3, v)}
     assert not always
 
 
@@ -209,16 +209,16 @@
         plan_parts, row = shed_parts(self.value, ORDER), {name: [0] * 6 for name in ORDER}
         taken, rejected = [], []
         for request in requests:
-            row[request[1]][load.WANTED] += 1
+            row[request[1]][load_reports.WANTED] += 1
             is_rejected = is_shed(self.now, plan_parts[request[1]], request[0])
-            row[request[1]][load.SHED] += is_rejected
+            row[request[1]][load_reports.SHED] += is_rejected
             (rejected if is_rejected else taken).append(request)
         excess = max(0, len(taken) - self.capacity)
         in_time = max(0, self.capacity - self.waste * excess) if excess else len(taken)
         self.random.shuffle(taken)
         for k, request in enumerate(taken):
-            row[request[1]][load.ANSWERED] += 1
-            row[request[1]][load.IN_TARGET if k < in_time else load.LATE] += 1
+            row[request[1]][load_reports.ANSWERED] += 1
+            row[request[1]][load_reports.IN_TARGET if k < in_time else load_reports.LATE] += 1
         for request in rejected + taken[int(in_time) :]:  # shed or answered late: these retry
             if n + 2 < request[2]:
                 self.retries.setdefault(n + self.random.choice((2, 3)), []).append(request)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from terndrift.fleet import beside, crowds, findings, returns
-from terndrift.fleet.crowds import Caps
-from terndrift.fleet.findings import FAILURE_TTL_NS, current_turn, judged, prober_of_turn
+from terndrift.fleet import failing_streamers, heavy_keys, load_supplement, retry_schedule
+from terndrift.fleet.failing_streamers import FAILURE_TTL_NS, current_turn, judged, prober_of_turn
+from terndrift.fleet.heavy_keys import Caps
+from terndrift.fleet.local_overload import Standing, Strain
 from terndrift.fleet.messages import Piggyback
-from terndrift.fleet.returns import Book
-from terndrift.fleet.strain import Standing, Strain
+from terndrift.fleet.retry_schedule import Book
 from terndrift.rehearse import run, virtual
 
 MS = 1_000_000
@@ -29,7 +29,7 @@
     return judged(now, name, table, present, dict(attempted)).get("s1")
 
 
-# Failing streamers (findings.py).
+# Failing streamers (failing_streamers.py).
 
 
 def test_one_controller_probes_a_streamer_that_two_exclude_and_all_others_leave_it_out():
@@ -84,7 +84,7 @@
 
 
 def test_rows_that_a_controller_reports_of_its_own_attempts():
-    own, now = findings.Own(), 1000 * S
+    own, now = failing_streamers.Own(), 1000 * S
     own.plays(now, "s2")
     assert own.table(now, {}, {}) == {}, "no controller excludes it"
     assert own.table(now + S, {}, {"s2": [2, 1, 1500, -1, 0, 2, 0]}) == {"s2": [0, -1, 0, 1000, 0, 0, 1]}
@@ -102,10 +102,14 @@
 
 def test_rows_are_merged_by_latest_failure_earliest_exclusion_and_latest_success():
     a, b = table_with_row(1, 300, 4000, -1, 1, 3, 0), table_with_row(1, 900, 9000, 2000, 0, 1, 4)
-    assert findings.merge_tables([a, b]) == {"s1": [2, 300, 9000, 2000, 1, 4, 4]}
-    assert findings.age_table(table_with_row(1, 300, 4000, -1, 1), 500) == {"s1": [1, 800, 4500, -1, 1, 2, 0]}
+    assert failing_streamers.merge_tables([a, b]) == {"s1": [2, 300, 9000, 2000, 1, 4, 4]}
+    assert failing_streamers.age_table(table_with_row(1, 300, 4000, -1, 1), 500) == {
+        "s1": [1, 800, 4500, -1, 1, 2, 0]
+    }
     many = {f"s{n}": [1, n, n, -1, 0, 1, 0] for n in range(100)}
-    assert list(findings.merge_tables([many])) == [f"s{n}" for n in range(findings.MAX_ROWS)]
+    assert list(failing_streamers.merge_tables([many])) == [
+        f"s{n}" for n in range(failing_streamers.MAX_ROWS)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -125,11 +129,11 @@
     ],
 )
 def test_a_supplement_out_of_bounds_is_rejected(supplement):
-    assert not beside.sound(supplement, 2, 1000)
-    assert beside.sound(Piggyback(), 2, 1000) and beside.sound(None, 2, 1000)
+    assert not load_supplement.sound(supplement, 2, 1000)
+    assert load_supplement.sound(Piggyback(), 2, 1000) and load_supplement.sound(None, 2, 1000)
 
 
-# Retry advice (returns.py).
+# Retry advice (retry_schedule.py).
 
 
 def test_retries_advised_by_all_controllers_together_fit_the_capacity():
@@ -144,7 +148,7 @@
     for step in range(8):
         now += S // 2
         tables = [b.table(now) for b in books]
-        booked = returns.merge_tables(tables)
+        booked = retry_schedule.merge_tables(tables)
         for book in books:
             book.serves(now, 20)
             advice = book.advice(booked, 10 + (booked[0] if booked else 0))
@@ -165,27 +169,27 @@
     advice = book.advice([9] * 11, 13)
     assert min(advice) > 5 * S and max(advice) == 10 * S and len(set(advice)) == 5
     assert book.advice([], 0)[0] == S, "with room the retry is soon"
-    assert returns.merge_tables([[1, 2], [1, 1, 5]]) == [2, 3, 5] and returns.age_table([1, 2, 3], 2 * S) == [
-        3
-    ]
+    assert retry_schedule.merge_tables([[1, 2], [1, 1, 5]]) == [2, 3, 5] and retry_schedule.age_table(
+        [1, 2, 3], 2 * S
+    ) == [3]
     book.books(S, 3 * S)
     assert book.table(S)[3] == 1 and book.table(5 * S) == [0] * 11
 
 
-# Heavy keys (crowds.py).
+# Heavy keys (heavy_keys.py).
 
 
 def test_a_title_with_nine_in_ten_requests_of_a_surge_is_capped_before_the_level_rises():
     caps, now = Caps(), 1000 * S
     keys = {"title x": 540, "from a": 600}
     assert caps.step(now, keys, 600, 100, True), "a new heavy key: the level waits for the effect of its cap"
-    assert caps.parts == {"title x": 1 - crowds.SHARE * 100 / 540}, (
+    assert caps.parts == {"title x": 1 - heavy_keys.SHARE * 100 / 540}, (
         "all viewers share the address: there are no others to protect"
     )
     assert not caps.step(now + S, keys, 600, 100, True)
     for n in range(20):
         caps.step(now + (2 + n) * S, keys, 600, 100, False)
-    assert caps.parts == {"title x": 1 - crowds.SHARE * 100 / 540}, "its rate has not changed"
+    assert caps.parts == {"title x": 1 - heavy_keys.SHARE * 100 / 540}, "its rate has not changed"
     for n in range(12):
         caps.step(now + (22 + n) * S, {"title x": 20}, 38, 100, False)
     assert caps.parts == {}, "it is still heavy, but there is room for all of it"
@@ -199,13 +203,13 @@
 
 
 def test_keys_are_counted_by_whole_seconds_and_the_heaviest_reported():
-    own = crowds.Own()
+    own = heavy_keys.Own()
     for n in range(30):
         own.count(10 * S, (f"title {n % 10}", "from a"))
     own.count(11 * S, ("title x",) * 7)
     assert own.table(11 * S) == {"from a": 30, **{f"title {n}": 3 for n in range(6)}}
     assert own.table(12 * S) == {"from a": 30, "title x": 7, **{f"title {n}": 3 for n in range(5)}}
-    assert crowds.merged([{"a": 1}, {"a": 2, "b": 9}]) == {"b": 9, "a": 3}
+    assert heavy_keys.merged([{"a": 1}, {"a": 2, "b": 9}]) == {"b": 9, "a": 3}
 
 
 def test_an_address_shared_by_all_viewers_is_not_capped_however_few_each_controller_sees():
@@ -214,15 +218,17 @@
     When controllers reported only keys with five requests or more, it seemed to be nine in ten of all, and
     the fleet rejected viewers for ten seconds after the surge.
     """
-    owns = [crowds.Own() for _ in range(12)]
+    owns = [heavy_keys.Own() for _ in range(12)]
     for n, own in enumerate(owns):
         for _ in range(n):
             own.count(10 * S, ("from a", f"title {n % 3}"))
     caps = Caps()
-    assert not caps.step(0, crowds.merged([o.table(11 * S) for o in owns]), 66, 20, True) and not caps.parts
+    assert (
+        not caps.step(0, heavy_keys.merged([o.table(11 * S) for o in owns]), 66, 20, True) and not caps.parts
+    )
 
 
-# Strain of one controller (strain.py).
+# Strain of one controller (local_overload.py).
 
 
 def test_two_late_loops_or_exhausted_resources_raise_the_level_and_recovery_lowers_it_slowly():
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,7 +4,7 @@
 
 from terndrift.audit import recovery
 from terndrift.audit.facts import Facts
-from terndrift.fleet import stages
+from terndrift.fleet import recovery_stages
 
 SECOND = 1_000_000_000
 BEGIN = 1000 * SECOND
@@ -106,29 +106,35 @@
 
 
 def test_recovery_stages_advance_when_their_conditions_hold():
-    progress = stages.Return(0, True)
+    progress = recovery_stages.Return(0, True)
     progress.look(1, False, False, 0, 0)
-    assert (progress.stage, progress.why) == (stages.Stage.STARTED, "a list of streamers")
+    assert (progress.stage, progress.why) == (recovery_stages.Stage.STARTED, "a list of streamers")
     progress.look(SECOND, True, False, 0, 0)
-    assert (progress.stage, progress.why) == (stages.Stage.HAS_LIST, "the fleet's record")
+    assert (progress.stage, progress.why) == (recovery_stages.Stage.HAS_LIST, "the fleet's record")
     progress.look(2 * SECOND, True, True, 4, 1)
-    assert progress.stage is stages.Stage.RAMPING_UP
+    assert progress.stage is recovery_stages.Stage.RAMPING_UP
     progress.look(7 * SECOND, True, True, 40, 37)
     assert progress.why == "95% in target for 5 s: 37 of 40"
     progress.look(8 * SECOND, True, True, 40, 38)
-    assert progress.stage is stages.Stage.FULL and not any(timed_out for _, _, timed_out in progress.past)
+    assert progress.stage is recovery_stages.Stage.FULL and not any(
+        timed_out for _, _, timed_out in progress.past
+    )
     assert [took / SECOND for _, took, _ in progress.past] == [1, 1, 6]
 
 
 def test_isolated_controller_reaches_full_service_by_the_timeouts():
-    progress, at = stages.Return(0, True), 0
-    while progress.stage is not stages.Stage.FULL:
+    progress, at = recovery_stages.Return(0, True), 0
+    while progress.stage is not recovery_stages.Stage.FULL:
         at += SECOND // 2
         progress.look(at, False, False, 10, 0)
-    assert at == sum(stages.STAGE_TIMEOUT_NS.values()) and all(timed_out for _, _, timed_out in progress.past)
-    alone = stages.Return(0, False)
+    assert at == sum(recovery_stages.STAGE_TIMEOUT_NS.values()) and all(
+        timed_out for _, _, timed_out in progress.past
+    )
+    alone = recovery_stages.Return(0, False)
     alone.look(SECOND, True, False, 0, 0)
-    assert alone.stage is stages.Stage.RAMPING_UP, "there is no wait for others where there is no fleet"
+    assert alone.stage is recovery_stages.Stage.RAMPING_UP, (
+        "there is no wait for others where there is no fleet"
+    )
 
 
 def test_attempt_by_a_list_from_before_the_restart_is_stale_only_for_a_restarted_controller():
@@ -187,8 +193,8 @@
     from types import SimpleNamespace as Namespace
 
     from terndrift.fleet.member import Controller
+    from terndrift.fleet.observation_collector import Kept, Sight
     from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS
-    from terndrift.fleet.sight import Kept, Sight
 
     def sight(at, kept):
         fleet = Controller("f", "a", ["a", "b"], ["b"], None, 1, at, lambda: "x")
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -4,9 +4,9 @@
 
 from testbed import in_testbed
 
-from terndrift.fleet import load
-from terndrift.fleet.load import REPORT_LIFETIME_NS, Loads
-from terndrift.fleet.surge import HOLD_KEY, Surge, hold, release
+from terndrift.fleet import load_reports
+from terndrift.fleet.load_reports import REPORT_LIFETIME_NS, Loads
+from terndrift.fleet.overload_control import HOLD_KEY, Surge, hold, release
 
 NO_VIOLATIONS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
 
@@ -61,8 +61,8 @@
         and len(testbed.service.core.playbacks) >= held_before
     )
     free_counts = [columns for plan, columns in counted if plan == "free"]
-    assert free_counts[0] == (load.WANTED,) and free_counts[1][0] == load.ANSWERED
-    assert free_counts[2:] == [(load.WANTED, load.SHED)]
+    assert free_counts[0] == (load_reports.WANTED,) and free_counts[1][0] == load_reports.ANSWERED
+    assert free_counts[2:] == [(load_reports.WANTED, load_reports.SHED)]
     assert testbed.audit_report()["rules"] == NO_VIOLATIONS
 
 
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -6,8 +6,8 @@
 
 from terndrift.fleet.messages import Observations, ObservationsRequest
 from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS
-from terndrift.fleet.ranks import RECORD_KEY, TRANSITION_NS, Ranks
-from terndrift.fleet.warm import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
+from terndrift.fleet.slow_start_shares import RECORD_KEY, TRANSITION_NS, Ranks
+from terndrift.fleet.streamer_observations import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
 
 WARM_UP_NS = 8 * SECOND
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -331,7 +331,7 @@
 
 
 def test_viewers_are_redirected_evenly_to_controllers_that_are_up_and_not_draining():
-    from terndrift.fleet.elsewhere import Elsewhere
+    from terndrift.fleet.redirect_targets import Elsewhere
 
     simulation = WorkSimulation(seed=4)
     simulated_fleet = simulation.simulated_fleet
