--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -11,7 +11,7 @@
 from statistics import fmean
 
 from terndrift.fleet.leases import Leases
-from terndrift.fleet.messages import Piggyback
+from terndrift.fleet.messages import LoadSupplement
 from terndrift.fleet.simulated_fleet import SimulatedFleet
 
 VOTERS, SECONDS = 5, 60
@@ -47,7 +47,7 @@
             c.leases = Leases(name, {"extra": self.limit}, len(self.names), True, self.simulated_fleet.now)
             c.leases.wanted["extra"] = self.wants[name]
             c.load_reports.own = lambda now, n=name: ({"free": [10, 0, 9, 9, 0, 0]}, [0, 0, 1])
-            c.load_reports.own_beside = lambda now: Piggyback(
+            c.load_reports.own_beside = lambda now: LoadSupplement(
                 expected_returns=[1] * 9, request_counts={"title a": 5, "title b": 3}
             )
 
--- a/terndrift/fleet/catalogue_sync.py
+++ b/terndrift/fleet/catalogue_sync.py
@@ -33,7 +33,7 @@
 )
 
 
-class Standing(Enum):
+class SyncState(Enum):
     """State of the synchronisation."""
 
     COMPARING = "asks how far others are"
@@ -42,13 +42,13 @@
 
 
 TRANSITIONS = {
-    Standing.COMPARING: (Standing.BEHIND, Standing.CONFIRMED),
-    Standing.BEHIND: (Standing.COMPARING, Standing.CONFIRMED),
-    Standing.CONFIRMED: (),
+    SyncState.COMPARING: (SyncState.BEHIND, SyncState.CONFIRMED),
+    SyncState.BEHIND: (SyncState.COMPARING, SyncState.CONFIRMED),
+    SyncState.CONFIRMED: (),
 }
 
 
-class Copies:
+class CatalogueSync:
     """Synchronisation of one controller's catalogue; times are in ns.
 
     `own_name` is this controller's name. `get_change_ids()` returns the ids of the changes in its catalogue,
@@ -59,7 +59,7 @@
 
     def __init__(self, own_name, now, get_change_ids, peer_count):
         self.own_name, self.get_change_ids, self.started_at = own_name, get_change_ids, now
-        self.standing, self.why = Standing.COMPARING if peer_count else Standing.CONFIRMED, ""
+        self.standing, self.why = SyncState.COMPARING if peer_count else SyncState.CONFIRMED, ""
         # confirmed_by_peers: responses confirmed it, not the timeout
         self.confirmed_by_peers, self.peer_count = False, peer_count
         self.heads_by_name, self.request_counts, self.outbox, self.next_request_at = {}, {}, [], now
@@ -76,7 +76,7 @@
 
     def sure(self):
         """Tells whether the catalogue may be served."""
-        return self.standing is Standing.CONFIRMED
+        return self.standing is SyncState.CONFIRMED
 
     def next_tick_at(self):
         """Returns when `tick` is due; None: no more."""
@@ -98,10 +98,10 @@
         self.next_request_at = now + REQUEST_INTERVAL_NS
         if now - self.started_at >= SYNC_TIMEOUT_NS:
             return self._set_state(
-                Standing.CONFIRMED,
+                SyncState.CONFIRMED,
                 "timed out without confirmation" if alive else "no other controller is there",
             )
-        if self.standing is Standing.COMPARING:
+        if self.standing is SyncState.COMPARING:
             remaining = [
                 n for n in shuffled_by_salt(alive, f"{self.own_name}+") if n not in self.heads_by_name
             ]
@@ -116,7 +116,7 @@
         """Takes a response; one that wasn't requested is ignored."""
         if sender in self.request_counts:
             self.heads_by_name[sender] = head
-            if self.standing is Standing.COMPARING:
+            if self.standing is SyncState.COMPARING:
                 self._evaluate()
 
     def _changes_ahead(self, head):
@@ -154,26 +154,26 @@
         ]
         if further or agreeing:
             self.source = max(further, key=further.get) if further else agreeing[0]
-            return self._set_state(Standing.BEHIND, f"of {self.source}")
+            return self._set_state(SyncState.BEHIND, f"of {self.source}")
         if any(ahead.values()):
             return None  # those ahead could provide no copy; another member may, until the timeout
         has_confirmed = any(self.heads_by_name[n].confirmed for n, changes in ahead.items() if changes == 0)
         if has_confirmed or len(ahead) >= min(MAX_RESPONSES_NEEDED, self.peer_count // 2 + 1):
             self.confirmed_by_peers = True
             return self._set_state(
-                Standing.CONFIRMED, f"{differing[0]} has another" if differing else "none is ahead"
+                SyncState.CONFIRMED, f"{differing[0]} has another" if differing else "none is ahead"
             )
         return None
 
     def copied(self, whole):
         """Notes that the copy is in place (`whole`) or failed; after a failure another source is tried."""
-        if self.standing is not Standing.BEHIND:
+        if self.standing is not SyncState.BEHIND:
             return
         if not whole:
             self.failed_sources.add(self.source)
         self.confirmed_by_peers = whole and self.heads_by_name[self.source].confirmed
         self._set_state(
-            Standing.CONFIRMED if self.confirmed_by_peers else Standing.COMPARING,
+            SyncState.CONFIRMED if self.confirmed_by_peers else SyncState.COMPARING,
             "copied" if self.confirmed_by_peers else "",
         )
         if not self.confirmed_by_peers:
--- a/terndrift/fleet/failing_streamers.py
+++ b/terndrift/fleet/failing_streamers.py
@@ -86,7 +86,7 @@
     )
 
 
-class Own:
+class FailureReports:
     """Results of this controller's own set-ups, by streamer address; all times in ns."""
 
     def __init__(self):
--- a/terndrift/fleet/heavy_keys.py
+++ b/terndrift/fleet/heavy_keys.py
@@ -3,7 +3,8 @@
 Where one title or one address causes most of all requests, its viewers are reduced to a share of the capacity
 first, and the shedding level (shedding.py) applies to what is left. Each controller sends its most requested
 keys in load reports; sums are of the whole fleet. The controller that decides the level decides the caps too:
-its `Level` owns a `Caps` and steps it, and overload_control.py applies the parts. This module does no I/O.
+its `SheddingLevel` owns a `KeyCaps` and steps it, and overload_control.py applies the parts. This module does
+no I/O.
 
 A cap protects the viewers of everything else, in every plan, against one title or one client that is
 requested many times more often than usual. It would do harm where that title is what all viewers want. It is
@@ -23,7 +24,7 @@
 RELEASE_STEP = 0.1  # per beat while all is well: a cap of 1 is released in five seconds
 
 
-class Own:
+class KeyCounter:
     """Requests by key at this controller, per second."""
 
     def __init__(self):
@@ -65,7 +66,7 @@
     return len(table) <= 2 * KEYS and all(0 <= n <= most for n in table.values())
 
 
-class Caps:
+class KeyCaps:
     """The parts to shed of dominant keys, stepped by the controller that decides for the fleet.
 
     `parts`: key -> part of its viewers that is shed, above 0 and up to 1.
--- a/terndrift/fleet/load_reports.py
+++ b/terndrift/fleet/load_reports.py
@@ -1,7 +1,8 @@
 """Load reports: the fleet-wide sums of requests and answers, kept by each controller without a central node.
 
-The fleet's member (member.py) owns a `Loads`, passes received `FleetLoad` messages to it and sends what it
-puts into `out`; overload_control.py fills in the local figures and reads the totals. This module does no I/O.
+The fleet's member (member.py) owns a `LoadReports`, passes received `FleetLoad` messages to it and sends what
+it puts into `out`; overload_control.py fills in the local figures and reads the totals. This module does no
+I/O.
 
 Members are sorted by name and split into groups of about sqrt(n). Twice a second each member sends its
 complete counts of the last WINDOW_SECONDS seconds to the two collectors of its group: the first two of the
@@ -17,7 +18,7 @@
 import msgspec
 
 from terndrift.fleet import load_supplement
-from terndrift.fleet.messages import FleetLoad, Piggyback
+from terndrift.fleet.messages import FleetLoad, LoadSupplement
 from terndrift.fleet.recent_counts import LOAD_REPORT_INTERVAL, SECOND, CountsBySecond
 
 NS_PER_MS = 1_000_000
@@ -89,18 +90,18 @@
         and all(0 <= n <= MAX_COUNT_PER_MEMBER * report.member_count for row in rows for n in row)
         and 0 <= report.shed_level < 100
         and load_supplement.sound(
-            report.piggyback, report.member_count, MAX_COUNT_PER_MEMBER * report.member_count
+            report.supplement, report.member_count, MAX_COUNT_PER_MEMBER * report.member_count
         )
     )
 
 
-class Loads:
+class LoadReports:
     """The load reports that one controller holds and sends, and the shedding level carried with them.
 
     `own(now)` returns the local ({plan: row}, row of other counts); while it is None nothing is sent or
-    accepted. `own_beside(now)` returns the local `Piggyback` or None. Both are set by overload_control.py.
-    `out` collects (recipient, message) for the member to send. All times are in ns of the controller's
-    monotonic clock.
+    accepted. `own_beside(now)` returns the local `LoadSupplement` or None. Both are set by
+    overload_control.py. `out` collects (recipient, message) for the member to send. All times are in ns of
+    the controller's monotonic clock.
     """
 
     def __init__(self, own_name, names, now):
@@ -149,7 +150,7 @@
             n: x for n, x in self.member_reports.items() if now - x[1] < REPORT_LIFETIME_NS
         }
         group_beside = load_supplement.merged(
-            [(report.piggyback, now - at) for report, at in self.member_reports.values()]
+            [(report.supplement, now - at) for report, at in self.member_reports.values()]
         )
         group_report = self._report(
             GROUP_REPORT,
@@ -173,7 +174,7 @@
     def _report(self, kind, plans, others, members, group, carried):
         level, by, at = self.level
         if self.caps:
-            carried = msgspec.structs.replace(carried or Piggyback(), shed_shares=self.caps)
+            carried = msgspec.structs.replace(carried or LoadSupplement(), shed_shares=self.caps)
         return FleetLoad(
             kind,
             plans,
@@ -215,7 +216,7 @@
         ):
             self.level, self.caps = (
                 (report.shed_level, report.level_decided_by, decided_at),
-                report.piggyback.shed_shares if report.piggyback else {},
+                report.supplement.shed_shares if report.supplement else {},
             )
 
     @staticmethod
@@ -249,7 +250,7 @@
     def _beside(self, now):
         return load_supplement.merged(
             [
-                (report.piggyback, now - at)
+                (report.supplement, now - at)
                 for report, at in self.group_reports.values()
                 if now - at < REPORT_LIFETIME_NS
             ]
@@ -264,14 +265,14 @@
         )
 
     def rides(self, now):
-        """The fleet's `Piggyback` that belongs to `total`, with its ages as of now."""
+        """The fleet's `LoadSupplement` that belongs to `total`, with its ages as of now."""
         received = self._received_total(now, self._sum(now))
         carried = (
-            load_supplement.merged([(received.piggyback, now - self.total_report[1])])
+            load_supplement.merged([(received.supplement, now - self.total_report[1])])
             if received
             else self._beside(now)
         )
-        return carried or Piggyback()
+        return carried or LoadSupplement()
 
     def _received_total(self, now, own_sum):
         """The received total, where it is valid and counts more members than the sum of the groups here."""
--- a/terndrift/fleet/load_supplement.py
+++ b/terndrift/fleet/load_supplement.py
@@ -1,4 +1,4 @@
-"""Merges and validates the supplement of the load reports between controllers (messages.Beside).
+"""Merges and validates the supplement of the load reports between controllers (messages.LoadSupplement).
 
 The supplement carries failing streamers (failing_streamers.py), advised retries (retry_schedule.py), the
 heaviest keys (heavy_keys.py), the names of strained controllers (local_overload.py) and the caps decided with
@@ -7,18 +7,19 @@
 """
 
 from terndrift.fleet import failing_streamers, heavy_keys, retry_schedule
-from terndrift.fleet.messages import Piggyback
+from terndrift.fleet.messages import LoadSupplement
 
 MS = 1_000_000  # ns
 MAX_STRAINED = 8  # names of strained controllers in a report
 
 
 def merged(parts):
-    """Merges several (Beside or None, age in ns) into one Beside without caps; None if there is none."""
+    """Merges several (LoadSupplement or None, age in ns) into one LoadSupplement without caps; None if there
+    is none."""
     parts = [(one, age) for one, age in parts if one is not None]
     if not parts:
         return None
-    return Piggyback(
+    return LoadSupplement(
         failures=failing_streamers.merge_tables(
             [failing_streamers.age_table(one.failures, age // MS) for one, age in parts]
         ),
@@ -31,7 +32,7 @@
 
 
 def sound(supplement, members, max_requests):
-    """Tells whether a received Beside, or None, is within its bounds.
+    """Tells whether a received LoadSupplement, or None, is within its bounds.
 
     `members`: how many controllers it sums up; `max_requests`: the most that all of them together can have
     been asked for.
--- a/terndrift/fleet/local_overload.py
+++ b/terndrift/fleet/local_overload.py
@@ -1,8 +1,8 @@
 """Detects overload of a single controller: a late event loop, or file descriptors or memory near the limit.
 
 A strained controller sheds in the fleet's order of plans (shedding.py), by a level of its own on top of the
-fleet's. overload_control.py calls `Strain.second`, reports the strain to the other controllers and redirects
-viewers to them where it can. Free of I/O; it decides only the level.
+fleet's. overload_control.py calls `LocalOverload.second`, reports the strain to the other controllers and
+redirects viewers to them where it can. Free of I/O; it decides only the level.
 
 This guards against a controller that accepts, and answers late, viewers for whom its neighbours have
 capacity. It could do harm where all controllers are strained alike: viewers are then redirected once and
@@ -19,7 +19,7 @@
 STEP = 0.5  # plans a second on the way up, half of it on the way down: up faster than down, as in shedding.py
 
 
-class Standing(Enum):
+class OverloadState(Enum):
     """State of the controller; the values are reported and logged."""
 
     EASY = "easy"
@@ -28,13 +28,13 @@
 
 
 TRANSITIONS = {
-    Standing.EASY: (Standing.STRAINED,),
-    Standing.STRAINED: (Standing.EASING,),
-    Standing.EASING: (Standing.STRAINED, Standing.EASY),
+    OverloadState.EASY: (OverloadState.STRAINED,),
+    OverloadState.STRAINED: (OverloadState.EASING,),
+    OverloadState.EASING: (OverloadState.STRAINED, OverloadState.EASY),
 }
 
 
-class Strain:
+class LocalOverload:
     """Shedding level of a single controller.
 
     `level` is the number of plans shed, fractions included, 0 to `max_level`; `why` tells the reason as text
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, max_level):
-        self.max_level, self.level, self.standing, self.why = max_level, 0.0, Standing.EASY, ""
+        self.max_level, self.level, self.standing, self.why = max_level, 0.0, OverloadState.EASY, ""
         self.was_late, self.recovering_since = False, 0
 
     def second(self, now, loop_delay, descriptors, memory):
@@ -67,16 +67,16 @@
         self.was_late = loop_delay > MAX_LOOP_DELAY_NS
         if strained:
             self.level, self.why = min(float(self.max_level), self.level + STEP), why
-            if self.standing is not Standing.STRAINED:
-                self._transition(Standing.STRAINED)
-        elif self.standing is Standing.STRAINED and not why and max(descriptors, memory) < RECOVERED_USE:
+            if self.standing is not OverloadState.STRAINED:
+                self._transition(OverloadState.STRAINED)
+        elif self.standing is OverloadState.STRAINED and not why and max(descriptors, memory) < RECOVERED_USE:
             self.recovering_since = now
-            self._transition(Standing.EASING)
-        elif self.standing is Standing.EASING and now - self.recovering_since >= RECOVERY_HOLD_NS:
+            self._transition(OverloadState.EASING)
+        elif self.standing is OverloadState.EASING and now - self.recovering_since >= RECOVERY_HOLD_NS:
             self.level = max(0.0, self.level - STEP / 2)
             if not self.level:
                 self.why = ""
-                self._transition(Standing.EASY)
+                self._transition(OverloadState.EASY)
         return self.level
 
     def _transition(self, standing):
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -7,10 +7,10 @@
 """
 
 from terndrift.fleet import messages, planned_work, slow_start_shares
-from terndrift.fleet.catalogue_sync import Copies
+from terndrift.fleet.catalogue_sync import CatalogueSync
 from terndrift.fleet.committed_state import CommittedLog
 from terndrift.fleet.leases import ASK, Leases
-from terndrift.fleet.load_reports import Loads
+from terndrift.fleet.load_reports import LoadReports
 from terndrift.fleet.membership import Membership, Standing
 from terndrift.fleet.messages import (
     CatalogueHead,
@@ -26,7 +26,7 @@
     PullResponse,
 )
 from terndrift.fleet.raft import ELECTION_TIMEOUT, Role, Voter
-from terndrift.fleet.streamer_observations import Known
+from terndrift.fleet.streamer_observations import ObservationStore
 from terndrift.fleet.work_budget import CONTROLLER_PREFIX, Machine
 
 MS = 1_000_000
@@ -92,13 +92,16 @@
             {},
         )
         self.off_cache = None, set()  # what the set was computed from; names of machines not to place on
-        self.observations, self.catalogue_sync = Known(own_name, run, now), Copies(own_name, now, list, 0)
-        # shedding: a shedding.Level if the host sheds load
-        self.load_reports, self.shedding = Loads(own_name, configured_names, now), None
+        self.observations, self.catalogue_sync = (
+            ObservationStore(own_name, run, now),
+            CatalogueSync(own_name, now, list, 0),
+        )
+        # shedding: a shedding.SheddingLevel if the host sheds load
+        self.load_reports, self.shedding = LoadReports(own_name, configured_names, now), None
         # without limits until the host sets its own
         self.leases = Leases(own_name, {}, len(self.configured_names), bool(voter_names), now)
         # uses_ranks: set by the host if it shares the slow start of cold streamers by rank
-        self.ranks, self.next_rank_at, self.uses_ranks = slow_start_shares.Ranks(), now, False
+        self.ranks, self.next_rank_at, self.uses_ranks = slow_start_shares.SlowStartShares(), now, False
         self.led_work_rev = 0  # revision of the work at the leader's last check
         self._collect_output(now)
 
@@ -320,7 +323,7 @@
 
     def slow_start_share(self, now):
         """Returns this controller's share of the slow start of cold streamers; see
-        `Ranks.slow_start_share`."""
+        `SlowStartShares.slow_start_share`."""
         return self.ranks.slow_start_share(
             now, self.committed_log.state, self.own_name, self.committed_log.age(now)
         )
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -246,10 +246,10 @@
     confirmed: bool = False  # confirmed by the responses of other controllers that no catalogue is ahead
 
 
-# Load reports (load_reports.py) and the data piggybacked on them (load_supplement.py).
+# Load reports (load_reports.py) and their supplement (load_supplement.py).
 
 
-class Piggyback(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
+class LoadSupplement(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
     """Data piggybacked on a `FleetLoad`."""
 
     failures: dict[str, list[int]] = {}  # streamer -> row of its failures (failing_streamers.py)
@@ -271,7 +271,7 @@
     shed_level: float = 0.0  # load shedding level in force
     level_decided_by: str = ""  # the controller that decided the level
     level_age_ms: int = 0  # ms since it was decided
-    piggyback: Piggyback | None = None
+    supplement: LoadSupplement | None = None
 
 
 # Leases (leases.py).
--- a/terndrift/fleet/observation_collector.py
+++ b/terndrift/fleet/observation_collector.py
@@ -18,16 +18,16 @@
 SAVE_BYTES_PER_SECOND, MIN_SAVE_INTERVAL_NS = 4096, 10 * SECOND
 
 
-class Kept(msgspec.Struct):
+class SavedObservations(msgspec.Struct):
     """Contents of the file for the next run."""
 
     at: int  # when it was saved, in ns since 1970
-    rows: list[tuple[str, int, int, int, int]]  # from streamer_observations.Known.export_own
+    rows: list[tuple[str, int, int, int, int]]  # from streamer_observations.ObservationStore.export_own
     turn: tuple[int, int] | None = None  # slow start share: (rank, number of ranks)
     age: int | None = None  # age of the agreed state when saved, in ns
 
 
-class Sight:
+class ObservationCollector:
     """Collects observations of one controller and reports to its core; times are in ns.
 
     `controller` is the fleet's Controller, `host` steps the core, `cold_for` is the time of a warm-up.
@@ -147,7 +147,7 @@
     # The file for the next run.
 
     def keeps(self):
-        """Returns the Kept to be written now, or None where no save is due."""
+        """Returns the SavedObservations to be written now, or None where no save is due."""
         now = self.clock.now()
         if now < self.next_save_at:
             return None
@@ -156,7 +156,7 @@
         # a row is up to 100 bytes long
         self.next_save_at = now + max(MIN_SAVE_INTERVAL_NS, 100 * len(rows) * SECOND // SAVE_BYTES_PER_SECOND)
         share = self.reported[1] if self.reported else None
-        return Kept(wall, rows, share, self.controller.committed_log.age(now))
+        return SavedObservations(wall, rows, share, self.controller.committed_log.age(now))
 
     def restore(self, kept):
         """Takes over what the last run saved.
--- a/terndrift/fleet/overload_control.py
+++ b/terndrift/fleet/overload_control.py
@@ -1,10 +1,10 @@
 """Overload handling of one controller: connects its core and front to the fleet's sums and decisions.
 
-service.py creates one `Surge` per controller and hooks it into the core, the front, the transport and the
-sources; fleet/service.py calls `look` periodically. What core and front saw goes into load reports; what the
-fleet has decided comes back: who is shed before he gets a playback, how many attempts beyond the first may be
-made, which controller attempts a failing streamer, and when viewers are told to come back. This module does
-no I/O. It must not end a running playback.
+service.py creates one `OverloadControl` per controller and hooks it into the core, the front, the transport
+and the sources; fleet/service.py calls `look` periodically. What core and front saw goes into load reports;
+what the fleet has decided comes back: who is shed before he gets a playback, how many attempts beyond the
+first may be made, which controller attempts a failing streamer, and when viewers are told to come back. This
+module does no I/O. It must not end a running playback.
 """
 
 import zlib
@@ -13,11 +13,11 @@
 from terndrift.fleet import failing_streamers, heavy_keys, load_reports
 from terndrift.fleet.leases import KeyedRateLimiter, Leases
 from terndrift.fleet.load_reports import LoadCounter
-from terndrift.fleet.local_overload import Strain
-from terndrift.fleet.messages import Piggyback
+from terndrift.fleet.local_overload import LocalOverload
+from terndrift.fleet.messages import LoadSupplement
 from terndrift.fleet.recent_counts import SECOND, WINDOW_SECONDS, CountsBySecond
-from terndrift.fleet.retry_schedule import Book
-from terndrift.fleet.shedding import Level, importance, is_shed, shed_parts
+from terndrift.fleet.retry_schedule import RetrySchedule
+from terndrift.fleet.shedding import SheddingLevel, importance, is_shed, shed_parts
 from terndrift.interface import Ending, State
 
 # Key in the record's map of a level set by an operator: {"level", "until" (ms since 1970), "by"}.
@@ -29,7 +29,7 @@
 FAILED_ENDINGS = (Ending.SILENT, Ending.UNREACHED, Ending.BROKEN, Ending.ERRED)
 
 
-class Surge:
+class OverloadControl:
     """Overload handling of one controller.
 
     `limits`: kind of lease -> what all controllers together may do per second (0: no limit); `address`: from
@@ -43,11 +43,11 @@
         self.plans, self.order, self.counter = plans, importance(plans), LoadCounter()
         now = self.clock.now()
         # failed_streamers: ids with a failed set-up or playback since the last `look`
-        self.findings, self.failed_streamers = failing_streamers.Own(), set()
-        self.key_counter, self.failed_attempts = heavy_keys.Own(), CountsBySecond(lambda: [0])
-        self.return_times, self.draw_count = Book(self.core.deployment.rules.longest_advice), 0
+        self.findings, self.failed_streamers = failing_streamers.FailureReports(), set()
+        self.key_counter, self.failed_attempts = heavy_keys.KeyCounter(), CountsBySecond(lambda: [0])
+        self.return_times, self.draw_count = RetrySchedule(self.core.deployment.rules.longest_advice), 0
         # told: what the core was last told: (extra attempts, streamer id -> may attempt, return times in ns)
-        self.strain, self.told = Strain(len(plans)), (None, {}, ())
+        self.strain, self.told = LocalOverload(len(plans)), (None, {}, ())
         self.last_level, self.raised_at = 0.0, 0  # the level at the last `look`, and when it last rose
         self.leases = controller.leases = Leases(
             controller.own_name,
@@ -61,7 +61,7 @@
         self.call_limiter = KeyedRateLimiter(self.leases, "calls", 10**18)
         controller.load_reports.own = lambda now: self.counter.recent(now, self.core.unanswered_count)
         controller.load_reports.own_beside = self._beside
-        controller.shedding = Level(self.order)
+        controller.shedding = SheddingLevel(self.order)
 
     # Events of the core and the front.
 
@@ -175,7 +175,7 @@
     def _beside(self, now):
         found = self.findings.table(now, self._set_aside(), self.controller.load_reports.rides(now).failures)
         strained = [self.controller.own_name] if self.strain.level else []
-        return Piggyback(found, self.return_times.table(now), self.key_counter.table(now), strained)
+        return LoadSupplement(found, self.return_times.table(now), self.key_counter.table(now), strained)
 
     # Shedding of viewers.
 
--- a/terndrift/fleet/planned_work_site.py
+++ b/terndrift/fleet/planned_work_site.py
@@ -3,7 +3,7 @@
 The drains in force enter the list as one more source, and reach the fronts if this controller itself drains.
 In return the planned work learns which machines the list has, how many playbacks each holds and which
 streamers fail. Decides nothing: what drains, and when, is agreed in the record (work.py). The service creates
-one Site for each controller that takes part in planned work, and calls `look`.
+one PlannedWorkSite for each controller that takes part in planned work, and calls `look`.
 """
 
 from collections import deque
@@ -22,7 +22,7 @@
 RECENT_SECONDS = 10  # over which requests are counted, the current one included
 
 
-class OfLate:
+class RecentRequests:
     """Counts requests, and those with a given outcome (rejected, or answered in target), over recent seconds.
 
     `seconds`: how many seconds are counted, the current one included.
@@ -44,7 +44,7 @@
         return sum(s[1] for s in recent), sum(s[2] for s in recent)
 
 
-class Site:
+class PlannedWorkSite:
     """Planned work as it concerns one controller.
 
     `set_draining(on)`: makes the fronts reject new viewers, or accept them again. `drain_limit`: ns that this
@@ -72,7 +72,7 @@
             set_draining,
             drain_limit,
             False,
-            OfLate(),
+            RecentRequests(),
         )
         self.stop, self.stopping, self.redirects = stop, False, redirects
         self.drains_seen_at = {}  # (machine, step number) of a drain -> when this controller first saw it
--- a/terndrift/fleet/recovery_stages.py
+++ b/terndrift/fleet/recovery_stages.py
@@ -15,7 +15,7 @@
 IN_TARGET_SHARE, HOLDS = 0.95, 5
 
 
-class Stage(Enum):
+class RecoveryStage(Enum):
     """Stage of a recovery; the values are reported to operators."""
 
     STARTED = "started"  # no list yet
@@ -25,10 +25,10 @@
 
 
 TRANSITIONS = {
-    Stage.STARTED: (Stage.HAS_LIST,),
-    Stage.HAS_LIST: (Stage.RAMPING_UP,),
-    Stage.RAMPING_UP: (Stage.FULL,),
-    Stage.FULL: (),
+    RecoveryStage.STARTED: (RecoveryStage.HAS_LIST,),
+    RecoveryStage.HAS_LIST: (RecoveryStage.RAMPING_UP,),
+    RecoveryStage.RAMPING_UP: (RecoveryStage.FULL,),
+    RecoveryStage.FULL: (),
 }
 
 
@@ -38,23 +38,32 @@
 # after twice that.
 # RAMPING_UP: by then no streamer that was warm before can be taken for cold (`cold_for`, 8 to 10 s), so
 # waiting longer improves nothing.
-STAGE_TIMEOUT_NS = {Stage.STARTED: 30 * SECOND, Stage.HAS_LIST: 6 * SECOND, Stage.RAMPING_UP: 15 * SECOND}
+STAGE_TIMEOUT_NS = {
+    RecoveryStage.STARTED: 30 * SECOND,
+    RecoveryStage.HAS_LIST: 6 * SECOND,
+    RecoveryStage.RAMPING_UP: 15 * SECOND,
+}
 
 
-class Return:
+class RecoveryProgress:
     """The recovery of one controller; times are in ns.
 
     `has_peers` says whether there are other controllers whose record is to be waited for.
     """
 
     def __init__(self, now, has_peers):
-        self.stage, self.stage_since, self.started_at, self.has_peers = Stage.STARTED, now, now, has_peers
+        self.stage, self.stage_since, self.started_at, self.has_peers = (
+            RecoveryStage.STARTED,
+            now,
+            now,
+            has_peers,
+        )
         # past: (stage, ns that it took, whether its timeout ended it); why: what the present stage waits for
         self.past, self.why = [], ""
 
     def under_way(self):
         """Tells whether the controller has not reached full service yet."""
-        return self.stage is not Stage.FULL
+        return self.stage is not RecoveryStage.FULL
 
     def look(self, now, has_list, has_record, asked, in_target):
         """Advances as many stages as the conditions or timeouts allow; called periodically.
@@ -63,7 +72,7 @@
         Of the viewers of the last HOLDS seconds, `asked` requested something and `in_target` of these were
         answered in target.
         """
-        while self.stage is not Stage.FULL:
+        while self.stage is not RecoveryStage.FULL:
             done, self.why = self._check_stage(now, has_list, has_record, asked, in_target)
             timed_out = now - self.stage_since >= STAGE_TIMEOUT_NS[self.stage]
             if not (done or timed_out):
@@ -73,9 +82,9 @@
 
     def _check_stage(self, now, has_list, has_record, asked, in_target):
         """Returns (whether the present stage is complete, what it waits for)."""
-        if self.stage is Stage.STARTED:
+        if self.stage is RecoveryStage.STARTED:
             return has_list, "a list of streamers"
-        if self.stage is Stage.HAS_LIST:
+        if self.stage is RecoveryStage.HAS_LIST:
             return has_record or not self.has_peers, "the fleet's record"
         reached = now - self.stage_since >= HOLDS * SECOND and in_target >= IN_TARGET_SHARE * asked
         return reached, f"{IN_TARGET_SHARE:.0%} in target for {HOLDS} s: {in_target} of {asked}"
--- a/terndrift/fleet/redirect_targets.py
+++ b/terndrift/fleet/redirect_targets.py
@@ -20,7 +20,7 @@
 MIN_ALIVE_NS = 8_000_000_000
 
 
-class Elsewhere:
+class RedirectTargets:
     """Redirect targets of one controller.
 
     `mine`: the URL at which viewers reach this controller, set by the service before it announces; "" if
--- a/terndrift/fleet/retry_schedule.py
+++ b/terndrift/fleet/retry_schedule.py
@@ -1,9 +1,9 @@
 """Spreads the retries of rejected viewers, so that their sum over all controllers fits the fleet's capacity.
 
-Each controller counts, second by second, the retries that it has advised (`Book`), and sends the counts with
-its load reports; so each knows, with a delay of half a second, how many viewers all controllers expect in
-each of the next seconds. overload_control.py records the advice here and passes new advice on to the core.
-Free of I/O.
+Each controller counts, second by second, the retries that it has advised (`RetrySchedule`), and sends the
+counts with its load reports; so each knows, with a delay of half a second, how many viewers all controllers
+expect in each of the next seconds. overload_control.py records the advice here and passes new advice on to
+the core. Free of I/O.
 
 A retry is put into a second drawn at random, weighted by the room left in it. The first free second would be
 wrong, as all controllers work from the same figures and would choose the same one. The capacity is the best
@@ -21,7 +21,7 @@
 DELAYS = 16  # in one advice
 
 
-class Book:
+class RetrySchedule:
     """Retries advised by this controller, and the fleet's recent capacity.
 
     `longest`: the longest delay that clients follow, in ns.
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -1,8 +1,8 @@
 """Runs a fleet's controller (member.py) on the event loop: datagrams, HTTP bodies, its store and a timer.
 
-The service creates one `Fleet` for a front file that names a fleet, and calls it every second; the admin
-interface calls the methods for operators. All decisions lie in the modules free of I/O that it drives; this
-one must not block the loop and must not send what a voter says before its records are durable.
+The service creates one `FleetService` for a front file that names a fleet, and calls it every second; the
+admin interface calls the methods for operators. All decisions lie in the modules free of I/O that it drives;
+this one must not block the loop and must not send what a voter says before its records are durable.
 """
 
 import asyncio
@@ -19,18 +19,17 @@
 from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import InconsistentRecordError
 from terndrift.fleet.catalogue_sync import COPY as COPY_ID_PREFIX
-from terndrift.fleet.catalogue_sync import Copies
-from terndrift.fleet.catalogue_sync import Standing as CopyStanding
+from terndrift.fleet.catalogue_sync import CatalogueSync, SyncState
 from terndrift.fleet.committed_state import initial_state
 from terndrift.fleet.member import Controller
 from terndrift.fleet.messages import MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, decode
-from terndrift.fleet.observation_collector import Kept
+from terndrift.fleet.observation_collector import SavedObservations
 from terndrift.fleet.overload_control import LOOKS
 from terndrift.fleet.planned_work import REVISION_KEY
-from terndrift.fleet.planned_work_site import OfLate
+from terndrift.fleet.planned_work_site import RecentRequests
 from terndrift.fleet.raft import PersistentState
-from terndrift.fleet.recovery_stages import HOLDS, Return
-from terndrift.fleet.redirect_targets import Elsewhere
+from terndrift.fleet.recovery_stages import HOLDS, RecoveryProgress
+from terndrift.fleet.redirect_targets import RedirectTargets
 from terndrift.http.client import Broken, Pool, Unreached, fetch
 from terndrift.http.server import Server
 from terndrift.store.commit import Committer
@@ -79,26 +78,29 @@
         raise InconsistentRecordError("\n".join(faults))
 
 
-class Fleet:
+class FleetService:
     """A controller of a fleet with its sockets, store and timer.
 
     `value`: the `fleet` section of a front file; `me`: this controller's name; `startup_target(plan)`: the
     startup target of a plan, by its name, in ns. Raises Held if another process uses the voter's store
-    folder. The service sets `site`, `surge`, `sight` and `keep_in` after construction where configured.
+    folder. The service sets `site`, `overload_control`, `observation_collector` and `keep_in` after
+    construction where configured.
     """
 
     def __init__(self, value, me, clock, seed, log, startup_target=lambda plan: 0):
         self.startup_target = startup_target
         self.value, self.me, self.clock, self.log = value, me, clock, log
         self.dropped, self.body_tasks, self.pool = Counter(), set(), Pool(2)
-        self.site = None  # planned_work_site.Site, if this controller takes part in planned work
+        self.site = None  # planned_work_site.PlannedWorkSite, if this controller takes part in planned work
         self.logged_level = 0.0
-        self.surge = None  # overload_control.Surge, if this controller sheds by the fleet's level
+        # overload_control.OverloadControl, if this controller sheds by the fleet's level
+        self.overload_control = None
         # set by `serves`; the task that takes a copy; whether a copy is being sent
         self.catalogue, self.copy_task, self.sending_copy = None, None, False
-        # observation_collector.Sight; the file that keeps its observations over a restart, "" for none
-        self.sight, self.keep_in = None, ""
-        self.back, self.answers = Return(clock.now(), True), OfLate(HOLDS)
+        # observation_collector.ObservationCollector; the file that keeps its observations over a restart, ""
+        # for none
+        self.observation_collector, self.keep_in = None, ""
+        self.recovery_progress, self.answers = RecoveryProgress(clock.now(), True), RecentRequests(HOLDS)
         self.worked = asyncio.Event()  # set when planned work was agreed on; the service clears it
         self.committer, durable = None, None
         if me in value["voters"]:
@@ -116,7 +118,7 @@
             lambda: secrets.token_hex(8),
             seed,
         )
-        self.elsewhere = Elsewhere(self.controller, seed)
+        self.elsewhere = RedirectTargets(self.controller, seed)
         self.server = Server(self._request, 256, body_size=MAX_BODY_BYTES, fault=self._log_fault)
         self.transport, self.addresses, self.timer, self.timer_at = None, [], None, None
         self.write_task, self.waiters, self.closing, self.logged_cut_off = None, set(), False, False
@@ -325,36 +327,36 @@
 
         `listed`: whether the streamer list has entries.
         """
-        now, previous_stage = self.clock.now(), self.back.stage
+        now, previous_stage = self.clock.now(), self.recovery_progress.stage
         self.elsewhere.announce(now)
-        if self.surge and (level := round(self.surge.level(), 1)) != self.logged_level:
+        if self.overload_control and (level := round(self.overload_control.level(), 1)) != self.logged_level:
             self.logged_level = level
             self.log.info("shed", at=level, why=self.controller.shedding.why)
         self._process_output()
-        self.back.look(
+        self.recovery_progress.look(
             now, listed, self.controller.committed_log.complete_as_of is not None, *self.answers.recent(now)
         )
-        if self.back.stage is not previous_stage:
-            self.log.info("return", stage=self.back.stage.value, past=self.recovery()["past"])
+        if self.recovery_progress.stage is not previous_stage:
+            self.log.info("return", stage=self.recovery_progress.stage.value, past=self.recovery()["past"])
 
     # The catalogue.
 
     def serves(self, catalogue):
         """Sets the catalogue service; titles are served only once the other members' state is known."""
         self.catalogue, controller = catalogue, self.controller
-        controller.catalogue_sync = Copies(
+        controller.catalogue_sync = CatalogueSync(
             self.me, self.clock.now(), lambda: catalogue.versions.ids, len(controller.configured_names) - 1
         )
 
     def unsure(self):
         """Tells whether no title may be served yet; starts to copy the catalogue if a member is ahead."""
         copies = self.controller.catalogue_sync
-        if copies.standing is CopyStanding.BEHIND and (self.copy_task is None or self.copy_task.done()):
+        if copies.standing is SyncState.BEHIND and (self.copy_task is None or self.copy_task.done()):
             self.copy_task = asyncio.ensure_future(self._copy_catalogue(copies))
         return not copies.sure()
 
     async def _send_catalogue(self, exchange):
-        if self.sending_copy or self.controller.catalogue_sync.standing is CopyStanding.BEHIND:
+        if self.sending_copy or self.controller.catalogue_sync.standing is SyncState.BEHIND:
             return await exchange.reply(503, text="busy")
         self.sending_copy = True
         try:
@@ -421,9 +423,9 @@
         self._restore_observations()
         while True:
             try:
-                self.sight.look()
+                self.observation_collector.look()
                 self._process_output()
-                if self.keep_in and (observations := self.sight.keeps()) is not None:
+                if self.keep_in and (observations := self.observation_collector.keeps()) is not None:
                     await loop.run_in_executor(
                         None, _write_atomically, self.keep_in, msgspec.json.encode(observations)
                     )
@@ -431,15 +433,15 @@
                 self.log.error("fleet: what was seen of streamers is not kept", what=str(error))
             except Exception as fault:  # keep the loop running
                 self.log.error("fault of the fleet", exc_info=fault)
-            await asyncio.sleep(0.1 if self.back.under_way() else 1.0)
+            await asyncio.sleep(0.1 if self.recovery_progress.under_way() else 1.0)
 
     async def meets(self):
         """Updates what the fleet has found and allows under load, until cancelled."""
         while True:
             try:
-                previous = sorted(self.surge.told[1].items())
-                self.surge.look()
-                if (found := sorted(self.surge.told[1].items())) != previous:
+                previous = sorted(self.overload_control.told[1].items())
+                self.overload_control.look()
+                if (found := sorted(self.overload_control.told[1].items())) != previous:
                     self.log.debug(
                         "found",
                         left=[id for id, allowed in found if not allowed],
@@ -454,14 +456,14 @@
             return
         try:
             with open(self.keep_in, "rb") as file:
-                observations = msgspec.json.decode(file.read(), type=Kept)
-            self.sight.restore(observations)
+                observations = msgspec.json.decode(file.read(), type=SavedObservations)
+            self.observation_collector.restore(observations)
         except (OSError, msgspec.DecodeError) as error:  # the observations only speed up the return
             self.log.warning("fleet: what was seen of streamers can't be read", what=str(error))
 
     def recovery(self):
         """Returns the progress of this controller's return, for /fleet/recovery."""
-        return {"name": self.me, **self.back.report(self.clock.now())}
+        return {"name": self.me, **self.recovery_progress.report(self.clock.now())}
 
     # Admin interface.
 
@@ -484,7 +486,11 @@
 
     def load(self):
         """Returns the fleet's recent load and the level of shedding, for /fleet/load."""
-        return self.surge.report() if self.surge else {"error": "fleet.shed is not set in the front file"}
+        return (
+            self.overload_control.report()
+            if self.overload_control
+            else {"error": "fleet.shed is not set in the front file"}
+        )
 
     def work(self):
         """Returns the planned work, the machines as seen here and what they wait for, for /fleet/work."""
@@ -606,7 +612,7 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Passes received datagrams to a Fleet."""
+    """Passes received datagrams to a FleetService."""
 
     def __init__(self, fleet):
         self.fleet = fleet
--- a/terndrift/fleet/shedding.py
+++ b/terndrift/fleet/shedding.py
@@ -2,8 +2,8 @@
 answer in time.
 
 overload_control.py asks `is_shed` before a viewer gets a playback. The controller that decides for the fleet,
-the first one alive, steps its `Level` on the sums of all (member.py); the others apply the level that they
-receive in load reports. This module does no I/O and never ends a running playback.
+the first one alive, steps its `SheddingLevel` on the sums of all (member.py); the others apply the level that
+they receive in load reports. This module does no I/O and never ends a running playback.
 
 A level of 1.4 sheds all requests for the least important plan and 0.4 of those for the next one. As all
 controllers apply one level and one order, none takes a less important playback while another turns away a
@@ -31,7 +31,7 @@
 from collections import deque
 from math import ceil
 
-from terndrift.fleet.heavy_keys import Caps
+from terndrift.fleet.heavy_keys import KeyCaps
 from terndrift.fleet.load_reports import ANSWERED, IN_TARGET, SHED, WANTED
 from terndrift.fleet.recent_counts import LOAD_REPORT_INTERVAL, SECOND, WINDOW_SECONDS
 
@@ -67,7 +67,7 @@
     return zlib.crc32(b"%d" % turn, viewer_hash) * 2654435761 % 2**32 / 2**32 < part
 
 
-class Level:
+class SheddingLevel:
     """The shedding level, stepped each beat by the controller that decides for the fleet.
 
     `value`: the level, from 0 to the number of plans; `why`: the reason for operators; `caps`: the parts to
@@ -78,7 +78,7 @@
         self.order, self.value, self.why = order, 0.0, ""
         # in_target_history: (time, answers in target) of the last BEST_MEMORY_NS
         self.in_target_history, self.good_since, self.changed_at = deque(), None, -SETTLING_NS
-        self.caps = Caps()
+        self.caps = KeyCaps()
 
     def step(self, now, plans, keys=()):
         """Updates the level and the caps, and returns the level.
--- a/terndrift/fleet/slow_start_shares.py
+++ b/terndrift/fleet/slow_start_shares.py
@@ -34,7 +34,7 @@
 TRANSITION_NS = int(MAX_RECORD_AGE_NS * (1 + MAX_CLOCK_DRIFT)) + MAX_DETECTION_DELAY_NS
 
 
-class Ranks:
+class SlowStartShares:
     """One controller's view of the entry that says who shares the slow start pace. Times are in ns."""
 
     def __init__(self):
--- a/terndrift/fleet/streamer_observations.py
+++ b/terndrift/fleet/streamer_observations.py
@@ -55,7 +55,7 @@
     link_demand_percent: int  # demand on its link, in hundredths of the link's capacity
 
 
-class Known:
+class ObservationStore:
     """Observations of all streamers by this and other controllers.
 
     `own_name` is this controller's name and `run` the number of its run; `now` and `cold_for`, the time of a
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -7,9 +7,9 @@
 from terndrift.audit import recovery
 from terndrift.core.active_playback import AnswerKind
 from terndrift.deployment import build_deployment
-from terndrift.fleet.observation_collector import Sight
-from terndrift.fleet.planned_work_site import OfLate
-from terndrift.fleet.recovery_stages import HOLDS, Return
+from terndrift.fleet.observation_collector import ObservationCollector
+from terndrift.fleet.planned_work_site import RecentRequests
+from terndrift.fleet.recovery_stages import HOLDS, RecoveryProgress
 from terndrift.fleet.simulated_fleet import SimulatedFleet
 from terndrift.interface import Ending, ListEntry, Standing
 from terndrift.rehearse import virtual
@@ -60,25 +60,25 @@
         super().__init__(world, n, deployment, grace, decisions)
         self.dead, self.waiting, self.kept = False, {}, None
         self.runner = SimpleNamespace(core=self.core, clock=Clock(world), run=self.run)
-        self.back, self.served = Return(world.now, True), OfLate(HOLDS)
+        self.recovery_progress, self.served = RecoveryProgress(world.now, True), RecentRequests(HOLDS)
         self.rank = n, deployment.controllers
-        self.sight = None
+        self.observation_collector = None
         self.core.watch = self._watch
 
     def comes_up(self, controller, kept=None):
         """With what members tell (None: nothing) it looks at once, and then again and again."""
         if controller is not None:
-            self.sight = Sight(
+            self.observation_collector = ObservationCollector(
                 controller,
                 self.world.listing,
                 self.runner,
                 self.world.cold_for,
                 self.rank,
-                self.back.under_way,
+                self.recovery_progress.under_way,
             )
             self.controller = controller
             if kept is not None:
-                self.sight.restore(kept)
+                self.observation_collector.restore(kept)
             self._look()
 
     def _watch(self, event, playback, **facts):
@@ -86,19 +86,19 @@
             target = self.world.made.plans[playback.request.plan].startup_target
             well = facts["kind"] == AnswerKind.PLAYS.value and facts["took"] <= target
             self.served.count(self.world.now, 1, well)
-        if self.sight is not None:
-            self.sight.watch(event, playback, **facts)
+        if self.observation_collector is not None:
+            self.observation_collector.watch(event, playback, **facts)
 
     def _look(self):
         if self.dead:
             return
         now = self.world.now
         heard = self.controller.committed_log.complete_as_of is not None
-        self.back.look(now, True, heard, *self.served.recent(now))
-        self.sight.look()
-        if (kept := self.sight.keeps()) is not None:
+        self.recovery_progress.look(now, True, heard, *self.served.recent(now))
+        self.observation_collector.look()
+        if (kept := self.observation_collector.keeps()) is not None:
             self.kept = kept
-        self.world.after(SECOND // 10 if self.back.under_way() else SECOND, self._look)
+        self.world.after(SECOND // 10 if self.recovery_progress.under_way() else SECOND, self._look)
 
     def _arrives(self, playback, out, s, number, rung):
         if s.id in self.world.off:
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -17,10 +17,10 @@
 from terndrift.core.core import Core
 from terndrift.core.runner import Clock, CoreRunner
 from terndrift.decide import Controller
-from terndrift.fleet.observation_collector import Sight
-from terndrift.fleet.overload_control import Surge
-from terndrift.fleet.planned_work_site import Site
-from terndrift.fleet.service import Fleet, settled
+from terndrift.fleet.observation_collector import ObservationCollector
+from terndrift.fleet.overload_control import OverloadControl
+from terndrift.fleet.planned_work_site import PlannedWorkSite
+from terndrift.fleet.service import FleetService, settled
 from terndrift.http.client import Pool
 from terndrift.http.front import Front, Served
 from terndrift.http.server import Server
@@ -226,7 +226,7 @@
         self.runner = Runner(value["background"], self.log)
         self.fleet = None
         if value["fleet"]["name"]:
-            self.fleet = Fleet(
+            self.fleet = FleetService(
                 value["fleet"],
                 self.core.name,
                 self.clock,
@@ -273,7 +273,7 @@
 
     def _obey(self):
         """Planned work of the fleet is obeyed from the start on."""
-        site = self.fleet.site = Site(
+        site = self.fleet.site = PlannedWorkSite(
             self.fleet.controller,
             self.listing,
             self.titles.versions,
@@ -299,7 +299,7 @@
             return line.address if line else self.addresses.get(id, "")
 
         elsewhere = self.fleet.elsewhere
-        surge = self.fleet.surge = Surge(
+        overload_control = self.fleet.overload_control = OverloadControl(
             self.fleet.controller,
             self.core_runner,
             self.core.deployment.plans,
@@ -307,30 +307,33 @@
             address,
             lambda: bool(elsewhere.places(self.clock.now())),
         )
-        self.core.watch, self.front.sheds = both(self.core.watch, surge.watch), surge.sheds
+        self.core.watch, self.front.sheds = (
+            both(self.core.watch, overload_control.watch),
+            overload_control.sheds,
+        )
         refused = self.front.refused
-        self.front.refused = lambda plan, wait: (refused(plan, wait), surge.gate(plan, wait))
-        self.transport.pace = surge.connecting
+        self.front.refused = lambda plan, wait: (refused(plan, wait), overload_control.gate(plan, wait))
+        self.transport.pace = overload_control.connecting
         for source in self.sources.xds.values():
-            source.backoff.min_shared_delay = surge.calling
+            source.backoff.min_shared_delay = overload_control.calling
 
     def _sees(self):
         """What is seen of streamers, told to the others and kept for the next run."""
         fleet, kept = self.fleet, self.value["catalogue"]["store"]
-        sight = fleet.sight = Sight(
+        observation_collector = fleet.observation_collector = ObservationCollector(
             fleet.controller,
             self.listing,
             self.core_runner,
             self.value["deployment"]["rules"]["cold_for"],
             (self.core.deployment.rank, self.core.deployment.controllers),
-            fleet.back.under_way,
+            fleet.recovery_progress.under_way,
         )
         fleet.keep_in = f"{kept}.sight" if kept else ""
-        self.core.watch, passed = both(self.core.watch, sight.watch), self.front.passed
+        self.core.watch, passed = both(self.core.watch, observation_collector.watch), self.front.passed
 
         def both_passed(streamer, size):
             passed(streamer, size)
-            sight.passed(streamer, size)
+            observation_collector.passed(streamer, size)
 
         self.front.passed = both_passed
 
@@ -402,7 +405,7 @@
         if self.fleet:
             await self.fleet.start(self.address)
             self.tasks.append(asyncio.ensure_future(self.fleet.sees()))
-            if self.fleet.surge:
+            if self.fleet.overload_control:
                 self.tasks.append(asyncio.ensure_future(self.fleet.meets()))
             self._shut()
             self.tasks.append(asyncio.ensure_future(self._unsure()))
@@ -433,13 +436,13 @@
                 late = self.core_runner.report_timer_delay(self.log)
                 if (
                     self.fleet
-                    and self.fleet.surge
-                    and self.fleet.surge.second(late, *process.resource_utilisation())
+                    and self.fleet.overload_control
+                    and self.fleet.overload_control.second(late, *process.resource_utilisation())
                 ):
                     self.log.warning(
                         "strain",
-                        standing=self.fleet.surge.strain.standing.value,
-                        why=self.fleet.surge.strain.why,
+                        standing=self.fleet.overload_control.strain.standing.value,
+                        why=self.fleet.overload_control.strain.why,
                     )
                 self.front.every_second()
                 await self.sources.every_second()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from terndrift.fleet.catalogue_sync import MAX_RESPONSES_NEEDED, SYNC_TIMEOUT_NS, Copies, Standing
+from terndrift.fleet.catalogue_sync import MAX_RESPONSES_NEEDED, SYNC_TIMEOUT_NS, CatalogueSync, SyncState
 from terndrift.fleet.messages import CatalogueHead, CatalogueHeadRequest
 
 S = 1_000_000_000
@@ -18,7 +18,9 @@
 
     def __init__(self, disks, broken=(), isolated=()):
         self.now, self.disks, self.broken, self.isolated = 1000 * S, dict(disks), set(broken), set(isolated)
-        self.copies = {n: Copies(n, self.now, lambda n=n: self.disks[n], len(disks) - 1) for n in disks}
+        self.copies = {
+            n: CatalogueSync(n, self.now, lambda n=n: self.disks[n], len(disks) - 1) for n in disks
+        }
         # served: name -> (seconds until it serves, newest change that it has then)
         self.served, self.copied, self.max_requests = {}, 0, 0
 
@@ -38,7 +40,7 @@
                         to
                     ].heard(n, m)
                 sync.outbox.clear()
-                if sync.standing is Standing.BEHIND and self.now % (3 * S // 10) < S // 10:
+                if sync.standing is SyncState.BEHIND and self.now % (3 * S // 10) < S // 10:
                     whole = sync.source not in self.broken
                     if whole:
                         self.copied += 1
@@ -64,7 +66,7 @@
     fleet = SimulatedFleet({"c0": NEW, "c1": NEW, "c2": NEW})
     fleet.run(3)
     fleet.disks["c3"] = list(OLD)
-    fleet.copies["c3"] = Copies("c3", fleet.now, lambda: fleet.disks["c3"], 3)
+    fleet.copies["c3"] = CatalogueSync("c3", fleet.now, lambda: fleet.disks["c3"], 3)
     fleet.run(1)
     assert fleet.served["c3"][1] == "d"
 
@@ -101,15 +103,15 @@
 
 
 def test_unrequested_responses_are_ignored_and_invalid_transitions_fail():
-    sync = Copies("c0", 0, lambda: OLD, 3)
+    sync = CatalogueSync("c0", 0, lambda: OLD, 3)
     sync.heard("c1", CatalogueHead(9, NEW, True))
-    assert sync.standing is Standing.COMPARING and not sync.heads_by_name
+    assert sync.standing is SyncState.COMPARING and not sync.heads_by_name
     sync.tick(0, ["c1"])
     sync.heard("c1", CatalogueHead(9, NEW, True))
-    assert sync.standing is Standing.BEHIND
+    assert sync.standing is SyncState.BEHIND
     sync.copied(True)
     with pytest.raises(AssertionError):
-        sync._set_state(Standing.BEHIND, "")
+        sync._set_state(SyncState.BEHIND, "")
 
 
 def test_the_few_controllers_up_first_are_no_majority():
@@ -117,22 +119,22 @@
 
     In the day lost-state two such controllers served an old catalogue that half of all had replaced.
     """
-    sync = Copies("c0", 0, lambda: OLD, 19)
+    sync = CatalogueSync("c0", 0, lambda: OLD, 19)
     for n in range(1, 10):
         sync.request_counts[f"c{n}"] = 1
         sync.heard(f"c{n}", CatalogueHead(2, OLD, False))
-    assert sync.standing is Standing.COMPARING, (
+    assert sync.standing is SyncState.COMPARING, (
         "nine of nineteen responded; the ten others may have a newer one"
     )
     sync.request_counts["c10"] = 1
     sync.heard("c10", CatalogueHead(2, OLD, False))
-    assert sync.standing is Standing.CONFIRMED
+    assert sync.standing is SyncState.CONFIRMED
 
 
 def test_timeout_counts_from_when_requests_can_be_sent():
-    sync = Copies("c0", 0, lambda: OLD, 3)
+    sync = CatalogueSync("c0", 0, lambda: OLD, 3)
     sync.begin(20 * S)
     sync.tick(20 * S, ["c1"])
-    assert sync.standing is Standing.COMPARING and sync.outbox
+    assert sync.standing is SyncState.COMPARING and sync.outbox
     sync.tick(20 * S + SYNC_TIMEOUT_NS, ["c1"])
     assert sync.sure() and not sync.confirmed_by_peers
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -14,7 +14,7 @@
 from terndrift.core.runner import Clock
 from terndrift.deployment import InconsistentRecordError
 from terndrift.fleet.raft import Role
-from terndrift.fleet.service import Fleet, settled
+from terndrift.fleet.service import FleetService, settled
 from terndrift.rehearse import run
 from terndrift.standin.network import Network
 
@@ -56,7 +56,7 @@
 
     async def start(self, *names):
         for name in names or NAMES:
-            controller = self.controllers[name] = Fleet(self.settings(name), name, Clock(), 1, Log())
+            controller = self.controllers[name] = FleetService(self.settings(name), name, Clock(), 1, Log())
             await controller.start()
             self.network.at(name, *controller.addresses)
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -6,10 +6,10 @@
 from helpers import deployment
 
 from terndrift.fleet import load_reports, shedding
-from terndrift.fleet.load_reports import REPORT_LIFETIME_NS, LoadCounter, Loads
+from terndrift.fleet.load_reports import REPORT_LIFETIME_NS, LoadCounter, LoadReports
 from terndrift.fleet.messages import FleetLoad
 from terndrift.fleet.recent_counts import WINDOW_SECONDS
-from terndrift.fleet.shedding import Level, importance, is_shed, shed_parts
+from terndrift.fleet.shedding import SheddingLevel, importance, is_shed, shed_parts
 
 SECOND = 1_000_000_000
 
@@ -33,7 +33,7 @@
 
     def new_member(self, name):
         """The load reports of a member that has just started."""
-        member = Loads(name, self.names, self.now)
+        member = LoadReports(name, self.names, self.now)
         member.own = lambda now: ({"free": [self.requests[name], 0, 0, 0, 0, 0]}, [1, 0, 0])
         return member
 
@@ -241,7 +241,10 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("waste", [0.3, 0.7])
 def test_shedding_ends_a_surge_that_retries_would_sustain_and_holds_a_steady_overload(waste, seed):
-    unprotected, protected = ViewerModel(60, None, 0.7, seed), ViewerModel(60, Level(ORDER), waste, seed)
+    unprotected, protected = (
+        ViewerModel(60, None, 0.7, seed),
+        ViewerModel(60, SheddingLevel(ORDER), waste, seed),
+    )
     for model in (unprotected, protected):
         for n in range(60):
             model.second(180 if 10 <= n < 20 else 50)
@@ -252,7 +255,7 @@
         and mean_in_time(protected.rows, 30, 40) > 36
         and mean_in_time(protected.rows, 40, 60) > 42
     )
-    steady = ViewerModel(60, Level(ORDER), waste, seed)
+    steady = ViewerModel(60, SheddingLevel(ORDER), waste, seed)
     for _ in range(70):
         steady.second(90)
     assert mean_in_time(steady.rows, 20, 70) > 44
@@ -260,16 +263,16 @@
 
 
 def test_the_level_stays_zero_without_overload_and_with_few_answers():
-    model = ViewerModel(60, Level(ORDER))
+    model = ViewerModel(60, SheddingLevel(ORDER))
     for _ in range(30):
         model.second(50)
     assert model.value == 0
-    assert Level(ORDER).step(1000 * SECOND, {"free": [4, 0, 4, 0, 4, 0]}) == 0
+    assert SheddingLevel(ORDER).step(1000 * SECOND, {"free": [4, 0, 4, 0, 4, 0]}) == 0
 
 
 def test_one_or_two_late_answers_of_a_dozen_do_not_keep_the_level_up():
     """In the day overload-as-one one late answer in a window of a dozen kept the whole plan shed for good."""
-    level, now = Level(ORDER), 1000 * SECOND
+    level, now = SheddingLevel(ORDER), 1000 * SECOND
     level.step(now, {"free": [400, 0, 200, 20, 100, 80]})
     first = level.value
     assert first > 0.8
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -8,10 +8,10 @@
 
 from terndrift.fleet import failing_streamers, heavy_keys, load_supplement, retry_schedule
 from terndrift.fleet.failing_streamers import FAILURE_TTL_NS, current_turn, judged, prober_of_turn
-from terndrift.fleet.heavy_keys import Caps
-from terndrift.fleet.local_overload import Standing, Strain
-from terndrift.fleet.messages import Piggyback
-from terndrift.fleet.retry_schedule import Book
+from terndrift.fleet.heavy_keys import KeyCaps
+from terndrift.fleet.local_overload import LocalOverload, OverloadState
+from terndrift.fleet.messages import LoadSupplement
+from terndrift.fleet.retry_schedule import RetrySchedule
 from terndrift.rehearse import run, virtual
 
 MS = 1_000_000
@@ -84,7 +84,7 @@
 
 
 def test_rows_that_a_controller_reports_of_its_own_attempts():
-    own, now = failing_streamers.Own(), 1000 * S
+    own, now = failing_streamers.FailureReports(), 1000 * S
     own.plays(now, "s2")
     assert own.table(now, {}, {}) == {}, "no controller excludes it"
     assert own.table(now + S, {}, {"s2": [2, 1, 1500, -1, 0, 2, 0]}) == {"s2": [0, -1, 0, 1000, 0, 0, 1]}
@@ -115,22 +115,22 @@
 @pytest.mark.parametrize(
     "supplement",
     [
-        Piggyback(failures=table_with_row(by=9)),
-        Piggyback(failures=table_with_row(ill=-2)),
-        Piggyback(failures={"s": [1, 1]}),
-        Piggyback(failures=table_with_row(played=999)),
-        Piggyback(failures={f"s{n}": [1, 1, 1, 1, 0, 1, 0] for n in range(99)}),
-        Piggyback(expected_returns=[-1]),
-        Piggyback(expected_returns=[0] * 99),
-        Piggyback(request_counts={"a": 10**9}),
-        Piggyback(overloaded=["x"] * 99),
-        Piggyback(shed_shares={"a": 2.0}),
-        Piggyback(failures=table_with_row(dead=3)),
+        LoadSupplement(failures=table_with_row(by=9)),
+        LoadSupplement(failures=table_with_row(ill=-2)),
+        LoadSupplement(failures={"s": [1, 1]}),
+        LoadSupplement(failures=table_with_row(played=999)),
+        LoadSupplement(failures={f"s{n}": [1, 1, 1, 1, 0, 1, 0] for n in range(99)}),
+        LoadSupplement(expected_returns=[-1]),
+        LoadSupplement(expected_returns=[0] * 99),
+        LoadSupplement(request_counts={"a": 10**9}),
+        LoadSupplement(overloaded=["x"] * 99),
+        LoadSupplement(shed_shares={"a": 2.0}),
+        LoadSupplement(failures=table_with_row(dead=3)),
     ],
 )
 def test_a_supplement_out_of_bounds_is_rejected(supplement):
     assert not load_supplement.sound(supplement, 2, 1000)
-    assert load_supplement.sound(Piggyback(), 2, 1000) and load_supplement.sound(None, 2, 1000)
+    assert load_supplement.sound(LoadSupplement(), 2, 1000) and load_supplement.sound(None, 2, 1000)
 
 
 # Retry advice (retry_schedule.py).
@@ -143,7 +143,7 @@
     viewers arrive in each. Reports arrive half a second late. For comparison, `same_delay` counts the retries
     if everybody is given the same delay.
     """
-    books, now = [Book(20 * S) for _ in NAMES], 1000 * S
+    books, now = [RetrySchedule(20 * S) for _ in NAMES], 1000 * S
     due, same_delay, rng = Counter(), Counter(), random.Random(3)
     for step in range(8):
         now += S // 2
@@ -163,7 +163,7 @@
 
 
 def test_without_room_retries_are_late_and_without_data_there_is_no_advice():
-    book = Book(10 * S)
+    book = RetrySchedule(10 * S)
     assert book.advice([0] * 11, 5) == ()
     book.serves(0, 4)
     advice = book.advice([9] * 11, 13)
@@ -180,7 +180,7 @@
 
 
 def test_a_title_with_nine_in_ten_requests_of_a_surge_is_capped_before_the_level_rises():
-    caps, now = Caps(), 1000 * S
+    caps, now = KeyCaps(), 1000 * S
     keys = {"title x": 540, "from a": 600}
     assert caps.step(now, keys, 600, 100, True), "a new heavy key: the level waits for the effect of its cap"
     assert caps.parts == {"title x": 1 - heavy_keys.SHARE * 100 / 540}, (
@@ -196,14 +196,14 @@
 
 
 def test_a_popular_title_is_not_capped_without_overload_or_below_half_of_all_requests():
-    caps = Caps()
+    caps = KeyCaps()
     assert not caps.step(0, {"title x": 90}, 100, 100, False) and not caps.parts
     assert not caps.step(0, {"title x": 300}, 700, 100, True) and not caps.parts
     assert not caps.step(0, {"from a": 688}, 700, 100, True) and not caps.parts, "one report is late"
 
 
 def test_keys_are_counted_by_whole_seconds_and_the_heaviest_reported():
-    own = heavy_keys.Own()
+    own = heavy_keys.KeyCounter()
     for n in range(30):
         own.count(10 * S, (f"title {n % 10}", "from a"))
     own.count(11 * S, ("title x",) * 7)
@@ -218,11 +218,11 @@
     When controllers reported only keys with five requests or more, it seemed to be nine in ten of all, and
     the fleet rejected viewers for ten seconds after the surge.
     """
-    owns = [heavy_keys.Own() for _ in range(12)]
+    owns = [heavy_keys.KeyCounter() for _ in range(12)]
     for n, own in enumerate(owns):
         for _ in range(n):
             own.count(10 * S, ("from a", f"title {n % 3}"))
-    caps = Caps()
+    caps = KeyCaps()
     assert (
         not caps.step(0, heavy_keys.merged([o.table(11 * S) for o in owns]), 66, 20, True) and not caps.parts
     )
@@ -232,18 +232,18 @@
 
 
 def test_two_late_loops_or_exhausted_resources_raise_the_level_and_recovery_lowers_it_slowly():
-    strain = Strain(3)
+    strain = LocalOverload(3)
     assert strain.second(S, 900 * MS, 0.1, 0.1) == 0, "a single delay may be a pause of the machine"
-    assert strain.second(2 * S, 900 * MS, 0.1, 0.1) == 0.5 and strain.standing is Standing.STRAINED
+    assert strain.second(2 * S, 900 * MS, 0.1, 0.1) == 0.5 and strain.standing is OverloadState.STRAINED
     assert strain.second(3 * S, 0, 0.95, 0.1) == 1.0 and "descriptors" in strain.why
-    assert strain.second(4 * S, 0, 0.85, 0.1) == 1.0 and strain.standing is Standing.STRAINED, (
+    assert strain.second(4 * S, 0, 0.85, 0.1) == 1.0 and strain.standing is OverloadState.STRAINED, (
         "not recovered yet"
     )
-    assert strain.second(5 * S, 0, 0.5, 0.1) == 1.0 and strain.standing is Standing.EASING
+    assert strain.second(5 * S, 0, 0.5, 0.1) == 1.0 and strain.standing is OverloadState.EASING
     levels = [strain.second((5 + n) * S, 0, 0.5, 0.1) for n in range(1, 8)]
     assert (
         levels == [1.0, 1.0, 0.75, 0.5, 0.25, 0.0, 0.0]
-        and strain.standing is Standing.EASY
+        and strain.standing is OverloadState.EASY
         and not strain.why
     )
     for n in range(20):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -106,33 +106,33 @@
 
 
 def test_recovery_stages_advance_when_their_conditions_hold():
-    progress = recovery_stages.Return(0, True)
+    progress = recovery_stages.RecoveryProgress(0, True)
     progress.look(1, False, False, 0, 0)
-    assert (progress.stage, progress.why) == (recovery_stages.Stage.STARTED, "a list of streamers")
+    assert (progress.stage, progress.why) == (recovery_stages.RecoveryStage.STARTED, "a list of streamers")
     progress.look(SECOND, True, False, 0, 0)
-    assert (progress.stage, progress.why) == (recovery_stages.Stage.HAS_LIST, "the fleet's record")
+    assert (progress.stage, progress.why) == (recovery_stages.RecoveryStage.HAS_LIST, "the fleet's record")
     progress.look(2 * SECOND, True, True, 4, 1)
-    assert progress.stage is recovery_stages.Stage.RAMPING_UP
+    assert progress.stage is recovery_stages.RecoveryStage.RAMPING_UP
     progress.look(7 * SECOND, True, True, 40, 37)
     assert progress.why == "95% in target for 5 s: 37 of 40"
     progress.look(8 * SECOND, True, True, 40, 38)
-    assert progress.stage is recovery_stages.Stage.FULL and not any(
+    assert progress.stage is recovery_stages.RecoveryStage.FULL and not any(
         timed_out for _, _, timed_out in progress.past
     )
     assert [took / SECOND for _, took, _ in progress.past] == [1, 1, 6]
 
 
 def test_isolated_controller_reaches_full_service_by_the_timeouts():
-    progress, at = recovery_stages.Return(0, True), 0
-    while progress.stage is not recovery_stages.Stage.FULL:
+    progress, at = recovery_stages.RecoveryProgress(0, True), 0
+    while progress.stage is not recovery_stages.RecoveryStage.FULL:
         at += SECOND // 2
         progress.look(at, False, False, 10, 0)
     assert at == sum(recovery_stages.STAGE_TIMEOUT_NS.values()) and all(
         timed_out for _, _, timed_out in progress.past
     )
-    alone = recovery_stages.Return(0, False)
+    alone = recovery_stages.RecoveryProgress(0, False)
     alone.look(SECOND, True, False, 0, 0)
-    assert alone.stage is recovery_stages.Stage.RAMPING_UP, (
+    assert alone.stage is recovery_stages.RecoveryStage.RAMPING_UP, (
         "there is no wait for others where there is no fleet"
     )
 
@@ -193,7 +193,7 @@
     from types import SimpleNamespace as Namespace
 
     from terndrift.fleet.member import Controller
-    from terndrift.fleet.observation_collector import Kept, Sight
+    from terndrift.fleet.observation_collector import ObservationCollector, SavedObservations
     from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS
 
     def sight(at, kept):
@@ -204,7 +204,7 @@
         )
         clock = Namespace(now=lambda: at, to_wall_ns=lambda now: now, from_wall_ns=lambda wall: wall)
         listing = Namespace(fresh=list, flow=Namespace(numbers=Namespace(of={})))
-        collector = Sight(
+        collector = ObservationCollector(
             fleet,
             listing,
             Namespace(core=core, clock=clock, run=lambda call, *args: call(*args)),
@@ -217,7 +217,7 @@
         collector.look()
         return reported[-1][:2]
 
-    kept = Kept(1000 * SECOND, [], (1, 2), 2 * SECOND)
+    kept = SavedObservations(1000 * SECOND, [], (1, 2), 2 * SECOND)
     assert sight(1000 * SECOND, None) == (2, None), "no state yet, so it has no share"
     assert sight(1017 * SECOND, kept) == (2, (1, 2))
     for at in (1000 * SECOND + MAX_RECORD_AGE_NS - 2 * SECOND, 999 * SECOND):  # state too old; clock set back
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -5,26 +5,26 @@
 from testbed import in_testbed
 
 from terndrift.fleet import load_reports
-from terndrift.fleet.load_reports import REPORT_LIFETIME_NS, Loads
-from terndrift.fleet.overload_control import HOLD_KEY, Surge, hold, release
+from terndrift.fleet.load_reports import REPORT_LIFETIME_NS, LoadReports
+from terndrift.fleet.overload_control import HOLD_KEY, OverloadControl, hold, release
 
 NO_VIOLATIONS = {name: 0 for name in ("answers", "set_ups", "drains", "cold", "terms", "budget")}
 
 
 def add_surge(testbed, level=0.0):
-    """Hooks a Surge into the testbed's service as service.py does; returns it and a fleet of one
+    """Hooks an OverloadControl into the testbed's service as service.py does; returns it and a fleet of one
     controller."""
     service = testbed.service
     fleet = SimpleNamespace(
         own_name="c0",
-        load_reports=Loads("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
+        load_reports=LoadReports("c0", ["c0"], service.clock.now() - REPORT_LIFETIME_NS),
         shedding=None,
         configured_names={"c0"},
         voter_names=[],
         membership=SimpleNamespace(alive_names=lambda: []),
         committed_log=SimpleNamespace(state={"map": {}}),
     )
-    surge = Surge(fleet, service.core_runner, service.core.deployment.plans)
+    surge = OverloadControl(fleet, service.core_runner, service.core.deployment.plans)
     core_watch = service.core.watch
 
     def watch(event, playback, **facts):
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -6,8 +6,12 @@
 
 from terndrift.fleet.messages import Observations, ObservationsRequest
 from terndrift.fleet.planned_work import MAX_RECORD_AGE_NS
-from terndrift.fleet.slow_start_shares import RECORD_KEY, TRANSITION_NS, Ranks
-from terndrift.fleet.streamer_observations import MAX_RESPONSES_PER_SECOND, OBSERVATION_LIFETIME_NS, Known
+from terndrift.fleet.slow_start_shares import RECORD_KEY, TRANSITION_NS, SlowStartShares
+from terndrift.fleet.streamer_observations import (
+    MAX_RESPONSES_PER_SECOND,
+    OBSERVATION_LIFETIME_NS,
+    ObservationStore,
+)
 
 WARM_UP_NS = 8 * SECOND
 
@@ -22,7 +26,7 @@
 
     def __init__(self, count=4):
         self.now, self.runs = START, {f"c{n}": 1 for n in range(count)}
-        self.stores = {n: Known(n, 1, self.now, WARM_UP_NS) for n in self.runs}
+        self.stores = {n: ObservationStore(n, 1, self.now, WARM_UP_NS) for n in self.runs}
 
     def observe(self, observer, address, started=5, failed=0, use=40):
         """Records an observation by `observer` now, of a failure if `failed`."""
@@ -59,7 +63,7 @@
     def restart(self, who):
         """Starts a new run of a member, which knows nothing."""
         self.runs[who] += 1
-        store = self.stores[who] = Known(who, self.runs[who], self.now, WARM_UP_NS)
+        store = self.stores[who] = ObservationStore(who, self.runs[who], self.now, WARM_UP_NS)
         return store
 
 
@@ -178,7 +182,8 @@
 
 
 def total_share(views, at):
-    """Returns the sum of all shares; `views`: name -> (its Ranks, its state, age of the state in ns)."""
+    """Returns the sum of all shares; `views`: name -> (its SlowStartShares, its state, age of the state in
+    ns)."""
     total = 0.0
     for name, (ranks, seen, age) in views.items():
         found = ranks.slow_start_share(at, seen, name, age)
@@ -201,7 +206,7 @@
         ):
             if seen_at.count("restarted") > 2:
                 continue
-            views, at = {n: Ranks() for n in controllers}, START
+            views, at = {n: SlowStartShares() for n in controllers}, START
             for n in controllers:
                 views[n].look(at - 3 * TRANSITION_NS, old)
             for passed in (
@@ -217,12 +222,12 @@
                 now, here = at + passed, {}
                 for n, when in zip(controllers, seen_at, strict=True):
                     if when == "restarted":  # it has just restarted and has the state
-                        ranks = Ranks()
+                        ranks = SlowStartShares()
                         here[n] = ranks, new, 0
                     elif when is None or passed < when:  # its state is as old as the entry
                         here[n] = views[n], old, passed
                     else:
-                        ranks = Ranks()
+                        ranks = SlowStartShares()
                         ranks.look(at - 3 * TRANSITION_NS, old)
                         ranks.look(at + when, new)
                         here[n] = ranks, new, 0
@@ -233,7 +238,7 @@
 
 
 def test_leader_removes_a_name_after_the_transition_time_and_starts_with_configured_names():
-    ranks, now = Ranks(), START
+    ranks, now = SlowStartShares(), START
     id, value = ranks.next(now, state(), set("abc"), set("abc"))
     assert id == "ranks/1" and value[RECORD_KEY]["names"] == value[RECORD_KEY]["before"] == list("abc")
     assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][RECORD_KEY]["before"] == []
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -331,11 +331,11 @@
 
 
 def test_viewers_are_redirected_evenly_to_controllers_that_are_up_and_not_draining():
-    from terndrift.fleet.redirect_targets import Elsewhere
+    from terndrift.fleet.redirect_targets import RedirectTargets
 
     simulation = WorkSimulation(seed=4)
     simulated_fleet = simulation.simulated_fleet
-    redirects = {n: Elsewhere(simulated_fleet.controllers[n], 3) for n in simulation.names}
+    redirects = {n: RedirectTargets(simulated_fleet.controllers[n], 3) for n in simulation.names}
     assert redirects["c5"].choose(simulated_fleet.now) is None, "nobody has announced an address"
     for n, redirect in redirects.items():
         redirect.mine = "" if n == "c4" else f"http://{n}"
