--- a/terndrift/fleet/catalogue_sync.py
+++ b/terndrift/fleet/catalogue_sync.py
@@ -87,7 +87,7 @@
         ids = self.ids()
         return CatalogueHead(len(ids), ids[-HEAD_IDS:], self.confirmed_by_peers)
 
-    def asked(self, sender):
+    def handle_request(self, sender):
         """Responds to a request."""
         self.outbox.append((sender, self.head()))
 
@@ -112,7 +112,7 @@
                 self._evaluate()
         return None
 
-    def heard(self, sender, head):
+    def handle_response(self, sender, head):
         """Takes a response; one that wasn't requested is ignored."""
         if sender in self.request_counts:
             self.heads_by_name[sender] = head
--- a/terndrift/fleet/load_reports.py
+++ b/terndrift/fleet/load_reports.py
@@ -187,7 +187,7 @@
             carried,
         )
 
-    def heard(self, now, sender, report):
+    def receive(self, now, sender, report):
         """Handles a received `FleetLoad`; drops implausible ones and those of senders that may not send
         them."""
         if self.own is None or sender not in self.names or not is_plausible(report):
@@ -264,7 +264,7 @@
             (received.counts_by_plan, received.other_counts, received.member_count) if received else own_sum
         )
 
-    def rides(self, now):
+    def current_supplement(self, now):
         """The fleet's `LoadSupplement` that belongs to `total`, with its ages as of now."""
         received = self._received_total(now, self._sum(now))
         carried = (
--- a/terndrift/fleet/local_overload.py
+++ b/terndrift/fleet/local_overload.py
@@ -1,7 +1,7 @@
 """Detects overload of a single controller: a late event loop, or file descriptors or memory near the limit.
 
 A strained controller sheds in the fleet's order of plans (shedding.py), by a level of its own on top of the
-fleet's. overload_control.py calls `LocalOverload.second`, reports the strain to the other controllers and
+fleet's. overload_control.py calls `LocalOverload.update`, reports the strain to the other controllers and
 redirects viewers to them where it can. Free of I/O; it decides only the level.
 
 This guards against a controller that accepts, and answers late, viewers for whom its neighbours have
@@ -45,7 +45,7 @@
         self.max_level, self.level, self.standing, self.why = max_level, 0.0, OverloadState.EASY, ""
         self.was_late, self.recovering_since = False, 0
 
-    def second(self, now, loop_delay, descriptors, memory):
+    def update(self, now, loop_delay, descriptors, memory):
         """Updates the state from one second's figures and returns the level; called every second.
 
         `loop_delay`: the event loop's greatest delay, in ns; `descriptors`, `memory`: the shares in use, 0 to
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -147,9 +147,9 @@
             if envelope.epoch == self.committed_log.epoch[0]:  # revisions of another epoch cannot be compared
                 self.placement_reports[sender] = message, now
         elif isinstance(message, ObservationsRequest):
-            self.observations.asked(now, sender)
+            self.observations.handle_request(now, sender)
         elif isinstance(message, FleetLoad):
-            self.load_reports.heard(now, sender, message)
+            self.load_reports.receive(now, sender, message)
         elif isinstance(message, LeaseRequest):
             if message.requester in self.configured_names:
                 self.leases.asked(now, message, self._leads_with_quorum(now), self.leader())
@@ -157,12 +157,12 @@
             if sender in self.voter_names:
                 self.leases.answered(now, message)
         elif isinstance(message, CatalogueHeadRequest):
-            self.catalogue_sync.asked(sender)
+            self.catalogue_sync.handle_request(sender)
         elif isinstance(message, CatalogueHead):
             if envelope.epoch >= self.committed_log.epoch[0]:  # the sender may still be in an outdated epoch
-                self.catalogue_sync.heard(sender, message)
+                self.catalogue_sync.handle_response(sender, message)
         elif isinstance(message, Observations):
-            self.observations.heard(
+            self.observations.handle_message(
                 now, sender, message, {n: m.run for n, m in self.membership.members.items()}
             )
         else:
@@ -290,7 +290,7 @@
     def _propose_ranks(self, now):
         """As the leader, proposes who shares the slow start of cold streamers, when that has changed."""
         self.next_rank_at = now + SECOND
-        self.ranks.look(now, self.committed_log.state)
+        self.ranks.note_entry(now, self.committed_log.state)
         if self.voter and self.voter.role is Role.LEADER:
             alive = {self.own_name, *self.membership.alive_names()}
             if proposal := self.ranks.next(now, self.committed_log.state, self.configured_names, alive):
@@ -306,7 +306,7 @@
                 self.shedding.value = self.load_reports.in_force(now)
                 self.shedding.caps.parts = self.load_reports.caps_in_force(now)
             level = self.shedding.step(
-                now, self.load_reports.total(now)[0], self.load_reports.rides(now).request_counts
+                now, self.load_reports.total(now)[0], self.load_reports.current_supplement(now).request_counts
             )
             self.load_reports.decided(now, level, self.shedding.caps.parts)
         self.load_reports.tick(now, alive)
--- a/terndrift/fleet/observation_collector.py
+++ b/terndrift/fleet/observation_collector.py
@@ -1,6 +1,6 @@
 """Collection of what this controller's traffic and list say of streamers, and its use after a start.
 
-The fleet service calls `look` periodically. It passes own observations to the store in
+The fleet service calls `update` periodically. It passes own observations to the store in
 streamer_observations.py, from which other controllers get them, saves them for the next run, and reports to
 the core, by one call of the decisions' contract, how many controllers there are, which slow start share this
 one has and which streamers are proven warm. This module must never make a placement decision, and does no
@@ -61,7 +61,7 @@
         if size:
             self.last_success[streamer_id] = self.clock.now()
 
-    def look(self):
+    def update(self):
         """Records observations and reports changes to the core.
 
         Called periodically, and oftener during a recovery.
@@ -146,7 +146,7 @@
 
     # The file for the next run.
 
-    def keeps(self):
+    def take_due_save(self):
         """Returns the SavedObservations to be written now, or None where no save is due."""
         now = self.clock.now()
         if now < self.next_save_at:
--- a/terndrift/fleet/overload_control.py
+++ b/terndrift/fleet/overload_control.py
@@ -1,7 +1,7 @@
 """Overload handling of one controller: connects its core and front to the fleet's sums and decisions.
 
 service.py creates one `OverloadControl` per controller and hooks it into the core, the front, the transport
-and the sources; fleet/service.py calls `look` periodically. What core and front saw goes into load reports;
+and the sources; fleet/service.py calls `update` periodically. What core and front saw goes into load reports;
 what the fleet has decided comes back: who is shed before he gets a playback, how many attempts beyond the
 first may be made, which controller attempts a failing streamer, and when viewers are told to come back. This
 module does no I/O. It must not end a running playback.
@@ -22,7 +22,7 @@
 
 # Key in the record's map of a level set by an operator: {"level", "until" (ms since 1970), "by"}.
 HOLD_KEY = "shed/hold"
-LOOKS = SECOND // 10  # between calls of `look`: a fifth of the interval between load reports
+LOOKS = SECOND // 10  # between calls of `update`: a fifth of the interval between load reports
 # The longest wait of a set-up for its connection: the shortest startup target leaves time for the rest.
 MAX_CONNECT_WAIT_NS = SECOND // 4
 MAX_KEY_LENGTH = 48  # characters: twelve keys have to fit a datagram with the rest of a load report
@@ -42,13 +42,14 @@
         self.runner, self.address, self.elsewhere = runner, address, elsewhere
         self.plans, self.order, self.counter = plans, importance(plans), LoadCounter()
         now = self.clock.now()
-        # failed_streamers: ids with a failed set-up or playback since the last `look`
+        # failed_streamers: ids with a failed set-up or playback since the last `update`
         self.findings, self.failed_streamers = failing_streamers.FailureReports(), set()
         self.key_counter, self.failed_attempts = heavy_keys.KeyCounter(), CountsBySecond(lambda: [0])
         self.return_times, self.draw_count = RetrySchedule(self.core.deployment.rules.longest_advice), 0
-        # told: what the core was last told: (extra attempts, streamer id -> may attempt, return times in ns)
-        self.strain, self.told = LocalOverload(len(plans)), (None, {}, ())
-        self.last_level, self.raised_at = 0.0, 0  # the level at the last `look`, and when it last rose
+        # last_limits: what the core was last told: (extra attempts, streamer id -> may attempt, return times
+        # in ns)
+        self.strain, self.last_limits = LocalOverload(len(plans)), (None, {}, ())
+        self.last_level, self.raised_at = 0.0, 0  # the level at the last `update`, and when it last rose
         self.leases = controller.leases = Leases(
             controller.own_name,
             dict(limits),
@@ -72,7 +73,7 @@
             self.counter.count(now, playback.request.plan, load_reports.WANTED)
         elif event == "answer":
             plays, plan = facts["kind"] == AnswerKind.PLAYS.value, playback.request.plan
-            self.return_times.books(now, facts["come_back"])
+            self.return_times.record_retry(now, facts["come_back"])
             if plays:
                 self.findings.plays(now, self.address(playback.streamer.id))
             # Viewers taken under a lower level say nothing about this one, as they may have been held for two
@@ -93,7 +94,7 @@
                 self.counter.count_other(now, load_reports.EXTRA_ATTEMPTS)
                 self.leases.consume(now, "extra")
         elif event in ("try over", "over") and facts["ending"] in (e.name for e in FAILED_ENDINGS):
-            # `look` checks whether the core has set the streamer aside for it.
+            # `update` checks whether the core has set the streamer aside for it.
             self.failed_streamers.add(playback.streamer.id)
             self.failed_attempts.current(now)[0] += event == "try over"
 
@@ -101,7 +102,7 @@
         """Called when this controller's own bounds turned a viewer away, to come back after `wait` ns."""
         now = self.clock.now()
         self.counter.count(now, plan, load_reports.WANTED, load_reports.ANSWERED, load_reports.TURNED_AWAY)
-        self.return_times.books(now, wait)
+        self.return_times.record_retry(now, wait)
 
     def connecting(self, address):
         """Returns ns to wait before a new connection to a streamer, or None where it must not be made."""
@@ -114,18 +115,18 @@
         """Returns ns to wait before a source of the list is called again."""
         return self.call_limiter.reserve(self.clock.now(), "")
 
-    def second(self, late, files, memory):
+    def update_strain(self, late, files, memory):
         """Called each second; returns whether the state of this controller's own overload changed.
 
         `late`: ns that the event loop was late; `files`, `memory`: parts of descriptors and memory in use.
         """
         before = self.strain.standing
-        self.strain.second(self.clock.now(), late, files, memory)
+        self.strain.update(self.clock.now(), late, files, memory)
         return self.strain.standing is not before
 
     # Decisions of the fleet, passed to the core.
 
-    def look(self):
+    def update(self):
         """Called every LOOKS ns: updates the demand for leases and tells the core what has changed."""
         now = self.clock.now()
         level = self.level()
@@ -145,27 +146,27 @@
         )
         self.connection_limiter.update_demand(now)
         self.call_limiter.update_demand(now)
-        rides = self.controller.load_reports.rides(now)
+        supplement = self.controller.load_reports.current_supplement(now)
         alive = {self.controller.own_name, *self.controller.membership.alive_names()}
         judged = failing_streamers.judged(
-            now, self.controller.own_name, rides.failures, alive, self.findings.tried
+            now, self.controller.own_name, supplement.failures, alive, self.findings.tried
         )
         may_attempt = (
             {id: judged[a] for id in streamers if (a := self.address(id)) in judged} if judged else {}
         )
         plans, _, _ = self.controller.load_reports.total(now)
         wanted_rate = sum(row[load_reports.WANTED] for row in plans.values()) / WINDOW_SECONDS
-        self.return_times.serves(
+        self.return_times.record_capacity(
             now, sum(row[load_reports.IN_TARGET] for row in plans.values()) / WINDOW_SECONDS
         )
-        told = (
+        limits = (
             self.leases.available(now, "extra"),
             may_attempt,
-            self.return_times.advice(rides.expected_returns, wanted_rate),
+            self.return_times.advice(supplement.expected_returns, wanted_rate),
         )
-        if told != self.told or None not in told:
-            self.told = told
-            self.runner.run(self.core.fleet_limits_changed, *told)
+        if limits != self.last_limits or None not in limits:
+            self.last_limits = limits
+            self.runner.run(self.core.fleet_limits_changed, *limits)
 
     def _set_aside(self):
         """Returns address -> whether it is down, of the streamers that the core has set aside."""
@@ -173,7 +174,9 @@
         return {self.address(id): s.failed_at is not None for id, s in streamers.items() if s.backoff}
 
     def _beside(self, now):
-        found = self.findings.table(now, self._set_aside(), self.controller.load_reports.rides(now).failures)
+        found = self.findings.table(
+            now, self._set_aside(), self.controller.load_reports.current_supplement(now).failures
+        )
         strained = [self.controller.own_name] if self.strain.level else []
         return LoadSupplement(found, self.return_times.table(now), self.key_counter.table(now), strained)
 
@@ -207,11 +210,11 @@
         else:
             return None
         wait = self._return_time(now)
-        self.return_times.books(now, wait)
+        self.return_times.record_retry(now, wait)
         return wait, False
 
     def _return_time(self, now):
-        advice = self.told[2]
+        advice = self.last_limits[2]
         self.draw_count += 1
         draw = zlib.crc32(b"%d:%d" % (self.core.deployment.seed, self.draw_count)) * 2654435761 % 2**32
         return advice[draw * len(advice) >> 32] if advice else self.core.deployment.rules.longest_advice
@@ -223,7 +226,7 @@
         """
         now, level = self.clock.now(), self.level()
         plans, others, members = self.controller.load_reports.total(now)
-        rides = self.controller.load_reports.rides(now)
+        supplement = self.controller.load_reports.current_supplement(now)
         value, by, at = self.controller.load_reports.level
         names = ("wanted", "shed", "answered", "in_target", "late", "turned_away")
         rows = {
@@ -242,7 +245,7 @@
             "age_s": round((now - at) / SECOND, 1),
             "sheds": {n: round(p, 3) for n, p in shed_parts(level, self.order).items() if p},
             "crowds": self.controller.load_reports.caps_in_force(now),
-            "come_back": rides.expected_returns,
+            "come_back": supplement.expected_returns,
             "failing": {
                 a: {
                     "by": row[failing_streamers.BY],
@@ -250,11 +253,11 @@
                     "failed": row[failing_streamers.FAILED],
                     "played": row[failing_streamers.PLAYED],
                 }
-                for a, row in rides.failures.items()
+                for a, row in supplement.failures.items()
                 if row[failing_streamers.BY]
             },
             "leases": self.leases.report(now),
-            "strained": rides.overloaded,
+            "strained": supplement.overloaded,
             "strain": {"standing": self.strain.standing.value, "why": self.strain.why},
             "order": self.order,
             "why": self.controller.shedding.why if decides else "",
@@ -263,7 +266,7 @@
 
     def may_attempt(self, address):
         """Whether this controller may attempt a failing streamer; None: the fleet has found nothing on it."""
-        return next((may for id, may in self.told[1].items() if self.address(id) == address), None)
+        return next((may for id, may in self.last_limits[1].items() if self.address(id) == address), None)
 
 
 def hold(level, seconds, by, wall):
--- a/terndrift/fleet/planned_work_site.py
+++ b/terndrift/fleet/planned_work_site.py
@@ -3,7 +3,7 @@
 The drains in force enter the list as one more source, and reach the fronts if this controller itself drains.
 In return the planned work learns which machines the list has, how many playbacks each holds and which
 streamers fail. Decides nothing: what drains, and when, is agreed in the record (work.py). The service creates
-one PlannedWorkSite for each controller that takes part in planned work, and calls `look`.
+one PlannedWorkSite for each controller that takes part in planned work, and calls `apply_drains`.
 """
 
 from collections import deque
@@ -191,10 +191,10 @@
     # Drains in force.
 
     def look_again(self):
-        """Returns the ns until the next `look` is due, unless planned work is agreed on before."""
+        """Returns the ns until the next `apply_drains` is due, unless planned work is agreed on before."""
         return DRAIN_LOOK_INTERVAL_NS if self.drains else SECOND
 
-    async def look(self):
+    async def apply_drains(self):
         """Applies the drains in force to the list, the fronts and running playbacks.
 
         Called after each change of the planned work, else at the interval of `look_again`.
--- a/terndrift/fleet/recovery_stages.py
+++ b/terndrift/fleet/recovery_stages.py
@@ -65,7 +65,7 @@
         """Tells whether the controller has not reached full service yet."""
         return self.stage is not RecoveryStage.FULL
 
-    def look(self, now, has_list, has_record, asked, in_target):
+    def advance(self, now, has_list, has_record, asked, in_target):
         """Advances as many stages as the conditions or timeouts allow; called periodically.
 
         `has_list` and `has_record` say whether the controller has a list of streamers and the fleet's record.
--- a/terndrift/fleet/redirect_targets.py
+++ b/terndrift/fleet/redirect_targets.py
@@ -59,7 +59,7 @@
             and members[name].standing is Standing.ALIVE
             and CONTROLLER_PREFIX + name not in draining
         }
-        strained = controller.load_reports.rides(now).overloaded
+        strained = controller.load_reports.current_supplement(now).overloaded
         unstrained = {name: url for name, url in found.items() if name not in strained} or found
         return {
             name: url for name, url in unstrained.items() if now - members[name].standing_since > MIN_ALIVE_NS
--- a/terndrift/fleet/retry_schedule.py
+++ b/terndrift/fleet/retry_schedule.py
@@ -32,7 +32,7 @@
         self.booked = {}  # second -> how many retries were advised for it
         self.in_target_rates = deque()  # (time, answers in target a second, of all controllers)
 
-    def books(self, now, wait):
+    def record_retry(self, now, wait):
         """Records that a viewer was told to retry after `wait` ns; 0 or less is not recorded."""
         if wait > 0:
             second = (now + wait) // SECOND
@@ -43,7 +43,7 @@
         self.booked = {n: count for n, count in self.booked.items() if n >= now // SECOND}
         return [self.booked.get(now // SECOND + n, 0) for n in range(self.seconds_ahead + 1)]
 
-    def serves(self, now, in_target):
+    def record_capacity(self, now, in_target):
         """Records the fleet's current number of answers in target a second."""
         self.in_target_rates.append((now, in_target))
         while now - self.in_target_rates[0][0] > CAPACITY_WINDOW_NS:
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -95,7 +95,7 @@
         self.logged_level = 0.0
         # overload_control.OverloadControl, if this controller sheds by the fleet's level
         self.overload_control = None
-        # set by `serves`; the task that takes a copy; whether a copy is being sent
+        # set by `set_catalogue`; the task that takes a copy; whether a copy is being sent
         self.catalogue, self.copy_task, self.sending_copy = None, None, False
         # observation_collector.ObservationCollector; the file that keeps its observations over a restart, ""
         # for none
@@ -333,7 +333,7 @@
             self.logged_level = level
             self.log.info("shed", at=level, why=self.controller.shedding.why)
         self._process_output()
-        self.recovery_progress.look(
+        self.recovery_progress.advance(
             now, listed, self.controller.committed_log.complete_as_of is not None, *self.answers.recent(now)
         )
         if self.recovery_progress.stage is not previous_stage:
@@ -341,7 +341,7 @@
 
     # The catalogue.
 
-    def serves(self, catalogue):
+    def set_catalogue(self, catalogue):
         """Sets the catalogue service; titles are served only once the other members' state is known."""
         self.catalogue, controller = catalogue, self.controller
         controller.catalogue_sync = CatalogueSync(
@@ -417,15 +417,15 @@
         change.knows = tuple(map(str, value["ids"]))
         return change
 
-    async def sees(self):
+    async def run_observations(self):
         """Restores the observations of streamers, then updates and stores them until cancelled."""
         loop = asyncio.get_running_loop()
         self._restore_observations()
         while True:
             try:
-                self.observation_collector.look()
+                self.observation_collector.update()
                 self._process_output()
-                if self.keep_in and (observations := self.observation_collector.keeps()) is not None:
+                if self.keep_in and (observations := self.observation_collector.take_due_save()) is not None:
                     await loop.run_in_executor(
                         None, _write_atomically, self.keep_in, msgspec.json.encode(observations)
                     )
@@ -435,13 +435,13 @@
                 self.log.error("fault of the fleet", exc_info=fault)
             await asyncio.sleep(0.1 if self.recovery_progress.under_way() else 1.0)
 
-    async def meets(self):
+    async def run_overload_control(self):
         """Updates what the fleet has found and allows under load, until cancelled."""
         while True:
             try:
-                previous = sorted(self.overload_control.told[1].items())
-                self.overload_control.look()
-                if (found := sorted(self.overload_control.told[1].items())) != previous:
+                previous = sorted(self.overload_control.last_limits[1].items())
+                self.overload_control.update()
+                if (found := sorted(self.overload_control.last_limits[1].items())) != previous:
                     self.log.debug(
                         "found",
                         left=[id for id, allowed in found if not allowed],
--- a/terndrift/fleet/slow_start_shares.py
+++ b/terndrift/fleet/slow_start_shares.py
@@ -44,7 +44,7 @@
         )  # the current entry, and when this controller first saw it
         self.missing_since = {}  # name -> since when this controller has found it missing
 
-    def look(self, now, state):
+    def note_entry(self, now, state):
         """Notes when the entry in `state` was first seen; called whenever the state may have changed."""
         entry_id = state["epoch"][0], state["map"].get(RECORD_KEY, {}).get("gen")
         if entry_id != self.entry_id:
@@ -79,7 +79,7 @@
         as a whole where nothing was ever agreed; the rank in the configuration files then holds. `state_age`
         is the age of `state` in ns, None where there is no state yet.
         """
-        self.look(now, state)
+        self.note_entry(now, state)
         row = state["map"].get(RECORD_KEY)
         if row is None or not is_fresh_enough_to_place(state_age):
             return (
--- a/terndrift/fleet/streamer_observations.py
+++ b/terndrift/fleet/streamer_observations.py
@@ -192,7 +192,7 @@
             self.requested_at[remaining[0]] = now
             self.outbox.append((remaining[0], ObservationsRequest()))
 
-    def asked(self, now, sender):
+    def handle_request(self, now, sender):
         """Responds to a request, unless the limit of this second is reached.
 
         A sender that gets no response asks another member.
@@ -232,7 +232,7 @@
             ]
         return Observations(facts, answers)
 
-    def heard(self, now, sender, message, runs):
+    def handle_message(self, now, sender, message, runs):
         """Takes over the observations in a message; `runs`: member -> its present run.
 
         Ages in a response count from the request, so its delay can't make an observation look newer than it
--- a/terndrift/rehearse/virtual_return.py
+++ b/terndrift/rehearse/virtual_return.py
@@ -94,9 +94,9 @@
             return
         now = self.world.now
         heard = self.controller.committed_log.complete_as_of is not None
-        self.recovery_progress.look(now, True, heard, *self.served.recent(now))
-        self.observation_collector.look()
-        if (kept := self.observation_collector.keeps()) is not None:
+        self.recovery_progress.advance(now, True, heard, *self.served.recent(now))
+        self.observation_collector.update()
+        if (kept := self.observation_collector.take_due_save()) is not None:
             self.kept = kept
         self.world.after(SECOND // 10 if self.recovery_progress.under_way() else SECOND, self._look)
 
--- a/terndrift/service.py
+++ b/terndrift/service.py
@@ -243,7 +243,7 @@
                 self._sheds(value["fleet"]["limits"])
         self._open_catalogue(value["catalogue"])
         if self.fleet:
-            self.fleet.serves(self.catalogue)
+            self.fleet.set_catalogue(self.catalogue)
             self._shut()  # from before it listens: the first viewers come while the fleet still starts
 
     def _list_changed(self, entries, there, gone, forgotten, old):
@@ -404,13 +404,13 @@
             self.offer_address = await self.serving.start(self.value["offer"]["listen"])
         if self.fleet:
             await self.fleet.start(self.address)
-            self.tasks.append(asyncio.ensure_future(self.fleet.sees()))
+            self.tasks.append(asyncio.ensure_future(self.fleet.run_observations()))
             if self.fleet.overload_control:
-                self.tasks.append(asyncio.ensure_future(self.fleet.meets()))
+                self.tasks.append(asyncio.ensure_future(self.fleet.run_overload_control()))
             self._shut()
             self.tasks.append(asyncio.ensure_future(self._unsure()))
             if self.fleet.site:
-                await self.fleet.site.look()
+                await self.fleet.site.apply_drains()
                 self.tasks.append(asyncio.ensure_future(self._obeys()))
         self.tasks.append(asyncio.ensure_future(self._seconds()))
         if self.value["ready"]:
@@ -437,7 +437,7 @@
                 if (
                     self.fleet
                     and self.fleet.overload_control
-                    and self.fleet.overload_control.second(late, *process.resource_utilisation())
+                    and self.fleet.overload_control.update_strain(late, *process.resource_utilisation())
                 ):
                     self.log.warning(
                         "strain",
@@ -467,7 +467,7 @@
                 await asyncio.wait_for(self.fleet.worked.wait(), site.look_again() / SECOND)
             self.fleet.worked.clear()
             try:
-                await site.look()
+                await site.apply_drains()
                 if site.drains:  # viewers are turned away until it is known to be empty
                     self.fleet.tell_work()
             except Exception as fault:  # the next look must come all the same
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -36,9 +36,9 @@
                 )
                 for to, m in sync.outbox:
                     requests += isinstance(m, CatalogueHeadRequest)
-                    self.copies[to].asked(n) if isinstance(m, CatalogueHeadRequest) else self.copies[
+                    self.copies[to].handle_request(n) if isinstance(m, CatalogueHeadRequest) else self.copies[
                         to
-                    ].heard(n, m)
+                    ].handle_response(n, m)
                 sync.outbox.clear()
                 if sync.standing is SyncState.BEHIND and self.now % (3 * S // 10) < S // 10:
                     whole = sync.source not in self.broken
@@ -104,10 +104,10 @@
 
 def test_unrequested_responses_are_ignored_and_invalid_transitions_fail():
     sync = CatalogueSync("c0", 0, lambda: OLD, 3)
-    sync.heard("c1", CatalogueHead(9, NEW, True))
+    sync.handle_response("c1", CatalogueHead(9, NEW, True))
     assert sync.standing is SyncState.COMPARING and not sync.heads_by_name
     sync.tick(0, ["c1"])
-    sync.heard("c1", CatalogueHead(9, NEW, True))
+    sync.handle_response("c1", CatalogueHead(9, NEW, True))
     assert sync.standing is SyncState.BEHIND
     sync.copied(True)
     with pytest.raises(AssertionError):
@@ -122,12 +122,12 @@
     sync = CatalogueSync("c0", 0, lambda: OLD, 19)
     for n in range(1, 10):
         sync.request_counts[f"c{n}"] = 1
-        sync.heard(f"c{n}", CatalogueHead(2, OLD, False))
+        sync.handle_response(f"c{n}", CatalogueHead(2, OLD, False))
     assert sync.standing is SyncState.COMPARING, (
         "nine of nineteen responded; the ten others may have a newer one"
     )
     sync.request_counts["c10"] = 1
-    sync.heard("c10", CatalogueHead(2, OLD, False))
+    sync.handle_response("c10", CatalogueHead(2, OLD, False))
     assert sync.standing is SyncState.CONFIRMED
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -51,7 +51,7 @@
                 messages, member.outbox = member.outbox, []
                 for to, message in messages:
                     if to in self.running and not self.is_cut(name, to) and self.random.random() >= self.loss:
-                        self.running[to].heard(self.now, name, message)
+                        self.running[to].receive(self.now, name, message)
 
     def total_requests(self, name):
         """The fleet's requests as this member knows them."""
@@ -114,7 +114,7 @@
         FleetLoad(0, {}, [0, 0, 0], 0),
     ):
         before = member.total(fleet.now)
-        member.heard(fleet.now, "c010", report)
+        member.receive(fleet.now, "c010", report)
         assert member.total(fleet.now) == before
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -150,11 +150,11 @@
         tables = [b.table(now) for b in books]
         booked = retry_schedule.merge_tables(tables)
         for book in books:
-            book.serves(now, 20)
+            book.record_capacity(now, 20)
             advice = book.advice(booked, 10 + (booked[0] if booked else 0))
             for _ in range(30 // len(NAMES) + (step % 2)):
                 wait = rng.choice(advice)
-                book.books(now, wait)
+                book.record_retry(now, wait)
                 due[(now + wait) // S] += 1
                 same_delay[(now + 2 * S) // S] += 1
     assert sum(due.values()) == sum(same_delay.values()) > 200
@@ -165,14 +165,14 @@
 def test_without_room_retries_are_late_and_without_data_there_is_no_advice():
     book = RetrySchedule(10 * S)
     assert book.advice([0] * 11, 5) == ()
-    book.serves(0, 4)
+    book.record_capacity(0, 4)
     advice = book.advice([9] * 11, 13)
     assert min(advice) > 5 * S and max(advice) == 10 * S and len(set(advice)) == 5
     assert book.advice([], 0)[0] == S, "with room the retry is soon"
     assert retry_schedule.merge_tables([[1, 2], [1, 1, 5]]) == [2, 3, 5] and retry_schedule.age_table(
         [1, 2, 3], 2 * S
     ) == [3]
-    book.books(S, 3 * S)
+    book.record_retry(S, 3 * S)
     assert book.table(S)[3] == 1 and book.table(5 * S) == [0] * 11
 
 
@@ -233,21 +233,21 @@
 
 def test_two_late_loops_or_exhausted_resources_raise_the_level_and_recovery_lowers_it_slowly():
     strain = LocalOverload(3)
-    assert strain.second(S, 900 * MS, 0.1, 0.1) == 0, "a single delay may be a pause of the machine"
-    assert strain.second(2 * S, 900 * MS, 0.1, 0.1) == 0.5 and strain.standing is OverloadState.STRAINED
-    assert strain.second(3 * S, 0, 0.95, 0.1) == 1.0 and "descriptors" in strain.why
-    assert strain.second(4 * S, 0, 0.85, 0.1) == 1.0 and strain.standing is OverloadState.STRAINED, (
+    assert strain.update(S, 900 * MS, 0.1, 0.1) == 0, "a single delay may be a pause of the machine"
+    assert strain.update(2 * S, 900 * MS, 0.1, 0.1) == 0.5 and strain.standing is OverloadState.STRAINED
+    assert strain.update(3 * S, 0, 0.95, 0.1) == 1.0 and "descriptors" in strain.why
+    assert strain.update(4 * S, 0, 0.85, 0.1) == 1.0 and strain.standing is OverloadState.STRAINED, (
         "not recovered yet"
     )
-    assert strain.second(5 * S, 0, 0.5, 0.1) == 1.0 and strain.standing is OverloadState.EASING
-    levels = [strain.second((5 + n) * S, 0, 0.5, 0.1) for n in range(1, 8)]
+    assert strain.update(5 * S, 0, 0.5, 0.1) == 1.0 and strain.standing is OverloadState.EASING
+    levels = [strain.update((5 + n) * S, 0, 0.5, 0.1) for n in range(1, 8)]
     assert (
         levels == [1.0, 1.0, 0.75, 0.5, 0.25, 0.0, 0.0]
         and strain.standing is OverloadState.EASY
         and not strain.why
     )
     for n in range(20):
-        strain.second((20 + n) * S, 0, 0.1, 0.99)
+        strain.update((20 + n) * S, 0, 0.1, 0.99)
     assert strain.level == 3.0
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -107,15 +107,15 @@
 
 def test_recovery_stages_advance_when_their_conditions_hold():
     progress = recovery_stages.RecoveryProgress(0, True)
-    progress.look(1, False, False, 0, 0)
+    progress.advance(1, False, False, 0, 0)
     assert (progress.stage, progress.why) == (recovery_stages.RecoveryStage.STARTED, "a list of streamers")
-    progress.look(SECOND, True, False, 0, 0)
+    progress.advance(SECOND, True, False, 0, 0)
     assert (progress.stage, progress.why) == (recovery_stages.RecoveryStage.HAS_LIST, "the fleet's record")
-    progress.look(2 * SECOND, True, True, 4, 1)
+    progress.advance(2 * SECOND, True, True, 4, 1)
     assert progress.stage is recovery_stages.RecoveryStage.RAMPING_UP
-    progress.look(7 * SECOND, True, True, 40, 37)
+    progress.advance(7 * SECOND, True, True, 40, 37)
     assert progress.why == "95% in target for 5 s: 37 of 40"
-    progress.look(8 * SECOND, True, True, 40, 38)
+    progress.advance(8 * SECOND, True, True, 40, 38)
     assert progress.stage is recovery_stages.RecoveryStage.FULL and not any(
         timed_out for _, _, timed_out in progress.past
     )
@@ -126,12 +126,12 @@
     progress, at = recovery_stages.RecoveryProgress(0, True), 0
     while progress.stage is not recovery_stages.RecoveryStage.FULL:
         at += SECOND // 2
-        progress.look(at, False, False, 10, 0)
+        progress.advance(at, False, False, 10, 0)
     assert at == sum(recovery_stages.STAGE_TIMEOUT_NS.values()) and all(
         timed_out for _, _, timed_out in progress.past
     )
     alone = recovery_stages.RecoveryProgress(0, False)
-    alone.look(SECOND, True, False, 0, 0)
+    alone.advance(SECOND, True, False, 0, 0)
     assert alone.stage is recovery_stages.RecoveryStage.RAMPING_UP, (
         "there is no wait for others where there is no fleet"
     )
@@ -214,7 +214,7 @@
         )
         if kept:
             collector.restore(kept)
-        collector.look()
+        collector.update()
         return reported[-1][:2]
 
     kept = SavedObservations(1000 * SECOND, [], (1, 2), 2 * SECOND)
--- a/tests/test_surge.py
+++ b/tests/test_surge.py
@@ -92,9 +92,9 @@
 @in_testbed
 async def test_an_overloaded_controller_redirects_viewers_or_sheds_them_in_order_where_it_can_not(testbed):
     surge, fleet = add_surge(testbed)
-    assert not surge.second(0, 0.5, 0.5) and not surge.strain.level
-    assert not surge.second(10**9, 0.5, 0.0), "a single delay may be a pause of the machine"
-    assert surge.second(10**9, 0.5, 0.0) and not surge.second(0, 0.99, 0.0)
+    assert not surge.update_strain(0, 0.5, 0.5) and not surge.strain.level
+    assert not surge.update_strain(10**9, 0.5, 0.0), "a single delay may be a pause of the machine"
+    assert surge.update_strain(10**9, 0.5, 0.0) and not surge.update_strain(0, 0.99, 0.0)
     assert surge.strain.level == 1.0 and surge._beside(testbed.service.clock.now()).overloaded == ["c0"]
     assert (await testbed.request_playback("clip"))[0] == 503 and (await testbed.request_playback("lesson"))[
         0
@@ -109,7 +109,7 @@
     surge, fleet = add_surge(testbed)
     now = testbed.service.clock.now()
     fleet.load_reports.decided(now, 0.0, {"title clip": 1.0})
-    surge.told = None, {}, (10**9, 2 * 10**9)
+    surge.last_limits = None, {}, (10**9, 2 * 10**9)
     answers = [(await testbed.request_playback("clip"))[:2] for _ in range(12)]
     assert {code for code, _ in answers} == {503} and {h["Retry-After"] for _, h in answers} == {"1", "2"}
     assert (await testbed.request_playback("first"))[0] == 200, "another title of the same plan"
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -36,7 +36,7 @@
 
     def deliver(self, who, to, message):
         """Delivers a message with observations."""
-        self.stores[to].heard(self.now, who, message, self.runs)
+        self.stores[to].handle_message(self.now, who, message, self.runs)
 
     def run(self, seconds, *observations):
         """Steps all members every quarter of a second.
@@ -56,7 +56,7 @@
         while moved := [(who, *store.outbox.pop(0)) for who, store in self.stores.items() if store.outbox]:
             for who, to, message in moved:
                 if isinstance(message, ObservationsRequest):
-                    self.stores[to].asked(self.now, who)
+                    self.stores[to].handle_request(self.now, who)
                 elif isinstance(message, Observations):
                     self.deliver(who, to, message)
 
@@ -208,7 +208,7 @@
                 continue
             views, at = {n: SlowStartShares() for n in controllers}, START
             for n in controllers:
-                views[n].look(at - 3 * TRANSITION_NS, old)
+                views[n].note_entry(at - 3 * TRANSITION_NS, old)
             for passed in (
                 0,
                 SECOND,
@@ -228,8 +228,8 @@
                         here[n] = views[n], old, passed
                     else:
                         ranks = SlowStartShares()
-                        ranks.look(at - 3 * TRANSITION_NS, old)
-                        ranks.look(at + when, new)
+                        ranks.note_entry(at - 3 * TRANSITION_NS, old)
+                        ranks.note_entry(at + when, new)
                         here[n] = ranks, new, 0
                 total = total_share(here, now)
                 assert total <= 1 + 1e-9, (before, names, seen_at, passed / SECOND, total)
@@ -243,14 +243,14 @@
     assert id == "ranks/1" and value[RECORD_KEY]["names"] == value[RECORD_KEY]["before"] == list("abc")
     assert ranks.next(now, state(epoch=2), set("abc"), set("abc"))[1][RECORD_KEY]["before"] == []
     first = state(("abc", "abc"))
-    ranks.look(now, first)
+    ranks.note_entry(now, first)
     for seconds in range(0, 70, 1):
         found = ranks.next(now + seconds * SECOND, first, set("abc"), set("ab"))
         if found:
             break
     assert seconds >= 2 * TRANSITION_NS // SECOND and found[1][RECORD_KEY]["names"] == list("ab")
     second = state(("abc", "abc"), ("ab", "abc"))
-    ranks.look(now + 100 * SECOND, second)
+    ranks.note_entry(now + 100 * SECOND, second)
     assert ranks.next(now + 101 * SECOND, second, set("abc"), set("abc")) is None, (
         "a further entry has to wait"
     )
