--- a/terndrift/fleet/slow_start_shares.py
+++ b/terndrift/fleet/slow_start_shares.py
@@ -8,9 +8,9 @@
 names of the controllers and those of the entry before. The rules:
 
 - A controller whose state of the record is older than MAX_RECORD_AGE_NS, or that has none yet, takes no
-share. - For TRANSITION_NS after it first saw an entry, a controller that the previous entry named uses the
-longer of
-  the two lists; TRANSITION_NS covers MAX_RECORD_AGE_NS on any controller's clock. After that it uses the
+  share.
+- For TRANSITION_NS after it first saw an entry, a controller that the previous entry named uses the longer
+  of the two lists; TRANSITION_NS covers MAX_RECORD_AGE_NS on any controller's clock. After that it uses the
   current names.
 - A controller that the previous entry didn't name takes no share during that time.
 - A name is removed only after the controller was missing for TRANSITION_NS. An entry follows another after
