--- a/terndrift/core/core.py
+++ b/terndrift/core/core.py
@@ -43,7 +43,8 @@
 class Core:
     """The playbacks of one controller.
 
-    `watch(event, playback, **facts)` is called for each change, for logs and load reports. `decisions` is the
+    `watch(event, playback, **facts)` is called for each change; logs, load reports
+    and the overload handling of the fleet rely on the names of the events. `decisions` is the
     class of the decision logic (terndrift/interface.py). `drain_grace` is in ns.
     """
 
--- a/terndrift/core/runner.py
+++ b/terndrift/core/runner.py
@@ -1,7 +1,7 @@
 """Runs a session core on a Tornado event loop: its clock and the timer for its next deadline.
 
-Services create one `Clock` and one `CoreRunner`; fronts and transports reach the core through
-`CoreRunner.run` alone.
+Services create one `Clock` and one `CoreRunner`; fronts and transports report events to the
+core through `CoreRunner.run`.
 """
 
 import time
@@ -9,8 +9,8 @@
 from tornado.ioloop import IOLoop
 
 SECOND = 1_000_000_000
-# A timer that fires later than this is logged. The limit is below the margin of 120 ms by which answers are
-# given before they are due.
+# A timer that fires later than this is logged. Where clients wait for 1.2 s or longer, answers are given
+# 120 ms or more before they are due.
 LATE_TIMER_NS = SECOND // 10
 
 
@@ -48,7 +48,7 @@
 
 
 class CoreRunner:
-    """Owns the timer of a core. All calls of the core go through `run`, so that the timer is kept up to date.
+    """Owns the timer of a core. Events go to the core through `run`, so that the timer is kept up to date.
 
     `after_step`, a callable that a transport may set, is called after each step of the core: it can send what
     the core's decisions left to be sent.
--- a/terndrift/fleet/leases.py
+++ b/terndrift/fleet/leases.py
@@ -1,7 +1,7 @@
 """Fleet-wide rate limits, granted as leases: extra attempts, new connections to a streamer, calls to sources.
 
 Each controller owns one `Leases`. The fleet's member (member.py) passes it the lease messages, calls `tick`
-and sends what it puts into `out`; overload_control.py tells it the demand and asks it before each limited
+and sends what it puts into `outbox`; overload_control.py tells it the demand and asks it before each limited
 action. This module does no I/O.
 
 GUARANTEED_SHARE of each limit is split evenly among all controllers that the configuration names, and is
@@ -13,8 +13,7 @@
 - The leader counts a lease until LEASE_NS after the grant, plus 2% for clock drift, whether or not it
   arrived; of several that one holder may still have it counts the largest.
 - A leader grants only while a quorum has answered questions sent less than ELECTION_TIMEOUT ago, and not
-before
-  LEADER_WAIT_NS after it became leader: by then all leases of the leader before it have expired.
+  before LEADER_WAIT_NS after it became leader: by then all leases of the leader before it have expired.
 
 So the parts in force add up to at most the limit, and to less after a change of leader or in the minority
 side of a partition. The parts are rates: in any time T the fleet performs at most limit * T actions, plus one
@@ -109,7 +108,7 @@
 
     `limits`: kind -> the fleet's limit per second, 0: no limit; `controller_count`: how many controllers the
     configuration names; `has_voters`: whether there are voters, whose leader grants leases; without them each
-    controller has an even part for good. `out` collects (recipient, message) for the member to send. All
+    controller has an even part for good. `outbox` collects (recipient, message) for the member to send. All
     times are in ns of the controller's monotonic clock.
     """
 
--- a/terndrift/fleet/load_reports.py
+++ b/terndrift/fleet/load_reports.py
@@ -1,8 +1,8 @@
 """Load reports: the fleet-wide sums of requests and answers, kept by each controller without a central node.
 
 The fleet's member (member.py) owns a `LoadReports`, passes received `FleetLoad` messages to it and sends what
-it puts into `out`; overload_control.py fills in the local figures and reads the totals. This module does no
-I/O.
+it puts into `outbox`; overload_control.py fills in the local figures and reads the totals. This module does
+no I/O.
 
 Members are sorted by name and split into groups of about sqrt(n). Twice a second each member sends its
 complete counts of the last WINDOW_SECONDS seconds to the two collectors of its group: the first two of the
@@ -26,7 +26,7 @@
 # Higher counts of a single member are rejected as false: no controller gets that many requests in
 # WINDOW_SECONDS.
 MAX_COUNT_PER_MEMBER = 100_000
-# Values of Load.scope: the counts of one member, of a group, of the whole fleet.
+# Values of FleetLoad.scope: the counts of one member, of a group, of the whole fleet.
 MEMBER_REPORT, GROUP_REPORT, TOTAL_REPORT = range(3)
 # Columns of a plan's row: requests by viewers; shed before set-up; answered; and of the answered ones those
 # within the startup target, late, and turned away.
@@ -100,7 +100,7 @@
 
     `own(now)` returns the local ({plan: row}, row of other counts); while it is None nothing is sent or
     accepted. `own_beside(now)` returns the local `LoadSupplement` or None. Both are set by
-    overload_control.py. `out` collects (recipient, message) for the member to send. All times are in ns of
+    overload_control.py. `outbox` collects (recipient, message) for the member to send. All times are in ns of
     the controller's monotonic clock.
     """
 
@@ -134,7 +134,7 @@
         return min({*alive, self.own_name}) == self.own_name and now - self.started_at >= REPORT_LIFETIME_NS
 
     def tick(self, now, alive):
-        """Sends the due reports to `out`; `alive` names the other members that are alive."""
+        """Sends the due reports to `outbox`; `alive` names the other members that are alive."""
         if self.own is None or now < self.report_at:
             return
         self.report_at, alive = now + LOAD_REPORT_INTERVAL, set(alive)
--- a/terndrift/fleet/member.py
+++ b/terndrift/fleet/member.py
@@ -75,8 +75,8 @@
         self.started_at, self.next_pull_at = now, now
         # Planned work on machines. placement_reports: member -> (PlacementReport, time received)
         self.work_scheduler, self.next_work_at, self.placement_reports = planned_work.WorkScheduler(), now, {}
-        # Set by the host. list_machines(): name -> Machine of its list; count_placements(names): name ->
-        # playbacks and set-ups there; wall_ms(): ms since 1970; recent_requests(now): recent (requests,
+        # Set by PlannedWorkSite. list_machines(): name -> Machine of its list; count_placements(names): name
+        # -> playbacks and set-ups there; wall_ms(): ms since 1970; recent_requests(now): recent (requests,
         # turned away); failing_machines(names): those at which set-ups fail
         self.list_machines, self.count_placements = dict, lambda names: dict.fromkeys(names, 0)
         self.wall_ms, self.recent_requests, self.failing_machines = (
@@ -96,9 +96,9 @@
             ObservationStore(own_name, run, now),
             CatalogueSync(own_name, now, list, 0),
         )
-        # shedding: a shedding.SheddingLevel if the host sheds load
+        # shedding: a shedding.SheddingLevel set by OverloadControl if it sheds load
         self.load_reports, self.shedding = LoadReports(own_name, configured_names, now), None
-        # without limits until the host sets its own
+        # without limits until OverloadControl sets its own
         self.leases = Leases(own_name, {}, len(self.configured_names), bool(voter_names), now)
         # uses_ranks: set by the host if it shares the slow start of cold streamers by rank
         self.ranks, self.next_rank_at, self.uses_ranks = slow_start_shares.SlowStartShares(), now, False
--- a/terndrift/fleet/membership.py
+++ b/terndrift/fleet/membership.py
@@ -40,7 +40,7 @@
 # Pings that tell a suspect of the suspicion before it is declared dead, half a period apart: with three in
 # ten datagrams lost each way, 93% of the suspects receive one and are heard.
 SUSPECT_WARNINGS = 4
-MAX_HEALTH_SCORE = 8  # local health stretches timeouts up to this many times (S of Lifeguard)
+MAX_HEALTH_SCORE = 8  # S of Lifeguard: probe timeouts stretch by 1 + the score
 # Interval between full state exchanges of one member, for each member that it knows. That makes their cost
 # per member the same in any fleet (some 75 bytes a second), with two or three exchanges a second in the whole
 # fleet, which is how soon the halves of a healed partition meet again.
--- a/terndrift/fleet/messages.py
+++ b/terndrift/fleet/messages.py
@@ -294,7 +294,7 @@
 
 
 class PullRequest(Message, tag="Pull"):
-    """From a follower: requests the committed entries after `last_index` of that epoch."""
+    """From a controller that is behind: requests the committed entries after `last_index` of that epoch."""
 
     epoch: tuple[int, str]
     last_index: int
--- a/terndrift/fleet/planned_work.py
+++ b/terndrift/fleet/planned_work.py
@@ -170,7 +170,7 @@
 
 
 def names_in_active_plans(state, names):
-    """Return those of `names` that are in another plan and have not ended there, sorted."""
+    """Return those of `names` that are in any plan and have not ended there, sorted."""
     return sorted(
         n
         for n, row in machine_rows(state).items()
--- a/terndrift/fleet/planned_work_site.py
+++ b/terndrift/fleet/planned_work_site.py
@@ -2,8 +2,9 @@
 
 The drains in force enter the list as one more source, and reach the fronts if this controller itself drains.
 In return the planned work learns which machines the list has, how many playbacks each holds and which
-streamers fail. Decides nothing: what drains, and when, is agreed in the record (work.py). The service creates
-one PlannedWorkSite for each controller that takes part in planned work, and calls `apply_drains`.
+streamers fail. Decides nothing: what drains, and when, is agreed in the record (planned_work.py).
+terndrift/service.py creates one PlannedWorkSite for each controller that takes part in planned work and calls
+`apply_drains`.
 """
 
 from collections import deque
@@ -137,7 +138,7 @@
                 )
 
     def machines(self):
-        """Returns machine name -> room.Machine of the listed streamers, cold ones marked by their age."""
+        """Returns machine name -> Machine of the listed streamers, cold ones marked by their age."""
         self._update_machines()
         now = self.clock.now()
         return {
--- a/terndrift/fleet/raft.py
+++ b/terndrift/fleet/raft.py
@@ -354,7 +354,7 @@
         self.election_at = now
 
     def adopt_newer_epoch(self, now):
-        """Moves to the follower's epoch if that is later; the log of the earlier epoch is discarded."""
+        """Moves to the committed log's epoch if that is later; the log of the earlier epoch is discarded."""
         if self.committed_log.epoch > self.persistent.epoch:
             self._start_epoch(self.committed_log.epoch, self.committed_log.state)
             self._change_role(now, Role.NON_VOTER)
@@ -821,7 +821,7 @@
             self.committed_log.mark_complete(self.quorum_contact_at())
 
     def _commit_up_to(self, now, commit_index):
-        """Passes committed entries to the follower; replaces a log that is too long with a snapshot."""
+        """Passes committed entries to the committed log; replaces a log that is too long with a snapshot."""
         while (
             self.committed_log.last_index < commit_index and self.committed_log.epoch == self.persistent.epoch
         ):
--- a/terndrift/fleet/service.py
+++ b/terndrift/fleet/service.py
@@ -124,7 +124,7 @@
         self.write_task, self.waiters, self.closing, self.logged_cut_off = None, set(), False, False
 
     def _opened(self, folder):
-        """Opens a voter's store and returns its Durable state; renames a damaged folder and starts empty.
+        """Opens a voter's store and returns its PersistentState; renames a damaged folder and starts empty.
 
         What this voter once confirmed can't be known after damage, so it starts without any state.
         """
--- a/terndrift/fleet/work_budget.py
+++ b/terndrift/fleet/work_budget.py
@@ -1,9 +1,8 @@
 """Availability budgets of planned work: which machines are unavailable, and whether one more may be.
 
 A budget counts every unavailable machine, whatever the cause: planned work until the machine has warmed up,
-failures, drains by another source, and machines that are back and still cold. Used by
-`terndrift.fleet.planned_work`, whose leader checks it before a drain begins. This module does no I/O and
-changes nothing.
+failures, drains by another source, and machines that are back and still cold. The leader
+of the record checks it in `planned_work` before a drain begins. This module does no I/O and changes nothing.
 """
 
 from collections import Counter
--- a/terndrift/platform/service.py
+++ b/terndrift/platform/service.py
@@ -173,7 +173,7 @@
     def terminate(self):
         """Begins the shutdown; the SIGTERM handler.
 
-        Closes at once if no viewer was accepted yet, else drains. A repeated call has no effect.
+        Closes at once if it does not listen yet, else drains. A repeated call has no effect.
         """
         if self.stage is Stage.STARTING:
             self.log.info("told to end before it served")
--- a/terndrift/platform/transport.py
+++ b/terndrift/platform/transport.py
@@ -80,7 +80,7 @@
                 return
             peer = self.peers[entry.id] = Peer(entry, name, address)
         if entry.started != peer.started or address and address != peer.address and not delisted:
-            # restarted: the earlier playbacks are over, and its connections belong to the old process
+            # restarted or moved: earlier playbacks are over, and its connections belong to the old process
             self._cut(peer, "streamer restarted")
             for connection in list(peer.connections):
                 connection.close("streamer restarted")
@@ -105,8 +105,8 @@
         return None
 
     def cancel_attempt(self, playback):
-        """Cancels the outstanding attempt; the core hears of its end once the streamer knows of the
-        cancel."""
+        """Cancels the outstanding attempt and reports its end to the core: at once if nothing was sent, else
+        when the streamer confirms, or after CANCEL_CONFIRMATION_TIMEOUT_S."""
         attempt = self.attempts[playback]
         if attempt.state is AttemptState.CONNECTING:
             if attempt.task is not None:
